--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,17 @@
 
 from starlingthread import Balancer
 from starlingthread.interface import (
-    Effect, ListKind, Member, MemberList, Note, Outcome, Request, RequestClass, Result, Send, Settings,
+    Effect,
+    ListKind,
+    Member,
+    MemberList,
+    Note,
+    Outcome,
+    Request,
+    RequestClass,
+    Result,
+    Send,
+    Settings,
 )
 
 ROUTERS, SERVERS, KEYS = 40, 60, 3000
@@ -17,8 +27,14 @@
 POPULARITY = list(accumulate(1 / rank for rank in range(5, KEYS + 5)))
 WINDOW = 2000.0  # ms in which a cold server falls over
 SETTINGS = Settings(
-    classes=(RequestClass("read", Effect.REPEATABLE, aim=1200.0, deadline=4000.0),), balancers=ROUTERS,
-    max_attempts=4, drain_grace=400.0, cold_from=0.15, cold_time=22000.0, tip_after=WINDOW)
+    classes=(RequestClass("read", Effect.REPEATABLE, aim=1200.0, deadline=4000.0),),
+    balancers=ROUTERS,
+    max_attempts=4,
+    drain_grace=400.0,
+    cold_from=0.15,
+    cold_time=22000.0,
+    tip_after=WINDOW,
+)
 
 
 class Fleet:
@@ -28,7 +44,8 @@
         self.rng = Random(seed)
         self.now, self.last_id = 1e6, 0
         self.routers = [
-            Balancer(settings._replace(me=number, zone=number % 3), seed * 1000 + number) for number in range(ROUTERS)]
+            Balancer(settings._replace(me=number, zone=number % 3), seed * 1000 + number) for number in range(ROUTERS)
+        ]
         self.sends: list[tuple[float, int]] = []
         self.refused = 0
         self.out: list[tuple[float, int, Balancer, Outcome]] = []
@@ -66,15 +83,22 @@
             for send in sent:
                 self.sends.append((self.now, send.server))
                 took = TIMES[self.kinds[send.server]] * self.rng.expovariate(1.0)
-                insort(self.out, (self.now + took, self.last_id, router, Outcome(
-                    send.id, 0, send.server, Result.OK, took, True, Note.HIT)))
+                insort(
+                    self.out,
+                    (
+                        self.now + took,
+                        self.last_id,
+                        router,
+                        Outcome(send.id, 0, send.server, Result.OK, took, True, Note.HIT),
+                    ),
+                )
 
 
 def test_cold_servers_get_what_their_ramp_bears_from_all_routers_together() -> None:
     """Their share of keys was drawn by the same hash as the owners, whose hashes are the greatest: none passed."""
     fleet = Fleet()
     fleet.play(5000.0)
-    cold = [m.server for m in fleet.members[:SERVERS // 3]]
+    cold = [m.server for m in fleet.members[: SERVERS // 3]]
     fleet.restart(cold)
     began = fleet.now
     fleet.play(8000.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -144,8 +144,17 @@
     assert (tmp_path / NAME).is_socket() and inherit(tmp_path) is None
 
 
-@pytest.mark.parametrize("says", [b"", b"{}\n", b"noise\n", b'{"version":9,"share":0.5,"sockets":[]}\n',
-                                  b'{"version":1,"share":0.5,"sockets":["a"]}\n', b"x" * 9000])
+@pytest.mark.parametrize(
+    "says",
+    [
+        b"",
+        b"{}\n",
+        b"noise\n",
+        b'{"version":9,"share":0.5,"sockets":[]}\n',
+        b'{"version":1,"share":0.5,"sockets":["a"]}\n',
+        b"x" * 9000,
+    ],
+)
 def test_an_old_process_that_is_not_understood_is_told_of(tmp_path: Path, says: bytes) -> None:
     door = Door(tmp_path)
     gc.collect()
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -53,8 +53,9 @@
     "a server slow, then well at once": 'kind = "slow"\nstrength = 8.0\nservers = [0]',
     "a third of the routers stopped, and on with old views": 'kind = "stop-router"\nrouters = [0, 3, 6]',
     "a third of the routers killed, and back with empty tables": 'kind = "kill-router"\nrouters = [1, 4, 7]',
-    "a slow link that looks like a slow server to some":
-        'kind = "link-slow"\nstrength = 60.0\nservers = [2, 3]\nfrom_zone = "bloco-c"',
+    "a slow link that looks like a slow server to some": (
+        'kind = "link-slow"\nstrength = 60.0\nservers = [2, 3]\nfrom_zone = "bloco-c"'
+    ),
     "a server that says nothing, then is there again": 'kind = "silent"\nservers = [4]',
 }
 
@@ -97,8 +98,7 @@
 def test_load_is_even_again_soon_after_a_fault_and_nobody_is_forgotten(hard: str, tmp_path: Path) -> None:
     """The least reported load leaves servers with nothing and others with three to four times the mean."""
     faults = f"[[faults]]\nstart_s = 5.0\nlength_s = 3.0\n{HARD[hard]}\n"
-    ours, parts = played_with_parts(
-        tmp_path / "ours", "length_s=12.0", "fleet.report_delay_ms=2000.0", faults=faults)
+    ours, parts = played_with_parts(tmp_path / "ours", "length_s=12.0", "fleet.report_delay_ms=2000.0", faults=faults)
     assert not ours.verdict.counts and ours.worth_share > 0.85
     assert min(parts) > 0.4 and max(parts) < 2.0, parts
 
@@ -106,8 +106,11 @@
 @pytest.mark.parametrize("policy", ["random", "round-robin", "bounded-hash", "two-choices", "two-reported", "truth"])
 def test_each_baseline_serves_and_breaks_no_rule(policy: str, tmp_path: Path) -> None:
     short = msgspec.structs.replace(scenario.parse(SCENARIO, "herd", (f'routers.policy="{policy}"',)), length_s=3.0)
-    short = msgspec.structs.replace(short, routers=msgspec.structs.replace(short.routers, count=3),
-                                    traffic=msgspec.structs.replace(short.traffic, warmup_s=1.0))
+    short = msgspec.structs.replace(
+        short,
+        routers=msgspec.structs.replace(short.routers, count=3),
+        traffic=msgspec.structs.replace(short.traffic, warmup_s=1.0),
+    )
     outcome = play(short, folder=tmp_path)
     results = reduce(short, outcome.ledger, outcome.facts, judge(short, outcome.ledger))
     assert not results.verdict.counts and results.worth_share > 0.9
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -13,7 +13,16 @@
 
 from starlingthread.emulator.judge import judge
 from starlingthread.emulator.records import (
-    ANSWERED, CUT, OUT, RUN, Delivery, Ledger, Marked, Operation, RouterEvent, Try,
+    ANSWERED,
+    CUT,
+    OUT,
+    RUN,
+    Delivery,
+    Ledger,
+    Marked,
+    Operation,
+    RouterEvent,
+    Try,
 )
 from starlingthread.emulator.scenario import Scenario, parse
 from starlingthread.load import results
@@ -61,16 +70,29 @@
 COLD = '[[faults]]\nkind = "replace"\nstart_s = 0.3\nstrength = 50.0\nservers = [0]\n'
 # What a mode breaks, and under which fault.
 MODES = {
-    "good": ("", ""), "answers-twice": ("answered-twice", ""), "resends-hold": ("once-ran-twice", ""),
-    "ignores-drain": ("drain", DRAIN), "floods-cold": ("cold-fall", COLD), "loses": ("lost", ""),
-    "sits": ("held-back", ""), "answers-late": ("late-answer", ""), "foreign-value": ("foreign-value", ""),
-    "refuses-what-ran": ("busy-after-run", ""), "invents": ("unknown-request", ""), "leaks": ("memory", ""),
+    "good": ("", ""),
+    "answers-twice": ("answered-twice", ""),
+    "resends-hold": ("once-ran-twice", ""),
+    "ignores-drain": ("drain", DRAIN),
+    "floods-cold": ("cold-fall", COLD),
+    "loses": ("lost", ""),
+    "sits": ("held-back", ""),
+    "answers-late": ("late-answer", ""),
+    "foreign-value": ("foreign-value", ""),
+    "refuses-what-ran": ("busy-after-run", ""),
+    "invents": ("unknown-request", ""),
+    "leaks": ("memory", ""),
     "crashes": ("crashed", ""),
 }
 # A mode may break other rules as well, where one deed breaks two.
 ALSO = {
-    "resends-hold": {"once-resent"}, "answers-twice": set(), "refuses-what-ran": {"once-ran-twice", "once-resent"},
-    "invents": {"foreign-value"}, "ignores-drain": set(), "floods-cold": set(), "crashes": {"lost"},
+    "resends-hold": {"once-resent"},
+    "answers-twice": set(),
+    "refuses-what-ran": {"once-ran-twice", "once-resent"},
+    "invents": {"foreign-value"},
+    "ignores-drain": set(),
+    "floods-cold": set(),
+    "crashes": {"lost"},
     "answers-late": {"lost", "held-back"},
 }
 
@@ -82,12 +104,17 @@
 
     def play(mode: str) -> tuple[str, int, results.Results]:
         path = folder / f"{mode}.toml"
-        text = SCENARIO.replace("memory_mb = 120.0", "memory_mb = 120.0\ncommand = " + repr(
-            [sys.executable, str(ROUTER), mode]))
+        text = SCENARIO.replace(
+            "memory_mb = 120.0", "memory_mb = 120.0\ncommand = " + repr([sys.executable, str(ROUTER), mode])
+        )
         path.write_text(text + MODES[mode][1])
         done = subprocess.run(
             [sys.executable, "-m", "starlingthread.cli", "bench", str(path), "--json", str(folder / f"{mode}.json")],
-            capture_output=True, timeout=120, check=False, env={**os.environ, "COLUMNS": "200"})
+            capture_output=True,
+            timeout=120,
+            check=False,
+            env={**os.environ, "COLUMNS": "200"},
+        )
         assert (folder / f"{mode}.json").exists(), done.stderr.decode()
         return mode, done.returncode, results.read(folder / f"{mode}.json")
 
@@ -110,7 +137,8 @@
 
 def _scene(effect: str = "once") -> tuple[Scenario, Ledger]:
     scenario = parse(
-        f'name = "x"\n[[traffic.classes]]\nname = "w"\nshare = 1.0\neffect = "{effect}"\nwrite = true\n', "x")
+        f'name = "x"\n[[traffic.classes]]\nname = "w"\nshare = 1.0\neffect = "{effect}"\nwrite = true\n', "x"
+    )
     return scenario, Ledger(ended_at=10000.0, operations=[Operation(0, 0, 100.0)])
 
 
@@ -167,7 +195,6 @@
     assert not _held(router=4)  # of the same group, as there are three zones
 
 
-@pytest.mark.parametrize("other", [
-    {"router": 0}, {"server": 1}, {"way": "to-server"}, {"ended_at": 4999.0}])
+@pytest.mark.parametrize("other", [{"router": 0}, {"server": 1}, {"way": "to-server"}, {"ended_at": 4999.0}])
 def test_a_refusal_is_held_back_if_the_cut_link_did_not_hold_the_answer(other: dict[str, Any]) -> None:
     assert _held(**other) == {"held-back"}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-TESTS = '''
+TESTS = """
 import pytest
 
 def test_good() -> None:
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize("n", [1, 2])
 def test_worse(n: int) -> None:
     assert n == 1
-'''
+"""
 BAD = "tests/test_some.py::test_bad | it is false | issue 7\n"
 WORSE = "tests/test_some.py::test_worse[2] | two is not one | issue 7\n"
 
@@ -34,8 +34,14 @@
     shutil.copy(Path(__file__).parent / "conftest.py", folder / "tests")
     if known is not None:
         (folder / "KNOWN-RED.txt").write_text(known)
-    done = subprocess.run([sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *args], cwd=folder, check=False,
-                          capture_output=True, text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *args],
+        cwd=folder,
+        check=False,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -55,17 +61,20 @@
     assert code == 1 and "1 failed, 2 passed, 1 xfailed" in said
 
 
-@pytest.mark.parametrize(("known", "why"), [
-    ("tests/test_some.py::test_good | it is not | issue 7\n", None),  # it passes
-    ("tests/test_some.py::test_none | who knows | issue 7\n", "there is no test tests/test_some.py::test_none"),
-    ("tests/test_other.py::test_none | who knows | issue 7\n", "there is no test"),
-    ("tests/test_some.py::test_bad | | issue 7\n", "not 'test | cause | issue N'"),
-    ("tests/test_some.py::test_bad | it is false |\n", "not 'test | cause | issue N'"),
-    ("tests/test_some.py::test_bad | it is false | issue seven\n", "not 'test | cause | issue N'"),
-    ("tests/test_some.py::test_bad\n", "not 'test | cause | issue N'"),
-    (BAD + BAD, "twice"),
-    ("".join(f"tests/test_some.py::test_{n} | cause | issue 7\n" for n in range(4)), "4 tests, 3 at most"),
-])
+@pytest.mark.parametrize(
+    ("known", "why"),
+    [
+        ("tests/test_some.py::test_good | it is not | issue 7\n", None),  # it passes
+        ("tests/test_some.py::test_none | who knows | issue 7\n", "there is no test tests/test_some.py::test_none"),
+        ("tests/test_other.py::test_none | who knows | issue 7\n", "there is no test"),
+        ("tests/test_some.py::test_bad | | issue 7\n", "not 'test | cause | issue N'"),
+        ("tests/test_some.py::test_bad | it is false |\n", "not 'test | cause | issue N'"),
+        ("tests/test_some.py::test_bad | it is false | issue seven\n", "not 'test | cause | issue N'"),
+        ("tests/test_some.py::test_bad\n", "not 'test | cause | issue N'"),
+        (BAD + BAD, "twice"),
+        ("".join(f"tests/test_some.py::test_{n} | cause | issue 7\n" for n in range(4)), "4 tests, 3 at most"),
+    ],
+)
 def test_a_file_that_hides_more_than_it_says_fails_the_run(tmp_path: Path, known: str, why: str | None) -> None:
     code, said = run(tmp_path, known + (WORSE + BAD if why is None else ""))
     assert code != 0 and (why or "XPASS(strict)") in said
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -80,7 +80,8 @@
 
 @given(st.lists(st.tuples(st.floats(0.0, 500.0), st.floats(0.5, 9.0)), max_size=80), st.floats(0.0, 0.01))
 def test_a_cold_budget_is_never_overspent_by_more_than_one_request(
-        asked: list[tuple[float, float]], rate: float) -> None:
+    asked: list[tuple[float, float]], rate: float
+) -> None:
     budget, now, spent, window = SlowStartBudget(0.5), 1000.0, 0.0, 2000.0
     began, dearest = now, 0.0
     for pause, cost in asked:
@@ -102,7 +103,7 @@
 def test_speeds_wait_for_enough_answers_and_move_in_steps() -> None:
     speeds = Speeds()
     changes = [speeds.observe(n % 2, 50.0 if n % 2 else 80.0) for n in range(4 * ENOUGH)]
-    assert not any(changes[:2 * ENOUGH - 1]) and sum(changes) == 1
+    assert not any(changes[: 2 * ENOUGH - 1]) and sum(changes) == 1
     assert speeds.of(1) == 1.0 and 0.6 < speeds.of(0) < 0.65 and speeds.of(7) == 1.0
     assert not Speeds().observe(0, 0.0)  # an answer that took no time by a coarse clock
 
@@ -110,7 +111,8 @@
 @settings(max_examples=200, derandomize=True)
 @given(st.integers(64, 4096), st.floats(32.0, 512.0), st.floats(14.0, 26.0), st.booleans())
 def test_what_is_shared_out_stays_within_the_limits_also_by_two_processes(
-        sockets: int, memory: float, own: float, called: bool) -> None:
+    sockets: int, memory: float, own: float, called: bool
+) -> None:
     for part in (1.0, 0.5):
         budgets = split_budgets(sockets, memory, own, part, called)
         held = budgets.clients + budgets.servers + budgets.calls + OWN_SOCKETS
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -64,8 +64,7 @@
     def __init__(self, most: int = 4) -> None:
         self.place, self.desk, self.watcher = Place(), Desk(), Watcher()
         router = self.place.router
-        self.management = Management(
-            self.desk, self.watcher, self.place.clock, router.counters, router.deadlines, most)
+        self.management = Management(self.desk, self.watcher, self.place.clock, router.counters, router.deadlines, most)
 
     def call(self, said: bytes) -> Caller:
         caller = Caller()
@@ -80,6 +79,7 @@
 
 def ask(said: bytes, desk: Desk | None = None) -> tuple[int, Any]:
     """Make one call; return its status and what was told."""
+
     async def play() -> bytes:
         office = Office()
         office.management.desk = desk or office.desk
@@ -98,24 +98,27 @@
     return f"{method} {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode()
 
 
-@pytest.mark.parametrize(("said", "status"), [
-    (line("GET", "/api/ready"), 200),
-    (line("GET", "/api/telemetry"), 200),
-    (line("POST", "/api/exclude?member=s-1"), 200),
-    (line("POST", "/api/include?member=s%2D1"), 200),
-    (line("POST", "/api/exclude?member=s-2"), 404),
-    (line("POST", "/api/exclude"), 400),
-    (line("POST", "/api/exclude?member="), 400),
-    (line("POST", "/api/exclude?member=s-1&member=s-1"), 400),
-    (line("GET", "/api/exclude?member=s-1"), 405),
-    (line("POST", "/api/ready"), 405),
-    (line("GET", "/"), 404),
-    (b"what is this\r\n\r\n", 400),
-    (b"\x00\xff\r\n\r\n", 400),
-    (b"GET /" + b"a" * (2 * MAX_HEAD), 431),
-    (b"POST /api/include?member=s-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", 200),
-    (b"POST /api/include?member=s-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"a" * 65537, 413),
-])
+@pytest.mark.parametrize(
+    ("said", "status"),
+    [
+        (line("GET", "/api/ready"), 200),
+        (line("GET", "/api/telemetry"), 200),
+        (line("POST", "/api/exclude?member=s-1"), 200),
+        (line("POST", "/api/include?member=s%2D1"), 200),
+        (line("POST", "/api/exclude?member=s-2"), 404),
+        (line("POST", "/api/exclude"), 400),
+        (line("POST", "/api/exclude?member="), 400),
+        (line("POST", "/api/exclude?member=s-1&member=s-1"), 400),
+        (line("GET", "/api/exclude?member=s-1"), 405),
+        (line("POST", "/api/ready"), 405),
+        (line("GET", "/"), 404),
+        (b"what is this\r\n\r\n", 400),
+        (b"\x00\xff\r\n\r\n", 400),
+        (b"GET /" + b"a" * (2 * MAX_HEAD), 431),
+        (b"POST /api/include?member=s-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", 200),
+        (b"POST /api/include?member=s-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"a" * 65537, 413),
+    ],
+)
 def test_each_call_has_its_status(said: bytes, status: int) -> None:
     assert ask(said)[0] == status
 
@@ -143,10 +146,17 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(["ask", "refuse", "leave", "ok", "error", "full", "pass"]),
-                          st.integers(0, 2), st.integers(0, 5)), max_size=40))
-def test_what_was_taken_has_ended_or_is_in_flight_whatever_happens(
-        steps: list[tuple[str, int, int]]) -> None:
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["ask", "refuse", "leave", "ok", "error", "full", "pass"]),
+            st.integers(0, 2),
+            st.integers(0, 5),
+        ),
+        max_size=40,
+    )
+)
+def test_what_was_taken_has_ended_or_is_in_flight_whatever_happens(steps: list[tuple[str, int, int]]) -> None:
     place = Place()
     taken: list[Taken] = []
     results = {"ok": api.Result.OK, "error": api.Result.ERROR, "full": api.Result.FULL}
--- a/tests/test_members_process.py
+++ b/tests/test_members_process.py
@@ -53,7 +53,7 @@
     for me in (0, 1, 3, 5):
         assert {who for what, who in said[me] if what == "member-down"} == {2, 4}, said[me]
         for who in (2, 4):
-            assert ("member-up", who) in said[me][said[me].index(("member-down", who)):], said[me]
+            assert ("member-up", who) in said[me][said[me].index(("member-down", who)) :], said[me]
     # The one that stood still held nobody dead by itself when it went on, nor did the one that came anew: they may hear
     # from others who was.
     assert {who for me in (2, 4) for what, who in said[me] if what == "member-down"} <= {2, 4}, (said[2], said[4])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import functools
 from heapq import heappop, heappush
 from itertools import permutations, product
 from random import Random
@@ -33,8 +34,7 @@
             self.members.append(self.new(me))
 
     def new(self, me: int) -> Membership:
-        member = Membership(me, self.count, (KEY,), self.rng.randrange(1 << 30),
-                            lambda to, data, me=me: self.send(me, to, data))  # type: ignore[misc]
+        member = Membership(me, self.count, (KEY,), self.rng.randrange(1 << 30), functools.partial(self.send, me))
         member.start(self.now)
         return member
 
@@ -136,8 +136,9 @@
 def test_a_liar_is_refuted_and_moves_nothing_for_long() -> None:
     net = Net(10)
     net.play(5e3)
-    lie = Message(Kind.PING, 1, 7, news=tuple(
-        News(n, State.DEAD, net.members[n].known[n].incarnation + 5) for n in (2, 3)))
+    lie = Message(
+        Kind.PING, 1, 7, news=tuple(News(n, State.DEAD, net.members[n].known[n].incarnation + 5) for n in (2, 3))
+    )
     far = Message(Kind.PING, 1, 8, news=(News(4, State.DEAD, wire.MAX_INCARNATION),))
     for message in (lie, far):
         net.members[0].receive(net.now, 1, encode(message, KEY))
@@ -149,9 +150,15 @@
 def test_what_is_wrong_old_or_foreign_is_counted_and_changes_nothing() -> None:
     member = Net(3).members[0]
     good = encode(Message(Kind.PING, 1, 5, news=(News(2, State.SUSPECT, int(BEGIN / 1000)),)), KEY)
-    bad = {b"": "length", good[:-1]: "length", b"\x01" + good[1:]: "version", good[:-1] + b"\x00": "key",
-           encode(Message(Kind.PING, 1, 5), OTHER): "key", encode(Message(Kind.PING, 2, 5), KEY): "sender",
-           encode(Message(Kind.PING, 1, 5, news=(News(9, State.ALIVE, 0),)), KEY): "member"}
+    bad = {
+        b"": "length",
+        good[:-1]: "length",
+        b"\x01" + good[1:]: "version",
+        good[:-1] + b"\x00": "key",
+        encode(Message(Kind.PING, 1, 5), OTHER): "key",
+        encode(Message(Kind.PING, 2, 5), KEY): "sender",
+        encode(Message(Kind.PING, 1, 5, news=(News(9, State.ALIVE, 0),)), KEY): "member",
+    }
     for data in bad:
         member.receive(BEGIN, 1, data)
     assert sum(member.refused.values()) == len(bad) and set(member.refused) == set(bad.values())
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -32,10 +32,18 @@
 def answers(draw: st.DrawFn) -> bytes:
     load = draw(st.sampled_from(["", " Linflight=7,queue=2,x0=0.61"]))
     rid, value = draw(HEX), draw(st.binary(max_size=300))
-    return draw(st.sampled_from([
-        f"VA {len(value)} O{rid} h0 Z{load}\r\n".encode() + value + b"\r\n",
-        f"HD O{rid} c1234{load}\r\n".encode(), f"SERVER_ERROR busy{load}\r\n".encode(),
-        f"SERVER_ERROR failed{load}\r\n".encode(), b"MN\r\n", b"STAT queue 3\r\nEND\r\n"]))
+    return draw(
+        st.sampled_from(
+            [
+                f"VA {len(value)} O{rid} h0 Z{load}\r\n".encode() + value + b"\r\n",
+                f"HD O{rid} c1234{load}\r\n".encode(),
+                f"SERVER_ERROR busy{load}\r\n".encode(),
+                f"SERVER_ERROR failed{load}\r\n".encode(),
+                b"MN\r\n",
+                b"STAT queue 3\r\nEND\r\n",
+            ]
+        )
+    )
 
 
 def cut(feed: Callable[[bytes], Iterator[T]], data: bytes, places: list[int]) -> list[T]:
@@ -71,9 +79,14 @@
     assert len([a for a in found if a.kind != Kind.STAT]) == len(sent)
 
 
-GARBAGE = st.lists(st.one_of(
-    st.binary(max_size=200), commands(), answers(),
-    st.sampled_from([b"\r\n", b"ms k ", b"ms k 99999999 O1 Pd=1\r\n", b"VA 9", b"\n", b"mg " + b"k" * 3000])))
+GARBAGE = st.lists(
+    st.one_of(
+        st.binary(max_size=200),
+        commands(),
+        answers(),
+        st.sampled_from([b"\r\n", b"ms k ", b"ms k 99999999 O1 Pd=1\r\n", b"VA 9", b"\n", b"mg " + b"k" * 3000]),
+    )
+)
 
 
 @FIXED
@@ -97,12 +110,21 @@
     assert items or len(start) == 0
 
 
-@pytest.mark.parametrize(("line", "lost"), [
-    (b"get k\r\n", False), (b"mg k v O1\r\n", False), (b"mg k v O1 Pc=read\r\n", False),
-    (b"mg k v O1 O2 Pc=read,d=5\r\n", False), (b"mg k v O1 Pd=-5\r\n", False), (b"mg  v\r\n", False),
-    (b"ms k x O1 Pc=put,d=5\r\n", True), (b"ms k 4194305 O1 Pc=put,d=5\r\n", True),
-    (b"ms k 1 O1 Pc=put,d=5\r\nabc", True), (b"ms k 1 O1\r\na\r\n", False),
-])
+@pytest.mark.parametrize(
+    ("line", "lost"),
+    [
+        (b"get k\r\n", False),
+        (b"mg k v O1\r\n", False),
+        (b"mg k v O1 Pc=read\r\n", False),
+        (b"mg k v O1 O2 Pc=read,d=5\r\n", False),
+        (b"mg k v O1 Pd=-5\r\n", False),
+        (b"mg  v\r\n", False),
+        (b"ms k x O1 Pc=put,d=5\r\n", True),
+        (b"ms k 4194305 O1 Pc=put,d=5\r\n", True),
+        (b"ms k 1 O1 Pc=put,d=5\r\nabc", True),
+        (b"ms k 1 O1\r\na\r\n", False),
+    ],
+)
 def test_bad_commands(line: bytes, lost: bool) -> None:
     parser = meta.CommandParser()
     (item,) = parser.feed(line)
@@ -115,7 +137,7 @@
     parser, value = meta.CommandParser(), b"mn\r\n" * 2500
     (item,) = parser.feed(b"ms k 10000 O1 Pc=put,d=soon\r\n")
     assert isinstance(item, Bad) and not item.framing_lost
-    assert [i for n in range(0, 10000, 900) for i in parser.feed(value[n:n + 900])] == []
+    assert [i for n in range(0, 10000, 900) for i in parser.feed(value[n : n + 900])] == []
     assert parser.is_midway() and parser._lines.unread() == 0
     assert list(parser.feed(b"\r\nmn\r\n")) == [Ask.READY] and not parser.is_midway()
 
@@ -168,10 +190,24 @@
     assert not any(p.last for p in found if isinstance(p, meta.Part)) and list(parser.feed(b"mn\r\n")) == []
 
 
-@pytest.mark.parametrize("line", [
-    b"VA x O1\r\n", b"VA 5\r\n", b"HD O1\r\n", b"HD c1\r\n", b"VA 4194305 O1\r\n", b"\xff\xfe\r\n",
-    b"VALUE k 0 1\r\n", b"SERVER_ERROR busy x\r\n", b"SERVER_ERROR busy 5 5\r\n", b"SERVER_ERROR busyO1\r\n",
-    b"SERVER_ERROR what\r\n", b"HD O1 c\xff\r\n", b"VA 3000000000 O1\r\n"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"VA x O1\r\n",
+        b"VA 5\r\n",
+        b"HD O1\r\n",
+        b"HD c1\r\n",
+        b"VA 4194305 O1\r\n",
+        b"\xff\xfe\r\n",
+        b"VALUE k 0 1\r\n",
+        b"SERVER_ERROR busy x\r\n",
+        b"SERVER_ERROR busy 5 5\r\n",
+        b"SERVER_ERROR busyO1\r\n",
+        b"SERVER_ERROR what\r\n",
+        b"HD O1 c\xff\r\n",
+        b"VA 3000000000 O1\r\n",
+    ],
+)
 def test_bad_answers(line: bytes) -> None:
     found: list[Any] = list(meta.AnswerParser().feed(line))
     assert [a.kind for a in found] == [Kind.OTHER]
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -17,12 +17,34 @@
 ROOT = Path(__file__).parents[1]
 FILES = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 PARTS = {name: (ROOT / name).read_text() for name in FILES}
-LIMITS = {"concurrency", "feedback", "hedging", "origin_limit", "origin_throttle", "outliers", "reserve",
-          "service_time", "shedding", "slow_start", "speed"}
+LIMITS = {
+    "concurrency",
+    "feedback",
+    "hedging",
+    "origin_limit",
+    "origin_throttle",
+    "outliers",
+    "reserve",
+    "service_time",
+    "shedding",
+    "slow_start",
+    "speed",
+}
 BALANCE = {"key", "load", "popularity", "rendezvous"}
-ALLOWED = {"__future__", "math", "random", "collections", "heapq", "typing", "interface", "failover.zones",
-           "state.fleet", "state.records", *(f"balance.{name}" for name in BALANCE),
-           *(f"limits.{name}" for name in LIMITS)}
+ALLOWED = {
+    "__future__",
+    "math",
+    "random",
+    "collections",
+    "heapq",
+    "typing",
+    "interface",
+    "failover.zones",
+    "state.fleet",
+    "state.records",
+    *(f"balance.{name}" for name in BALANCE),
+    *(f"limits.{name}" for name in LIMITS),
+}
 
 
 def test_the_module_fits_the_on_call_folder() -> None:
@@ -49,15 +71,18 @@
             assert not isinstance(node.value, ast.Dict | ast.List | ast.Set | ast.ListComp)
 
 
-@pytest.mark.parametrize(("change", "name"), [
-    ({"classes": ()}, "classes"),
-    ({"classes": (CLASSES[0]._replace(aim=0.0),)}, "classes.read"),
-    ({"classes": (CLASSES[0]._replace(group="rack"),)}, "group"),
-    ({"mode": "beside"}, "mode"),
-    ({"max_attempts": 0}, "max_attempts"),
-    ({"balancers": 0}, "balancers"),
-    ({"cold_from": 0.0}, "cold_from"),
-])
+@pytest.mark.parametrize(
+    ("change", "name"),
+    [
+        ({"classes": ()}, "classes"),
+        ({"classes": (CLASSES[0]._replace(aim=0.0),)}, "classes.read"),
+        ({"classes": (CLASSES[0]._replace(group="rack"),)}, "group"),
+        ({"mode": "beside"}, "mode"),
+        ({"max_attempts": 0}, "max_attempts"),
+        ({"balancers": 0}, "balancers"),
+        ({"cold_from": 0.0}, "cold_from"),
+    ],
+)
 def test_a_bad_setting_is_named(change: dict[str, object], name: str) -> None:
     values = {**ASIDE._asdict(), **change}
     with pytest.raises(ValueError, match=re.escape(name)):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -151,9 +151,18 @@
     assert {p.name for p in tmp_path.iterdir()} == {NAME, f"{NAME}.lock"}
 
 
-@pytest.mark.parametrize("text", [
-    "", "{", '{"version":1}', '{"version":2,"excluded":[]}', '{"version":1,"excluded":[3]}', "\x00\xff",
-    '{"version":1,"excluded":[],"more":1}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        '{"version":1}',
+        '{"version":2,"excluded":[]}',
+        '{"version":1,"excluded":[3]}',
+        "\x00\xff",
+        '{"version":1,"excluded":[],"more":1}',
+    ],
+)
 def test_a_file_that_is_torn_or_not_ours_changes_nothing(text: str, tmp_path: Path) -> None:
     party = Party(tmp_path)
     party.maintenance.change("a", True)
@@ -198,7 +207,8 @@
 
 
 FEWER = THROUGH._replace(
-    classes=(THROUGH.classes[2], THROUGH.classes[0]._replace(name="read-2", effect=api.Effect.UNSAFE)), max_attempts=1)
+    classes=(THROUGH.classes[2], THROUGH.classes[0]._replace(name="read-2", effect=api.Effect.UNSAFE)), max_attempts=1
+)
 
 
 def test_requests_under_way_keep_their_class_and_what_comes_after_has_the_new_one() -> None:
@@ -251,11 +261,17 @@
 
 
 GOOD: dict[str, Any] = {
-    "name": "r", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "5",
+    "name": "r",
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "5",
     "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
     "settings": {
         "grades": [{"name": n, "effect": "once", "promiseMs": 80.0, "hardLimitMs": 400.0} for n in ("a", "b")],
-        "permissions": {"tryLimit": 4}, "rules": {"drainGraceMs": 400.0}}}
+        "permissions": {"tryLimit": 4},
+        "rules": {"drainGraceMs": 400.0},
+    },
+}
 
 
 def changed(*path: Any, to: Any = None) -> str:
@@ -271,17 +287,34 @@
     return json.dumps(raw)
 
 
-@pytest.mark.parametrize("text", [
-    "", "{", json.dumps(GOOD)[:-40], "null", "[]", "5",
-    changed("settings"), changed("limits"), changed("limits", "cores"), changed("settings", "permissions", "tryLimit"),
-    changed("settings", "rules"), changed("settings", "grades", 1, "promiseMs"), changed("settings", "grades", to=[]),
-    changed("settings", "grades", 1, "hardLimitMs", to=-5), changed("settings", "grades", 1, "hardLimitMs", to=0),
-    changed("settings", "grades", 1, "hardLimitMs", to="400"), changed("settings", "grades", 1, "name", to="a"),
-    changed("settings", "grades", 1, "effect", to="twice"), changed("settings", "permissions", "tryLimit", to=0),
-    changed("settings", "permissions", "tryLimit", to=True), changed("discovery", to="nowhere"),
-    changed("settings", "grades", 1, "hardLimitMs", to=float("nan")),
-    changed("settings", "grades", 1, "hardLimitMs", to=1).replace('Ms": 1}', 'Ms": 1e999}'),
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        json.dumps(GOOD)[:-40],
+        "null",
+        "[]",
+        "5",
+        changed("settings"),
+        changed("limits"),
+        changed("limits", "cores"),
+        changed("settings", "permissions", "tryLimit"),
+        changed("settings", "rules"),
+        changed("settings", "grades", 1, "promiseMs"),
+        changed("settings", "grades", to=[]),
+        changed("settings", "grades", 1, "hardLimitMs", to=-5),
+        changed("settings", "grades", 1, "hardLimitMs", to=0),
+        changed("settings", "grades", 1, "hardLimitMs", to="400"),
+        changed("settings", "grades", 1, "name", to="a"),
+        changed("settings", "grades", 1, "effect", to="twice"),
+        changed("settings", "permissions", "tryLimit", to=0),
+        changed("settings", "permissions", "tryLimit", to=True),
+        changed("discovery", to="nowhere"),
+        changed("settings", "grades", 1, "hardLimitMs", to=float("nan")),
+        changed("settings", "grades", 1, "hardLimitMs", to=1).replace('Ms": 1}', 'Ms": 1e999}'),
+    ],
+)
 def test_a_file_that_is_no_good_is_turned_down_whole(text: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
--- a/tests/test_origin_limit.py
+++ b/tests/test_origin_limit.py
@@ -85,10 +85,13 @@
     assert limit.limit == 1.0 and limit.allows(0) and not limit.allows(1) and math.isfinite(limit.limit)
 
 
-@pytest.mark.parametrize(("result", "elapsed", "usual"), [
-    (Result.ERROR, 20.0, 80.0), (Result.TIMEOUT, 900.0, math.inf), (Result.CONNECT_FAILED, 250.0, 80.0)])
+@pytest.mark.parametrize(
+    ("result", "elapsed", "usual"),
+    [(Result.ERROR, 20.0, 80.0), (Result.TIMEOUT, 900.0, math.inf), (Result.CONNECT_FAILED, 250.0, 80.0)],
+)
 def test_servers_that_fail_at_once_or_say_nothing_tell_nothing_of_the_origin(
-        result: Result, elapsed: float, usual: float) -> None:
+    result: Result, elapsed: float, usual: float
+) -> None:
     """Three bad servers of sixty, then a lost zone, made forty routers refuse three quarters of what was asked."""
     fetches, server = OriginLimit(), Concurrency()
     for _ in range(100):
@@ -116,7 +119,7 @@
     world = World(THROUGH, members(1))
     for _ in range(6):
         world.finish(only_send(world.ask(7)), 30.0)  # key 7 is cached now
-    server, = world.balancer.fleet.servers.values()
+    (server,) = world.balancer.fleet.servers.values()
     server.limit.limit, world.balancer.affinity.prior = 8.5, [0.0, 0.0]  # what is not counted is a fetch
     for key in range(100, 105):
         assert sends(world.ask(key))  # room for all: fetches go as well
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -30,8 +30,16 @@
 
 
 @settings(max_examples=80, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from(["put", "take", "end", "break", "abandon"]),
-                          st.integers(1, 3 * WINDOW // 2)), max_size=60))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 2),
+            st.sampled_from(["put", "take", "end", "break", "abandon"]),
+            st.integers(1, 3 * WINDOW // 2),
+        ),
+        max_size=60,
+    )
+)
 def test_a_pipe_gives_what_was_put_and_gives_back_all_of_the_budget(steps: list[tuple[int, str, int]]) -> None:
     budget = ByteBudget(WINDOW)
     pipes = [Pipe(budget) for _ in range(3)]
@@ -265,6 +273,7 @@
 
 def test_a_write_that_does_not_end_as_it_said_or_never_ends_has_not_been_asked() -> None:
     for how in ("bad end", "stuck", "left"):
+
         async def script(now: Talk, how: str = how) -> None:
             now.front.budget.most = 1 << 20
             now.reader.feed_data(PUT + VALUE[:-7])
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -35,13 +35,13 @@
 
 def test_a_refused_client_is_told_when_to_come_back() -> None:
     world = World(ASIDE._replace(max_retry_after=2000.0), ())
-    told = [refusal.retry_after for _ in range(20) for refusal in answers(world.ask()) if
-            isinstance(refusal, Refuse)]
+    told = [refusal.retry_after for _ in range(20) for refusal in answers(world.ask()) if isinstance(refusal, Refuse)]
     assert len(told) == 20 and all(1.0 <= ms <= 2000.0 for ms in told) and len(set(told)) > 10
 
 
 def test_what_our_own_core_is_too_small_for_is_refused_worth_least_first_and_only_then() -> None:
     """Guards against a day on which all wait for us and none is in time."""
+
     def refused(world: World, waited: float, cls: int = READ) -> int:
         count = 0
         for key in range(400):
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -14,8 +14,16 @@
 
 from .test_router import Place
 
-LINE = {"name": "s-1", "address": "127.0.0.1:11211", "zone": "b", "type": "m2", "group": 3,
-        "status": "in_service", "weight": 1.5, "since_ms": 17}
+LINE = {
+    "name": "s-1",
+    "address": "127.0.0.1:11211",
+    "zone": "b",
+    "type": "m2",
+    "group": 3,
+    "status": "in_service",
+    "weight": 1.5,
+    "since_ms": 17,
+}
 
 
 def test_a_list_is_read_and_unknown_places_lie_behind_the_known() -> None:
@@ -29,8 +37,15 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
-@given(st.recursive(st.none() | st.integers() | st.text(max_size=5) | st.floats(), lambda inner: st.lists(
-    inner, max_size=3) | st.dictionaries(st.sampled_from([*LINE, "endpoints", "index", "snapshot"]), inner)))
+@given(
+    st.recursive(
+        st.none() | st.integers() | st.text(max_size=5) | st.floats(),
+        lambda inner: (
+            st.lists(inner, max_size=3)
+            | st.dictionaries(st.sampled_from([*LINE, "endpoints", "index", "snapshot"]), inner)
+        ),
+    )
+)
 def test_any_json_is_a_list_or_a_list_error(raw: object) -> None:
     for text in (raw, {"index": 1, "snapshot": True, "endpoints": [raw, {**LINE, "zone": raw}]}):
         with contextlib.suppress(ListError):
@@ -48,6 +63,7 @@
 
 def test_discovery_that_moves_is_asked_anew_and_its_old_watch_is_no_failure() -> None:
     """Guards a reload: what is told at the new address counts as told soon after the signal."""
+
     async def play() -> None:
         place, spoken = Place(), []
         registry = RegistryActor(place.router, ListReader((), ()), ("127.0.0.1", 1), Watcher())
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -15,7 +15,18 @@
 from starlingthread.core.counters import Counters
 from starlingthread.core.deadlines import Deadline, Deadlines
 from starlingthread.core.router import (
-    Answer, Asked, Attempt, Ended, Failed, Gone, Listed, Message, Refused, Router, Served, Taken,
+    Answer,
+    Asked,
+    Attempt,
+    Ended,
+    Failed,
+    Gone,
+    Listed,
+    Message,
+    Refused,
+    Router,
+    Served,
+    Taken,
 )
 
 from .world import KEYED, READ, THROUGH, UNSAFE, members
@@ -142,9 +153,13 @@
     assert place.answers == [(request, Failed())]
 
 
-STEPS = st.lists(st.tuples(
-    st.sampled_from(["ask", "end", "gone", "time"]), st.integers(0, 9),
-    st.sampled_from(list(api.Result)[:7])), min_size=20, max_size=120)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["ask", "end", "gone", "time"]), st.integers(0, 9), st.sampled_from(list(api.Result)[:7])
+    ),
+    min_size=20,
+    max_size=120,
+)
 
 
 @settings(derandomize=True, deadline=None, max_examples=80)
@@ -223,8 +238,7 @@
         assert loop.set == [place.clock.on_loop(at) for at in (5.0, 3.0, 4.0)]
 
 
-def test_what_lay_here_is_told_to_the_module_only_while_our_core_is_full(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_what_lay_here_is_told_to_the_module_only_while_our_core_is_full(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against refusing half of all because connections came in bursts, on a core with room."""
     place, told, used = Place(), list[float](), 0.0
     monkeypatch.setattr(time, "process_time", lambda: used)
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -15,17 +15,21 @@
 
 
 def a_router(folder: Path, code: str) -> RouterProcess:
-    scenario = parse(f"""
+    scenario = parse(
+        f"""
 name = "starts"
 length_s = 2.0
 [routers]
 command = [{sys.executable!r}, "-c", {code!r}]
-""", "starts.toml")
+""",
+        "starts.toml",
+    )
     return RouterProcess(0, scenario, folder, Ledger())
 
 
 def test_a_router_that_is_killed_and_started_anew_is_no_crash(tmp_path: Path) -> None:
     """On a busy machine the old process was seen as crashed while the new one was being made."""
+
     async def play() -> None:
         router = a_router(tmp_path, "import time; time.sleep(60)")
         await router.start(1, [], ("127.0.0.1", 2), {})
@@ -44,8 +48,10 @@
 
 
 def test_a_router_that_has_ended_before_it_is_looked_at_raises_nothing(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Two of three starts of 200 routers ended in a traceback."""
+
     async def play() -> None:
         router = a_router(tmp_path, "pass")
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,12 +9,35 @@
 from hypothesis import strategies as st
 
 from starlingthread.interface import (
-    Fail, FirstByte, ListKind, Member, MemberList, Outcome, Refuse, Result, Send, ServerState, SetTimer,
-    Settings, Watch, Withdrawn,
+    Fail,
+    FirstByte,
+    ListKind,
+    Member,
+    MemberList,
+    Outcome,
+    Refuse,
+    Result,
+    Send,
+    ServerState,
+    SetTimer,
+    Settings,
+    Watch,
+    Withdrawn,
 )
 
 from .world import (
-    ASIDE, CLASSES, KEYED, ORIGIN, READ, THROUGH, UNSAFE, World, answers, members, only_send, sends,
+    ASIDE,
+    CLASSES,
+    KEYED,
+    ORIGIN,
+    READ,
+    THROUGH,
+    UNSAFE,
+    World,
+    answers,
+    members,
+    only_send,
+    sends,
 )
 
 
@@ -202,8 +225,12 @@
             over = world.checker.seen[rid].over or result == Result.OK
             take([*world.do(Outcome(rid, number, send.server, result, world.now - at, over))])
         elif dice < 0.8:
-            line = Member(rng.randrange(1, 7), zone=rng.randrange(2), state=rng.choice(list(ServerState)),
-                          started=rng.choice((0.0, world.now)))
+            line = Member(
+                rng.randrange(1, 7),
+                zone=rng.randrange(2),
+                state=rng.choice(list(ServerState)),
+                started=rng.choice((0.0, world.now)),
+            )
             take([*world.do(MemberList(ListKind.DELTA, 2, (line,)))])
         elif dice < 0.83 and world.checker.seen:
             take([*world.do(Withdrawn(rng.choice(list(world.checker.seen))))])
@@ -217,8 +244,12 @@
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
-@given(seed=st.integers(0, 2**32), aside=st.booleans(), group=st.sampled_from(("all", "zone", "cell")),
-       copies=st.booleans())
+@given(
+    seed=st.integers(0, 2**32),
+    aside=st.booleans(),
+    group=st.sampled_from(("all", "zone", "cell")),
+    copies=st.booleans(),
+)
 def test_random_streams_keep_the_rules(seed: int, aside: bool, group: str, copies: bool) -> None:
     base = ASIDE if aside else THROUGH
     classes = (CLASSES[0], CLASSES[1]._replace(group=group), CLASSES[2])
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -19,8 +19,11 @@
     assert len(lines) == stream.STEPS
     for number, line in enumerate(lines):
         now, event, expected = json.loads(line)
-        actions = (balancer.start(now) if event is None
-                   else balancer.handle(now, stream.event_of(event, stream.SETTINGS[name])))
+        actions = (
+            balancer.start(now)
+            if event is None
+            else balancer.handle(now, stream.event_of(event, stream.SETTINGS[name]))
+        )
         assert json.loads(json.dumps(stream.written(actions))) == expected, (number, event)
 
 
@@ -31,8 +34,23 @@
             for line in stream.path_of(name, seed).read_text(encoding="utf-8").splitlines():
                 _, event, actions = json.loads(line)
                 kinds |= {part[0] for part in (*actions, *([event] if event else []))}
-    assert kinds == {"Request", "Outcome", "MemberList", "Maintenance", "Timer", "Withdrawn", "Retuned", "FirstByte",
-                     "ProbeResult", "Send", "Refuse", "Fail", "Cancel", "SetTimer", "Watch"}
+    assert kinds == {
+        "Request",
+        "Outcome",
+        "MemberList",
+        "Maintenance",
+        "Timer",
+        "Withdrawn",
+        "Retuned",
+        "FirstByte",
+        "ProbeResult",
+        "Send",
+        "Refuse",
+        "Fail",
+        "Cancel",
+        "SetTimer",
+        "Watch",
+    }
 
 
 def test_a_drawn_stream_is_the_same_each_time() -> None:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -136,10 +136,12 @@
     good = scenario.parse('name = "x"\n[routers]\nlink_groups = 6\n[routers.options.log]\nlevel = "error"\n', "f")
     assert good.routers.options == {"log": {"level": "error"}} and scenario.link_groups(good) == 6
     for text, wanted in (
-            ("[routers.options.log]\nlevel = 7\n", "log.level"), ("[routers]\nlink_groups = 4\n", "multiple of the 3"),
-            ('[[faults]]\nkind = "link-cut"\nstart_s = 1.0\nfrom_zone = "q"\n', "from_zone"),
-            ('[[faults]]\nkind = "link-cut"\nstart_s = 1.0\ngroups = [3]\n', "numbers from 0 to 2"),
-            ('[fleet]\nregions = ["n"]\n', "the region of each")):
+        ("[routers.options.log]\nlevel = 7\n", "log.level"),
+        ("[routers]\nlink_groups = 4\n", "multiple of the 3"),
+        ('[[faults]]\nkind = "link-cut"\nstart_s = 1.0\nfrom_zone = "q"\n', "from_zone"),
+        ('[[faults]]\nkind = "link-cut"\nstart_s = 1.0\ngroups = [3]\n', "numbers from 0 to 2"),
+        ('[fleet]\nregions = ["n"]\n', "the region of each"),
+    ):
         with pytest.raises(scenario.ScenarioError, match=wanted):
             scenario.parse('name = "x"\n' + text, "f")
     apart = scenario.parse('name = "x"\n[fleet]\nregions = ["n", "n", "s"]\nzone_ms = 1.0\nregion_ms = 9.0\n', "f")
@@ -152,7 +154,8 @@
 def played(rates: list[float], length: float = 32.0, wave: float = 0.0, herd: int = 1) -> evenness.Evenness:
     """Measure a run in which servers of one speed got so many requests a second."""
     spec = msgspec.structs.replace(
-        BASE, length_s=length, fleet=scenario.Fleet(servers=len(rates), speed_spread=0.0), traffic=scenario.Traffic())
+        BASE, length_s=length, fleet=scenario.Fleet(servers=len(rates), speed_spread=0.0), traffic=scenario.Traffic()
+    )
     ledger, rng = Ledger(started_at=1000.0), np.random.default_rng(5)
     for server, rate in enumerate(rates):
         for at in np.cumsum(rng.exponential(1000.0 * herd / rate, int(rate * length / herd * 1.2))):
@@ -187,13 +190,17 @@
 
 
 def test_a_server_out_of_service_is_neither_idle_nor_counted_and_speeds_weigh() -> None:
-    spec = msgspec.structs.replace(BASE, length_s=32.0,
-                                  fleet=scenario.Fleet(servers=4, speed_spread=0.5, cold_ms=1000.0))
+    spec = msgspec.structs.replace(
+        BASE, length_s=32.0, fleet=scenario.Fleet(servers=4, speed_spread=0.5, cold_ms=1000.0)
+    )
     speeds, ledger, rng = traffic.server_speeds(spec), Ledger(), np.random.default_rng(2)
     for server, speed in enumerate(speeds):
         count = int(3000 * speed)
-        ledger.deliveries += [Delivery("x", server, at, at) for at in rng.uniform(0, 32000.0, count)
-                              if server != 1 or not 8000.0 < at < 20000.0]
+        ledger.deliveries += [
+            Delivery("x", server, at, at)
+            for at in rng.uniform(0, 32000.0, count)
+            if server != 1 or not 8000.0 < at < 20000.0
+        ]
     for away, back in (("draining", "cold"), ("gone", "cold"), ("gone", "up")):
         ledger.servers = [ServerEvent(1, away, 8000.0), ServerEvent(1, back, 19000.0 if back == "cold" else 20000.0)]
         found = evenness.measure(spec, ledger)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -32,6 +32,7 @@
 
     async def start(self) -> None:
         for name, port in self.ports.items():
+
             def serve(r: asyncio.StreamReader, w: asyncio.StreamWriter, name: str = name) -> Any:
                 return self._cache(name, r, w)
 
@@ -49,8 +50,19 @@
         writer.close()
 
     def endpoints(self) -> list[dict[str, Any]]:
-        return [{"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "type": "k", "group": 0,
-                 "status": "in_service", "weight": 1.0, "since_ms": 0} for name, port in self.ports.items()]
+        return [
+            {
+                "name": name,
+                "address": f"127.0.0.1:{port}",
+                "zone": "a",
+                "type": "k",
+                "group": 0,
+                "status": "in_service",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+            for name, port in self.ports.items()
+        ]
 
     async def _discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -61,16 +73,29 @@
             await asyncio.sleep(1.0)
 
     def config(self, path: Path, listen: int, calls: int) -> None:
-        path.write_text(json.dumps({
-            "name": "r", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{self.discovery}", "seed": "5",
-            "management": f"127.0.0.1:{calls}",
-            "limits": {"cores": 1.0, "memory_mb": MEMORY, "sockets": SOCKETS},
-            "known": {"index": 1, "snapshot": True, "endpoints": self.endpoints()},
-            "settings": {
-                "discovery": "subscribe", "zones": ["a"], "kinds": ["k"],
-                "grades": [{"name": "read", "effect": "repeatable", "promiseMs": 4000.0, "hardLimitMs": 9000.0}],
-                "permissions": {"tryLimit": 3, "cancel": True, "connectTimeoutMs": 500.0},
-                "rules": {"drainGraceMs": 1000.0 * GRACE}}}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "r",
+                    "listen": f"127.0.0.1:{listen}",
+                    "discovery": f"127.0.0.1:{self.discovery}",
+                    "seed": "5",
+                    "management": f"127.0.0.1:{calls}",
+                    "limits": {"cores": 1.0, "memory_mb": MEMORY, "sockets": SOCKETS},
+                    "known": {"index": 1, "snapshot": True, "endpoints": self.endpoints()},
+                    "settings": {
+                        "discovery": "subscribe",
+                        "zones": ["a"],
+                        "kinds": ["k"],
+                        "grades": [
+                            {"name": "read", "effect": "repeatable", "promiseMs": 4000.0, "hardLimitMs": 9000.0}
+                        ],
+                        "permissions": {"tryLimit": 3, "cancel": True, "connectTimeoutMs": 500.0},
+                        "rules": {"drainGraceMs": 1000.0 * GRACE},
+                    },
+                }
+            )
+        )
 
 
 async def call(port: int, method: str, target: str) -> int:
@@ -156,8 +181,12 @@
             site.config(path, listen, calls[number])
             with (tmp_path / f"log-{number}").open("wb") as log:
                 return await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "starlingthread", stderr=log,
-                    env={**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(shared)})
+                    sys.executable,
+                    "-m",
+                    "starlingthread",
+                    stderr=log,
+                    env={**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(shared)},
+                )
 
         old = await start(0)
         await is_ready(calls[0])
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -23,11 +23,16 @@
     assert held.actor.pool.idle == [held.connection] and not held.actor.pool.busy
 
 
-@pytest.mark.parametrize(("line", "result", "kept"), [
-    (b"SERVER_ERROR busy\r\n", api.Result.FULL, True), (b"SERVER_ERROR failed\r\n", api.Result.ERROR, True),
-    (b"HD O1 c5\r\n", api.Result.RESET, False), (b"VA 1 O2\r\nx\r\n", api.Result.RESET, False),
-    (b"what\r\n", api.Result.RESET, False),
-])
+@pytest.mark.parametrize(
+    ("line", "result", "kept"),
+    [
+        (b"SERVER_ERROR busy\r\n", api.Result.FULL, True),
+        (b"SERVER_ERROR failed\r\n", api.Result.ERROR, True),
+        (b"HD O1 c5\r\n", api.Result.RESET, False),
+        (b"VA 1 O2\r\nx\r\n", api.Result.RESET, False),
+        (b"what\r\n", api.Result.RESET, False),
+    ],
+)
 def test_other_answers(line: bytes, result: api.Result, kept: bool) -> None:
     held, job = (h := Held()), h.attempt()
     held.take(messages.Start(job))
@@ -101,6 +106,7 @@
 
 def test_connections_are_not_used_after_an_idle_time_at_which_they_break() -> None:
     """Guards against what drops idle connections early and silently: the next request on them is lost."""
+
     def fresh() -> Held:
         held = Held()
         held.fleet.risk = risk
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -20,7 +20,10 @@
 
 GRADES = [{"effect": "repeatable", "hardLimitMs": 1000.0, "promiseMs": 500.0, "name": "r"}]
 SETTINGS: dict[str, Any] = {
-    "grades": GRADES, "permissions": {"tryLimit": 3}, "rules": {"drainGraceMs": 500.0}, "news": [1],
+    "grades": GRADES,
+    "permissions": {"tryLimit": 3},
+    "rules": {"drainGraceMs": 500.0},
+    "news": [1],
 }
 EMPTY = frame("10000000 00000000 00000000206ec040 01000000")
 
@@ -32,8 +35,9 @@
 
 
 def run(data: bytes) -> tuple[int, bytes, str]:
-    done = subprocess.run([sys.executable, "-m", "starlingthread.simhost"], input=data, capture_output=True,
-                          timeout=30, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "starlingthread.simhost"], input=data, capture_output=True, timeout=30, check=False
+    )
     return done.returncode, done.stdout, done.stderr.decode()
 
 
@@ -51,8 +55,7 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.heard.append(event)
         if isinstance(event, api.Request):
-            return [api.Send(event.id, 0x03124A07, 80.0), api.SetTimer(8912.25, 77),
-                    api.Log("two servers known")]
+            return [api.Send(event.id, 0x03124A07, 80.0), api.SetTimer(8912.25, 77), api.Log("two servers known")]
         return []
 
 
@@ -64,23 +67,30 @@
     return host, {n: b for n, b in host.instances.items() if isinstance(b, Scripted)}
 
 
-CALL = ("04 0300 c4913a5de37b0900 00 00000000 640ad2557c3bf091 0000000000006e40"
-        "0000000000002840 0000e144 01 000000")
+CALL = "04 0300 c4913a5de37b0900 00 00000000 640ad2557c3bf091 0000000000006e400000000000002840 0000e144 01 000000"
 
 
 def test_worked_events_and_actions() -> None:
     host, made = scripted(3, 5)
-    batch = frame("a0000000 03000000 00000000206ec040 0c000000" + CALL + "02 0300 4d00000000000000"
-                  + "00" * 37 + "07 0500 192b6f0e42550100" + "00" * 37)
+    batch = frame(
+        "a0000000 03000000 00000000206ec040 0c000000"
+        + CALL
+        + "02 0300 4d00000000000000"
+        + "00" * 37
+        + "07 0500 192b6f0e42550100"
+        + "00" * 37
+    )
     reply = host.answer(batch[4:])
     rid = int.from_bytes(frame("c4913a5de37b0900"), "little")
     key = int.from_bytes(frame("640ad2557c3bf091"), "little")
     assert made[3].heard == [api.Request(rid, 0, 240.0, key, 0, 12.0, 1800.0), api.Timer(77)]
     assert made[5].heard == [api.Withdrawn(int.from_bytes(frame("192b6f0e42550100"), "little"))]
-    assert reply == frame("61000000 03000000 0c000000"
-                          "01 0300 c4913a5de37b0900 074a1203 0000000000005440 00"
-                          "05 0300 000000002068c140 4d00000000000000 0000000000"
-                          "09 0300 00000000 11000000" + "00" * 13 + "74776f2073657276657273206b6e6f776e")
+    assert reply == frame(
+        "61000000 03000000 0c000000"
+        "01 0300 c4913a5de37b0900 074a1203 0000000000005440 00"
+        "05 0300 000000002068c140 4d00000000000000 0000000000"
+        "09 0300 00000000 11000000" + "00" * 13 + "74776f2073657276657273206b6e6f776e"
+    )
 
 
 def batch_of(record: bytes, tail: bytes = b"") -> bytes:
@@ -89,28 +99,46 @@
 
 def test_worked_list_and_outcome() -> None:
     host, made = scripted(3)
-    host.answer(batch_of(frame("03 0300 01 2900000000000000 00000000 02000000"), frame(
-        "074a1203 00 00 0000 01 0000803f 0000000000000000 f211902c 01 00 0000 01 0000c03f 0000000000d4b740")))
-    host.answer(batch_of(frame("09 0300 c4913a5de37b0900 0000 074a1203 0100 0000000000803240 01 00"
-                               "02 52b81e3f 0000e040 00000000 00000000 0000")))
+    host.answer(
+        batch_of(
+            frame("03 0300 01 2900000000000000 00000000 02000000"),
+            frame("074a1203 00 00 0000 01 0000803f 0000000000000000 f211902c 01 00 0000 01 0000c03f 0000000000d4b740"),
+        )
+    )
+    host.answer(
+        batch_of(
+            frame(
+                "09 0300 c4913a5de37b0900 0000 074a1203 0100 0000000000803240 01 00"
+                "02 52b81e3f 0000e040 00000000 00000000 0000"
+            )
+        )
+    )
     listed, outcome = made[3].heard
-    assert listed == api.MemberList(api.ListKind.CACHED, 41, (
-        api.Member(0x03124A07, 0, 0, 0, api.ServerState.READY, 1.0, 0.0),
-        api.Member(0x2C9011F2, 1, 0, 0, api.ServerState.READY, 1.5, 6100.0)))
+    assert listed == api.MemberList(
+        api.ListKind.CACHED,
+        41,
+        (
+            api.Member(0x03124A07, 0, 0, 0, api.ServerState.READY, 1.0, 0.0),
+            api.Member(0x2C9011F2, 1, 0, 0, api.ServerState.READY, 1.5, 6100.0),
+        ),
+    )
     assert isinstance(outcome, api.Outcome)
     assert (outcome.server, outcome.result, outcome.elapsed, outcome.ended) == (0x03124A07, 1, 18.5, True)
     assert outcome.report == pytest.approx((0.62, 7.0))
 
 
-@pytest.mark.parametrize(("action", "text"), [
-    (api.Refuse(5, 100.0), "02 0300 0500000000000000 0000000000005940"),
-    (api.Fail(5), "03 0300 0500000000000000"),
-    (api.Cancel(5, 1), "04 0300 0500000000000000 0100"),
-    (api.Probe(9), "06 0300 09000000"),
-    (api.CloseConnections(9), "07 0300 09000000"),
-    (api.Watch(True), "0b 0300 01"),
-    (api.FetchList(), "0c 0300"),
-])
+@pytest.mark.parametrize(
+    ("action", "text"),
+    [
+        (api.Refuse(5, 100.0), "02 0300 0500000000000000 0000000000005940"),
+        (api.Fail(5), "03 0300 0500000000000000"),
+        (api.Cancel(5, 1), "04 0300 0500000000000000 0100"),
+        (api.Probe(9), "06 0300 09000000"),
+        (api.CloseConnections(9), "07 0300 09000000"),
+        (api.Watch(True), "0b 0300 01"),
+        (api.FetchList(), "0c 0300"),
+    ],
+)
 def test_other_actions(action: api.Action, text: str) -> None:
     reply = simhost.Reply()
     reply.add(3, action)
@@ -126,21 +154,25 @@
 GOOD = json.dumps(SETTINGS).encode()
 
 
-@pytest.mark.parametrize(("data", "said"), [
-    (b"\x10", "ends inside a length field"),
-    (EMPTY[:-2], "ends inside a batch"),
-    (struct.pack("<I", 4) + b"abcd", "shorter than its header"),
-    (struct.pack("<IIdI", 16, 9, 0.0, 4), "9 records do not fit"),
-    (struct.pack("<IIdI", 64, 1, 0.0, 4) + b"\x02\x03".ljust(48, b"\0"), "never started"),
-    (start(GOOD) + struct.pack("<IIdI", 64, 1, 0.0, 4) + b"\x2a\x03".ljust(48, b"\0"),
-     "unknown event code 42"),
-    (start(GOOD)[:23] + start(GOOD)[23:].replace(struct.pack("<I", len(GOOD)), b"\xff\xff\0\0", 1),
-     "outside the tail"),
-    (start(b"{nope"), "not valid JSON"),
-    (start(b"[]"), "not a JSON object"),
-    (start(b'{"permissions": {}, "rules": {"drainGraceMs": 1}}'), "lack 'grades'"),
-    (start(GOOD.replace(b"1000.0", b"-1.0")), "aim and deadline"),
-])
+@pytest.mark.parametrize(
+    ("data", "said"),
+    [
+        (b"\x10", "ends inside a length field"),
+        (EMPTY[:-2], "ends inside a batch"),
+        (struct.pack("<I", 4) + b"abcd", "shorter than its header"),
+        (struct.pack("<IIdI", 16, 9, 0.0, 4), "9 records do not fit"),
+        (struct.pack("<IIdI", 64, 1, 0.0, 4) + b"\x02\x03".ljust(48, b"\0"), "never started"),
+        (start(GOOD) + struct.pack("<IIdI", 64, 1, 0.0, 4) + b"\x2a\x03".ljust(48, b"\0"), "unknown event code 42"),
+        (
+            start(GOOD)[:23] + start(GOOD)[23:].replace(struct.pack("<I", len(GOOD)), b"\xff\xff\0\0", 1),
+            "outside the tail",
+        ),
+        (start(b"{nope"), "not valid JSON"),
+        (start(b"[]"), "not a JSON object"),
+        (start(b'{"permissions": {}, "rules": {"drainGraceMs": 1}}'), "lack 'grades'"),
+        (start(GOOD.replace(b"1000.0", b"-1.0")), "aim and deadline"),
+    ],
+)
 def test_bad_input_ends_with_one_plain_line(data: bytes, said: str) -> None:
     code, _, text = run(data)
     assert code != 0
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -9,14 +9,36 @@
 
 from starlingthread import Balancer
 from starlingthread.interface import (
-    Action, Effect, ListKind, Member, MemberList, Note, Outcome, Refuse, Request, RequestClass, Result, Send,
-    Settings, SetTimer, Timer,
+    Action,
+    Effect,
+    ListKind,
+    Member,
+    MemberList,
+    Note,
+    Outcome,
+    Refuse,
+    Request,
+    RequestClass,
+    Result,
+    Send,
+    Settings,
+    SetTimer,
+    Timer,
 )
 
 READ = RequestClass("read", Effect.REPEATABLE, aim=1000.0, deadline=2000.0)
 SETTINGS = Settings(
-    classes=(READ,), balancers=3, max_attempts=5, second_copies=True, max_retry_after=800.0, drain_grace=2500.0,
-    cold_from=0.13, cold_time=23000.0, overload_factor=3.0, tip_after=1000.0)
+    classes=(READ,),
+    balancers=3,
+    max_attempts=5,
+    second_copies=True,
+    max_retry_after=800.0,
+    drain_grace=2500.0,
+    cold_from=0.13,
+    cold_time=23000.0,
+    overload_factor=3.0,
+    tip_after=1000.0,
+)
 HOP = 1.0  # ms to a server that turns a request away, and back
 
 
@@ -32,8 +54,11 @@
 
     def share(self, now: float) -> float:
         age = max(0.0, now - self.started)
-        return 1.0 if not self.started or age > SETTINGS.cold_time else (
-            SETTINGS.cold_from + (1 - SETTINGS.cold_from) * age / SETTINGS.cold_time)
+        return (
+            1.0
+            if not self.started or age > SETTINGS.cold_time
+            else (SETTINGS.cold_from + (1 - SETTINGS.cold_from) * age / SETTINGS.cold_time)
+        )
 
     def take(self, now: float, size: float) -> float | None:
         """Take a request in; return when it is answered, or None if it is turned away."""
@@ -102,8 +127,12 @@
         number, router = next(self.ids), self.rng.choice(self.routers)
         self.asked[number] = asked
         self.open.add(number)
-        self._carry_out(router, router.handle(self.now, Request(
-            number, 0, 1300.0, key=asked.key * 0x9E3779B97F4A7C15 % 2**64, cost=asked.size)))
+        self._carry_out(
+            router,
+            router.handle(
+                self.now, Request(number, 0, 1300.0, key=asked.key * 0x9E3779B97F4A7C15 % 2**64, cost=asked.size)
+            ),
+        )
 
     def _carry_out(self, router: Balancer, actions: list[Action]) -> None:
         for action in actions:
@@ -163,5 +192,12 @@
         ended = served or result == Result.TIMEOUT or send.id not in self.open
         if ended:
             self._over(send.id, "served" if served else "late")
-        self._carry_out(router, router.handle(self.now, Outcome(
-            send.id, attempt, send.server, result, self.now - sent_at, ended, Note.HIT if served else Note.NONE)))
+        self._carry_out(
+            router,
+            router.handle(
+                self.now,
+                Outcome(
+                    send.id, attempt, send.server, result, self.now - sent_at, ended, Note.HIT if served else Note.NONE
+                ),
+            ),
+        )
--- a/tests/world.py
+++ b/tests/world.py
@@ -4,8 +4,23 @@
 
 from starlingthread import Balancer
 from starlingthread.interface import (
-    Action, Effect, Event, Fail, ListKind, Member, MemberList, Note, Outcome, Refuse, Request, RequestClass, Result,
-    Send, SetTimer, Settings, Timer,
+    Action,
+    Effect,
+    Event,
+    Fail,
+    ListKind,
+    Member,
+    MemberList,
+    Note,
+    Outcome,
+    Refuse,
+    Request,
+    RequestClass,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    Timer,
 )
 
 from .checker import Checker
@@ -18,9 +33,18 @@
     RequestClass("unsafe", Effect.UNSAFE, aim=500.0, deadline=2000.0, worth=5.0),
 )
 ASIDE = Settings(
-    classes=CLASSES, mode="aside", origin_kind=3, balancers=4, max_attempts=4, can_cancel=True,
-    drain_grace=500.0, answer_slack=20.0, cold_from=0.3, cold_time=8000.0,
-    report_fields=("util", "inflight"), report_how="piggyback",
+    classes=CLASSES,
+    mode="aside",
+    origin_kind=3,
+    balancers=4,
+    max_attempts=4,
+    can_cancel=True,
+    drain_grace=500.0,
+    answer_slack=20.0,
+    cold_from=0.3,
+    cold_time=8000.0,
+    report_fields=("util", "inflight"),
+    report_how="piggyback",
 )
 THROUGH = ASIDE._replace(mode="through", origin_kind=-1)
 COPIES = THROUGH._replace(second_copies=True)
@@ -64,8 +88,9 @@
         write = cls != READ
         return self.do(Request(self.next_id - 1, cls, budget, key=key, cost=cost, is_write=write))
 
-    def end(self, send: Send, result: Result, attempt: int = 0, *, elapsed: float = 30.0,
-            report: tuple[float, ...] = ()) -> list[Action]:
+    def end(
+        self, send: Send, result: Result, attempt: int = 0, *, elapsed: float = 30.0, report: tuple[float, ...] = ()
+    ) -> list[Action]:
         """End an attempt."""
         seen = self.checker.seen[send.id]
         ended = seen.over or result == Result.OK
@@ -128,5 +153,14 @@
     for _ in range(count):
         world.now += 20.0
         for send in sends(world.ask(100000 + int(world.now))):
-            world.do(Outcome(send.id, 0, send.server, result, took, result == Result.OK,
-                             note=Note.MISS if result == Result.OK else Note.NONE))
+            world.do(
+                Outcome(
+                    send.id,
+                    0,
+                    send.server,
+                    result,
+                    took,
+                    result == Result.OK,
+                    note=Note.MISS if result == Result.OK else Note.NONE,
+                )
+            )
