--- a/starlingthread/__main__.py
+++ b/starlingthread/__main__.py
@@ -12,7 +12,6 @@
 import sys
 from pathlib import Path
 
-from . import interface as api
 from . import options
 from .config import Config, ConfigError, read_config
 from .core.actors import Clock, Watcher
@@ -20,6 +19,7 @@
 from .core.deadlines import Deadlines
 from .core.maintenance import MaintenanceSet
 from .core.router import Router
+from .events import Maintenance
 from .handover.actor import Handover
 from .handover.channel import Inheritance, inherit
 from .limits.budgets import split_budgets
@@ -85,11 +85,11 @@
             ListReader(config.zones, config.kinds),
             config.discovery,
             self.watcher,
-            pushed=not config.settings.must_ask,
+            pushed=not config.settings.must_poll,
         )
-        self.peers = PeerActor(self.router, config.peers, config.peers_all, config.settings.me)
-        self.members = MemberActor(self.router, self.peers, config.settings.me)
-        self.failover = FailoverActor(self.router, self.peers, self.members, config.settings.me)
+        self.peers = PeerActor(self.router, config.peers, config.peers_all, config.settings.router_index)
+        self.members = MemberActor(self.router, self.peers, config.settings.router_index)
+        self.failover = FailoverActor(self.router, self.peers, self.members, config.settings.router_index)
         self.front = Front(config.settings, self.router, self.watcher, 0, 0, 0, self.listed)
         self.fleet.budget = self.front.budget
         self.management = Management(self, self.watcher, self.router.clock, self.counters, self.router.deadlines, 0)
@@ -109,7 +109,7 @@
         config = self.config
         budgets = split_budgets(config.sockets, config.memory, self.size, part, config.management is not None)
         self.front.most, self.front.comfortable = budgets.clients, budgets.comfortable
-        self.front.most_held, self.front.budget.most = budgets.whole, budgets.pieces
+        self.front.most_held, self.front.budget.limit = budgets.whole, budgets.pieces
         self.management.most = budgets.calls
         self.fleet.limit(budgets.servers)
 
@@ -128,7 +128,7 @@
     async def _resume(self) -> None:
         await self.front.resume()
         await self.peers.resume()
-        self.members.retune(self.own.membership, self.config.settings.can_tell_peers)
+        self.members.retune(self.own.membership, self.config.settings.can_message_peers)
         self._retune_failover()
 
     def _inherited(self, use: str, address: tuple[str, int]) -> socket.socket | None:
@@ -147,7 +147,7 @@
         """Return the figures that operators read."""
         down = len(self.router.module.avoided(self.router.clock.now()))
         return {
-            **self.router.telemetry.report(self.registry.listed, down),
+            **self.router.telemetry.snapshot(self.registry.listed, down),
             **self.members.figures(),
             **self.failover.figures(),
         }
@@ -170,7 +170,7 @@
         """Have it hold: the server's actor writes nothing more, and the module chooses another one."""
         number = self.registry.reader.ids.of(name)
         self.fleet.set_maintenance(number, out)
-        self.router.mailbox.must_put(api.Maintenance(number, out))
+        self.router.mailbox.must_put(Maintenance(number, out))
 
     def _look_at_maintenance(self) -> None:
         self.maintenance.look()
@@ -214,14 +214,14 @@
         new = new._replace(settings=self.own.over(new.settings))
         self.counters.note("reloads.done")
         self.router.telemetry.reconfig_ok += 1
-        self.router.retune(new.settings)
-        self.front.retune(new.settings)
-        self.fleet.retune(new.settings, new.idle_close)
-        self.registry.retune(new.zones, new.kinds, pushed=not new.settings.must_ask)
+        self.router.apply_settings(new.settings)
+        self.front.apply_settings(new.settings)
+        self.fleet.apply_settings(new.settings, new.idle_close)
+        self.registry.retune(new.zones, new.kinds, pushed=not new.settings.must_poll)
         # Always asked anew: whatever discovery has to tell counts as told soon, wherever it is now.
         self.registry.move(new.discovery)
-        self.peers.move(new.peers, new.peers_all)
-        self.members.retune(self.own.membership, new.settings.can_tell_peers)
+        self.peers.set_addresses(new.peers, new.peers_all)
+        self.members.retune(self.own.membership, new.settings.can_message_peers)
         self._retune_failover(new)
         kept = [name for name in NEEDS_RESTART if getattr(new, name) != getattr(self.config, name)]
         self.config = new._replace(**{name: getattr(self.config, name) for name in kept})
@@ -244,13 +244,13 @@
 
     def _retune_failover(self, config: Config | None = None) -> None:
         config = config or self.config
-        self.failover.retune(self.own.failover, self.own.membership, config.zones, config.settings.can_tell_peers)
+        self.failover.retune(self.own.failover, self.own.membership, config.zones, config.settings.can_message_peers)
 
     def _follow_own(self) -> None:
         """Do what the operator's file says under the platform's settings that stand."""
         self.config = self.config._replace(settings=self.own.over(self.config.settings))
-        self.router.retune(self.config.settings)
-        self.members.retune(self.own.membership, self.config.settings.can_tell_peers)
+        self.router.apply_settings(self.config.settings)
+        self.members.retune(self.own.membership, self.config.settings.can_message_peers)
         self._retune_failover()
 
     def _collect(self) -> None:
@@ -296,10 +296,10 @@
             # What discovery tells binds soon after our yes (where lists are pushed, at once), so we hear it first.
             self.registry.watch(True)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.router.heard.wait(), HEAR)
+                await asyncio.wait_for(self.router.discovery_reached.wait(), HEAR)
         if (peers := self.config.peer_listen) is not None:
             await self.peers.listen(*peers, self._inherited(PEERS, peers))
-            self.members.retune(self.own.membership, self.config.settings.can_tell_peers)
+            self.members.retune(self.own.membership, self.config.settings.can_message_peers)
         self._retune_failover()
         listen = self.config.listen
         await self.front.listen(*listen, self._inherited(CLIENTS, listen))
--- a/starlingthread/balance/load.py
+++ b/starlingthread/balance/load.py
@@ -21,37 +21,37 @@
 class ServerLoad:
     """What was seen of one server last."""
 
-    __slots__ = ("lag", "lag_at", "report", "report_at")
+    __slots__ = ("wait", "wait_at", "report", "report_at")
 
     def __init__(self) -> None:
         self.report, self.report_at = 0.0, -math.inf  # load in ms of waiting, and when it came
-        self.lag, self.lag_at = 0.0, -math.inf  # ms of waiting that our last attempt met, and when
+        self.wait, self.wait_at = 0.0, -math.inf  # ms of waiting that our last attempt met, and when
 
 
 class LoadEstimates:
     """What is made of it, beside the means over all servers."""
 
-    __slots__ = ("_fields", "mean_lag", "mean_report")
+    __slots__ = ("_fields", "mean_wait", "mean_report")
 
     def __init__(self) -> None:
-        self.mean_report = self.mean_lag = 0.0
+        self.mean_report = self.mean_wait = 0.0
         self._fields: dict[str, int] = {}
 
-    def know(self, fields: Sequence[str]) -> None:
+    def set_report_fields(self, fields: Sequence[str]) -> None:
         """Take in which values a report holds, in which order."""
         self._fields = {name: fields.index(name) for name in FIELDS if name in fields}
 
-    def lag(self, now: float, seen: ServerLoad) -> float:
+    def expected_wait(self, now: float, seen: ServerLoad) -> float:
         """Return the waiting to expect: what our last attempt there met, fading to the mean over all servers."""
-        fresh = math.exp2((seen.lag_at - now) / LAG_LIFE)
-        return seen.lag * fresh + self.mean_lag * (1 - fresh)
+        fresh = math.exp2((seen.wait_at - now) / LAG_LIFE)
+        return seen.wait * fresh + self.mean_wait * (1 - fresh)
 
-    def reported(self, now: float, seen: ServerLoad) -> float:
+    def reported_wait(self, now: float, seen: ServerLoad) -> float:
         """Return the waiting that a server's last report tells of, fading likewise."""
         fresh = math.exp2((seen.report_at - now) / REPORT_LIFE)
         return seen.report * fresh + self.mean_report * (1 - fresh)
 
-    def hear(self, now: float, seen: ServerLoad, report: Sequence[float], work: float) -> None:
+    def on_report(self, now: float, seen: ServerLoad, report: Sequence[float], work: float) -> None:
         """Take in a report; work: ms that a request takes. One that lacks a value tells 0 for it."""
         if not report or not self._fields:
             return
@@ -62,8 +62,8 @@
         seen.report, seen.report_at = max(waits) * work, now
         self.mean_report += (seen.report - self.mean_report) * REPORT_SHARE
 
-    def met(self, now: float, seen: ServerLoad, lag: float, counts: bool) -> None:
+    def on_wait(self, now: float, seen: ServerLoad, lag: float, counts: bool) -> None:
         """Take in the waiting that an attempt met, and whether it counts for the mean."""
-        seen.lag, seen.lag_at = max(0.0, lag), now
+        seen.wait, seen.wait_at = max(0.0, lag), now
         if counts:
-            self.mean_lag += (seen.lag - self.mean_lag) * LAG_SHARE
+            self.mean_wait += (seen.wait - self.mean_wait) * LAG_SHARE
--- a/starlingthread/balance/popularity.py
+++ b/starlingthread/balance/popularity.py
@@ -23,33 +23,33 @@
 class FleetDemand:
     """What this router knows of all its keys together."""
 
-    __slots__ = ("routers", "servers", "sharing", "written")
+    __slots__ = ("routers", "servers", "routers_per_zone", "write_share")
 
     def __init__(self) -> None:
-        self.know(1, 1, 1)
-        self.written = 0.0  # writes for each request
+        self.set_fleet_size(1, 1, 1)
+        self.write_share = 0.0  # writes for each request
 
-    def know(self, routers: int, servers: int, zones: int) -> None:
+    def set_fleet_size(self, routers: int, servers: int, zones: int) -> None:
         """Take in how large the fleet is."""
         self.routers, self.servers = routers, servers
-        self.sharing = max(1.0, routers / max(1, zones))  # routers that share the owners of a zone
+        self.routers_per_zone = max(1.0, routers / max(1, zones))  # routers that share the owners of a zone
 
-    def asked(self, write: bool) -> None:
+    def record(self, write: bool) -> None:
         """Take in a request for any key."""
-        self.written += (write - self.written) * GAIN
+        self.write_share += (write - self.write_share) * GAIN
 
 
 class Popularity:
     """How often one key is asked for."""
 
-    __slots__ = ("_at", "_long", "_short", "_writes", "copies")
+    __slots__ = ("_at", "_long", "_short", "_writes", "owner_count")
 
     def __init__(self) -> None:
         self._at = -math.inf  # ms
         self._short = self._long = self._writes = 0.0
-        self.copies = 0  # owners that it has for being hot, a power of two; 0: the usual ones
+        self.owner_count = 0  # owners that it has for being hot, a power of two; 0: the usual ones
 
-    def asked(self, now: float, write: bool, demand: FleetDemand) -> bool:
+    def record(self, now: float, write: bool, demand: FleetDemand) -> bool:
         """Take in that this router is asked for it; tell whether its number of owners changes."""
         passed = max(0.0, now - self._at)
         fade = math.exp(-passed / LIVES[1])
@@ -57,14 +57,14 @@
         self._long = self._long * fade + (not write)
         self._writes = self._writes * fade + write
         self._at = now
-        demand.asked(write)
+        demand.record(write)
         rate = self._per_ms() * demand.routers  # all routers get like parts of the traffic
-        writes = rate * (self._writes + PRIOR * demand.written) / (self._long + PRIOR)
+        writes = rate * (self._writes + PRIOR * demand.write_share) / (self._long + PRIOR)
         wanted = min(demand.servers, rate / (1.0 / KEPT + writes) / ASKED)
-        if wanted >= max(2, 2 * self.copies):
-            self.copies = 1 << int(math.log2(wanted))
-        elif self.copies and wanted < self.copies * DOWN:
-            self.copies = 1 << int(math.log2(wanted)) if wanted >= 2 else 0
+        if wanted >= max(2, 2 * self.owner_count):
+            self.owner_count = 1 << int(math.log2(wanted))
+        elif self.owner_count and wanted < self.owner_count * DOWN:
+            self.owner_count = 1 << int(math.log2(wanted)) if wanted >= 2 else 0
         else:
             return False
         return True
--- a/starlingthread/balance/rendezvous.py
+++ b/starlingthread/balance/rendezvous.py
@@ -41,10 +41,10 @@
 class Rendezvous:
     """The servers from which owners are drawn: all, and those of this router's zone."""
 
-    __slots__ = ("_all", "_me", "_near", "usual", "version")
+    __slots__ = ("_all", "_me", "_near", "default_owner_count", "version")
 
     def __init__(self, me: int, usual: int) -> None:
-        self.usual = usual  # owners of a key in each of the two groups
+        self.default_owner_count = usual  # owners of a key in each of the two groups
         self.version = 0  # of the list
         self._me = mix(me + 1)
         self._all: list[Candidate] = []
@@ -58,16 +58,19 @@
             for group in (places, near if len(near) < len(places) else [])
         )
 
-    def of(self, key: int, copies: int = 0) -> list[Owner]:
+    def owners(self, key: int, copies: int = 0) -> list[Owner]:
         """Return a key's owners for this router (key: a 64-bit hash), the zone's first; copies: of a hot key."""
         owners = []
         for near, group in ((True, self._near), (False, self._all)):
             share = math.ceil(copies * len(group) / len(self._all)) if group else 0
             drawn = self._drawn(key, group)
-            if share > self.usual:
+            if share > self.default_owner_count:
                 # Once more, by this router's own hash, among those that are the same at all.
                 drawn = self._drawn(key ^ self._me, [place for _, _, place in nlargest(share, drawn)])
-            owners += [Owner(number, rank, near) for rank, (_, number, _) in enumerate(nlargest(self.usual, drawn))]
+            owners += [
+                Owner(number, rank, near)
+                for rank, (_, number, _) in enumerate(nlargest(self.default_owner_count, drawn))
+            ]
         return owners
 
     @staticmethod
--- a/starlingthread/lab/policies.py
+++ b/starlingthread/baselines/policies.py
@@ -19,7 +19,7 @@
 from ..policy.choice import Choice
 from ..policy.load import LoadEstimate
 from ..state.fleet import Fleet
-from ..state.records import Key, Server, Tracked
+from ..state.records import Key, RequestState, Server
 
 BOUND = 1.25  # load of a server against the mean that bounded loads allow (Mirrokni, Thorup, Zadimoghaddam 2018)
 
@@ -27,31 +27,31 @@
 class AnyServer(Choice):
     """A choice among the servers that may be asked now."""
 
-    def choose(self, now: float, tracked: Tracked, entry: Key | None) -> Server | None:
+    def choose(self, now: float, tracked: RequestState, entry: Key | None) -> Server | None:
         open_now = [
             s
             for s in self.fleet.ready
             if s.outliers.ejected_until <= now
-            and s.line.server not in tracked.bad
-            and (s.since <= 0 or self.attempts.is_warm_enough(now, s, tracked))
+            and s.endpoint.server not in tracked.failed_servers
+            and (s.cold_since <= 0 or self.attempts.is_warm_enough(now, s, tracked))
         ]
-        tracked.chance, tracked.role = 1.0, -1
+        tracked.hit_probability, tracked.owner_group = 1.0, -1
         return self.pick(now, tracked, open_now) if open_now else None
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
         """Choose one of them; there is one at least."""
         raise NotImplementedError
 
-    def ranked(self, tracked: Tracked, servers: list[Server]) -> list[Server]:
+    def ranked(self, tracked: RequestState, servers: list[Server]) -> list[Server]:
         """Return them in the order of the key's rendezvous hash."""
-        key = tracked.req.key or tracked.req.id
+        key = tracked.request.key or tracked.request.id
         return sorted(servers, key=lambda s: mix(key ^ s.salt), reverse=True)
 
 
 class Chance(AnyServer):
     """Any."""
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
         return self.fleet.rng.choice(servers)
 
 
@@ -62,7 +62,7 @@
         super().__init__(affinity, attempts)
         self.turn = self.fleet.rng.randrange(1 << 16)
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
         self.turn += 1
         return servers[self.turn % len(servers)]
 
@@ -70,37 +70,39 @@
 class PlainHash(AnyServer):
     """The key's first owner."""
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
         return self.ranked(tracked, servers)[0]
 
 
 class BoundedHash(AnyServer):
     """The first owner that has no more of this router's requests out than its bound."""
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
-        most = math.ceil(BOUND * (sum(s.out for s in servers) + 1) / len(servers))  # so one has room at any time
-        return next(s for s in self.ranked(tracked, servers) if s.out < most)
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
+        most = math.ceil(
+            BOUND * (sum(s.attempts_in_flight for s in servers) + 1) / len(servers)
+        )  # so one has room at any time
+        return next(s for s in self.ranked(tracked, servers) if s.attempts_in_flight < most)
 
 
 class TwoChoices(AnyServer):
     """Of two drawn at random the one with less out from this router."""
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
-        return min(self.fleet.rng.choice(servers), self.fleet.rng.choice(servers), key=lambda s: s.out)
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
+        return min(self.fleet.rng.choice(servers), self.fleet.rng.choice(servers), key=lambda s: s.attempts_in_flight)
 
 
 class TwoReported(AnyServer):
     """Of two drawn at random the one whose last report tells less load."""
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
-        return min(self.fleet.rng.choice(servers), self.fleet.rng.choice(servers), key=lambda s: s.seen.report)
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
+        return min(self.fleet.rng.choice(servers), self.fleet.rng.choice(servers), key=lambda s: s.load.report)
 
 
 class LeastReported(AnyServer):
     """The one whose last report tells least: with stale figures all routers go to the same one (Mitzenmacher 2000)."""
 
-    def pick(self, now: float, tracked: Tracked, servers: list[Server]) -> Server:
-        return min(servers, key=lambda s: (s.seen.report, s.line.server))
+    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
+        return min(servers, key=lambda s: (s.load.report, s.endpoint.server))
 
 
 class Truth(LoadEstimate):
@@ -115,7 +117,7 @@
         self.cell_of = {ids.of(server_name(n)): n for n in range(len(self.cells) // CELL.size)}
 
     def _waiting(self, server: Server) -> float:
-        at = self.cell_of.get(server.line.server)
+        at = self.cell_of.get(server.endpoint.server)
         load: float = CELL.unpack_from(self.cells, at * CELL.size)[0] if at is not None else 0.0
         return load * self.mean_work
 
--- a/starlingthread/lab/router.py
+++ b/starlingthread/baselines/router.py
@@ -1,4 +1,4 @@
-"""The router with another policy: ``python -m starlingthread.lab.router POLICY``. For the emulator's comparisons."""
+"""The router with a baseline policy: ``python -m starlingthread.baselines.router POLICY``, for comparisons."""
 
 from __future__ import annotations
 
--- a/starlingthread/cli/main.py
+++ b/starlingthread/cli/main.py
@@ -97,7 +97,7 @@
             fail(str(error))
         click.echo(
             f"{file}: a router's configuration, {len(config.settings.classes)} classes, "
-            f"{config.settings.balancers} routers: good"
+            f"{config.settings.router_count} routers: good"
         )
         return
     if file.suffix != ".toml":
--- a/starlingthread/config.py
+++ b/starlingthread/config.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from . import interface as api
 from .net.registry import parse_address
-from .settings import SettingsError, settings_of
+from .settings import Settings
+from .settings_json import SettingsError, settings_of
 
 
 class ConfigError(Exception):
@@ -32,7 +32,7 @@
     peers: list[tuple[str, int]]
     peers_all: tuple[str, int] | None
     known: object
-    settings: api.Settings
+    settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     idle_close: float
--- a/starlingthread/core/pipe.py
+++ b/starlingthread/core/pipe.py
@@ -17,7 +17,7 @@
     """The bytes that all pipes together hold, and may hold beyond one piece each."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+        self.limit, self.used = most, 0
 
 
 class Pipe:
@@ -26,18 +26,18 @@
     def __init__(self, budget: ByteBudget) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
-        self.held = 0  # bytes
+        self.buffered = 0  # bytes
         self._waiter: asyncio.Future[None] | None = None  # the writer's side, for a piece or the end
         self._reader: asyncio.Future[None] | None = None  # the reader's side, until it is not full
         self._then: list[Callable[[], None]] = []
-        self.whole: bool | None = None  # whether all of it was put, once that is known
+        self.complete: bool | None = None  # whether all of it was put, once that is known
         self.abandoned = False  # nobody takes any more
 
     # the reader's side
 
     def put(self, piece: bytes) -> None:
         """Add a piece; one that nobody takes any more is dropped."""
-        if self.abandoned or self.whole is not None or not piece:
+        if self.abandoned or self.complete is not None or not piece:
             return
         self._pieces.append(piece)
         self._hold(len(piece))
@@ -45,18 +45,18 @@
 
     def end(self, whole: bool) -> None:
         """Tell that all of it was put, or that the rest will not come. Only the first word counts."""
-        if self.whole is not None:
+        if self.complete is not None:
             return
-        self.whole = whole
+        self.complete = whole
         self._wake(self._waiter)
         self._wake(self._reader)
         self._tell()
 
     def is_full(self) -> bool:
         """Tell whether the reader's side should wait before it reads on."""
-        if self.abandoned or self.whole is not None or not self.held:
+        if self.abandoned or self.complete is not None or not self.buffered:
             return False
-        return self.held >= WINDOW or self._budget.held > self._budget.most
+        return self.buffered >= WINDOW or self._budget.used > self._budget.limit
 
     async def until_not_full(self) -> None:
         """Wait until it may read on."""
@@ -73,7 +73,7 @@
         """Return the pieces that are there."""
         pieces = list(self._pieces)
         self._pieces.clear()
-        self._hold(-self.held)
+        self._hold(-self.buffered)
         self._wake(self._reader)
         return pieces
 
@@ -81,13 +81,13 @@
         """Tell whether there is a piece to take now."""
         return bool(self._pieces)
 
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Tell whether there is nothing more to take, now or later."""
-        return self.abandoned or (self.whole is not None and not self._pieces)
+        return self.abandoned or (self.complete is not None and not self._pieces)
 
     async def until_more(self) -> None:
         """Wait for a piece or the end."""
-        while not self._pieces and not self.is_over():
+        while not self._pieces and not self.is_finished():
             self._waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._waiter
@@ -100,7 +100,7 @@
             return
         self.abandoned = True
         self._pieces.clear()
-        self._hold(-self.held)
+        self._hold(-self.buffered)
         self._wake(self._reader)
         self._wake(self._waiter)
         self._tell()
@@ -109,7 +109,7 @@
 
     def when_settled(self, then: Callable[[], None]) -> None:
         """Have something done once it has ended or is abandoned, at once if that is so."""
-        if self.whole is not None or self.abandoned:
+        if self.complete is not None or self.abandoned:
             then()
         else:
             self._then.append(then)
@@ -120,8 +120,8 @@
             each()
 
     def _hold(self, more: int) -> None:
-        self.held += more
-        self._budget.held += more
+        self.buffered += more
+        self._budget.used += more
 
     def _wake(self, waiter: asyncio.Future[None] | None) -> None:
         if waiter is not None and not waiter.done():
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -11,9 +11,37 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol, TypeAlias
 
-from .. import interface as api
+from ..actions import (
+    Action,
+    Cancel,
+    CloseConnections,
+    Fail,
+    FetchEndpoints,
+    HealthCheck,
+    Reject,
+    Send,
+    SendToPeer,
+    SetTimer,
+    WatchEndpoints,
+)
+from ..events import (
+    AttemptResult,
+    CacheStatus,
+    EndpointList,
+    EndpointListKind,
+    Event,
+    HealthCheckResult,
+    Maintenance,
+    Outcome,
+    PeerMessage,
+    Request,
+    RequestCancelled,
+    SettingsChanged,
+    Timer,
+)
 from ..logs import log
 from ..policy import Balancer
+from ..settings import RequestClass, Settings
 from .actors import Clock, Mailbox
 from .counters import Counters
 from .deadlines import Deadline, Deadlines
@@ -34,7 +62,7 @@
     pipe: Pipe | None = None  # where its value follows in pieces
 
 
-class Refused(NamedTuple):
+class Rejected(NamedTuple):
     """Final answer: turned away, come again after so many ms (0: no advice)."""
 
     retry_after: float = 0.0
@@ -44,37 +72,37 @@
     """Final answer: failed, with no promise."""
 
 
-Answer: TypeAlias = Served | Refused | Failed
-ENDS: dict[type, End] = {Served: End.SUCCESS, Refused: End.BUSY, Failed: End.FAILURE}
+Answer: TypeAlias = Served | Rejected | Failed
+ENDS: dict[type, End] = {Served: End.SUCCESS, Rejected: End.BUSY, Failed: End.FAILURE}
 
 
 class Requester(Protocol):
     """Whoever is owed a final answer."""
 
-    def answer(self, request: Taken, answer: Answer) -> None:
+    def answer(self, request: PendingRequest, answer: Answer) -> None:
         """Take the one final answer of a request."""
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class PendingRequest:
     """A request that was taken and is owed one final answer."""
 
     requester: Requester
-    cls: api.RequestClass
+    request_class: RequestClass
     key: int
-    ends: float  # clock time at which the client gives up
+    deadline: float  # clock time at which the client gives up
     payload: object  # in the dialect's own form
-    came_at: float  # clock time at which it was whole
+    received_at: float  # clock time at which it was whole
     size: float = 0.0
-    hint: float = 0.0  # the client's guess at the work, in whatever unit; 0: none
+    cost_hint: float = 0.0  # the client's guess at the work, in whatever unit; 0: none
     is_retry: bool = False
     is_write: bool = False
     id: int = 0
-    over: bool = False
+    finished: bool = False
     withdrawn: bool = False  # whoever asked has left, and the message that says so is on its way: begin nothing more
-    sends: int = 0
-    out: int = 0
-    guard: Deadline | None = None
+    attempts_started: int = 0
+    attempts_in_flight: int = 0
+    deadline_timer: Deadline | None = None
     body: Pipe | None = None  # where its value follows in pieces: it can be sent once only
 
 
@@ -82,62 +110,70 @@
 class Attempt:
     """One attempt: it is out until its one outcome."""
 
-    request: Taken
+    request: PendingRequest
     number: int
     server: int
     sent_at: float
-    until: float  # clock time at which we stop waiting for it
-    before: float = math.inf  # clock time from which on it must not be written any more
-    wanted: bool = True  # false once it has its outcome: whoever is about to write it must not
-    limit: Deadline | None = None
+    deadline: float  # clock time at which we stop waiting for it
+    write_deadline: float = math.inf  # clock time from which on it must not be written any more
+    pending: bool = True  # false once it has its outcome: whoever is about to write it must not
+    timeout_timer: Deadline | None = None
 
 
 class Asked(NamedTuple):
     """Message: a request has come in."""
 
-    request: Taken
+    request: PendingRequest
 
 
-class Whole(NamedTuple):
+class BodyReceived(NamedTuple):
     """Message: the last byte of a request's value has come; its time runs from now, and ends at 'ends'."""
 
-    request: Taken
-    ends: float
+    request: PendingRequest
+    deadline: float
 
 
-class Gone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """Message: the client of a request has left."""
 
-    request: Taken
+    request: PendingRequest
 
 
-class Ended(NamedTuple):
+class AttemptEnded(NamedTuple):
     """Message: how an attempt ended."""
 
     attempt: Attempt
-    result: api.Result
-    note: api.Note = api.Note.NONE
-    report: tuple[float, ...] = ()
+    result: AttemptResult
+    cache_status: CacheStatus = CacheStatus.NONE
+    load_report: tuple[float, ...] = ()
     payload: object = None
     pipe: Pipe | None = None
 
 
-class Listed(NamedTuple):
+class EndpointsReceived(NamedTuple):
     """Message: what discovery told, with each server's address where it is known."""
 
-    event: api.MemberList
+    event: EndpointList
     addresses: dict[int, tuple[str, int]]
 
 
 Message: TypeAlias = (
-    Asked | Whole | Gone | Ended | Listed | api.ProbeResult | api.PeerMessage | api.Maintenance | api.Retuned
+    Asked
+    | BodyReceived
+    | ClientDisconnected
+    | AttemptEnded
+    | EndpointsReceived
+    | HealthCheckResult
+    | PeerMessage
+    | Maintenance
+    | SettingsChanged
 )
 
 
 class Fleet(Protocol):
     """The cache servers, as the module's actor sees them."""
 
-    def listed(self, listing: Listed, now: float) -> None:
+    def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
         """Take in a list before the module does."""
 
     def start(self, attempt: Attempt) -> None:
@@ -146,7 +182,7 @@
     def abandon(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt that has its outcome."""
 
-    def probe(self, server: int) -> None:
+    def check_health(self, server: int) -> None:
         """Check a server; a ProbeResult follows."""
 
     def close_idle(self, server: int) -> None:
@@ -166,24 +202,22 @@
 class Peers(Protocol):
     """The other routers, as the module's actor sees them."""
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send(self, peer: int | None, payload: bytes) -> None:
         """Send a message to one, or to all (None)."""
 
 
 class Router:
     """Hosts the one instance of the module."""
 
-    def __init__(
-        self, settings: api.Settings, seed: int, clock: Clock, deadlines: Deadlines, counters: Counters
-    ) -> None:
+    def __init__(self, settings: Settings, seed: int, clock: Clock, deadlines: Deadlines, counters: Counters) -> None:
         self.settings, self.clock, self.deadlines, self.counters = settings, clock, deadlines, counters
         self.module = Balancer(settings, seed)
         self.telemetry = Telemetry(cls.name for cls in settings.classes)
         self._numbers = {cls.name: number for number, cls in enumerate(settings.classes)}
         self.mailbox: Mailbox[Message] = Mailbox(MAILBOX)
-        self.requests: dict[int, Taken] = {}
+        self.requests: dict[int, PendingRequest] = {}
         self.attempts: dict[int, list[Attempt]] = {}
-        self.heard = asyncio.Event()  # discovery itself has told a list, not the configuration alone
+        self.discovery_reached = asyncio.Event()  # discovery itself has told a list, not the configuration alone
         self.listed = False  # a list with at least one line has reached the module
         self.fleet: Fleet
         self.registry: Registry
@@ -242,26 +276,26 @@
         now = self.clock.now()
         if isinstance(message, Asked):
             self._asked(now, message.request)
-        elif isinstance(message, Ended):
+        elif isinstance(message, AttemptEnded):
             self._ended(message)
-        elif isinstance(message, Whole):
-            self._whole(message.request, message.ends)
-        elif isinstance(message, Gone):
+        elif isinstance(message, BodyReceived):
+            self._whole(message.request, message.deadline)
+        elif isinstance(message, ClientDisconnected):
             self._withdraw(message.request)
-        elif isinstance(message, Listed):
-            self.listed = self.listed or bool(message.event.members)
-            if message.event.kind in (api.ListKind.FULL, api.ListKind.DELTA):
-                self.heard.set()
-            self.fleet.listed(message, now)
+        elif isinstance(message, EndpointsReceived):
+            self.listed = self.listed or bool(message.event.endpoints)
+            if message.event.kind in (EndpointListKind.FULL, EndpointListKind.DELTA):
+                self.discovery_reached.set()
+            self.fleet.apply_endpoint_list(message, now)
             self._handle(message.event)
-        elif isinstance(message, api.Retuned):
+        elif isinstance(message, SettingsChanged):
             self.settings = message.settings
             self._numbers = {cls.name: number for number, cls in enumerate(message.settings.classes)}
             self._handle(message)
         else:
             self._handle(message)
 
-    def _handle(self, event: api.Event, now: float | None = None) -> None:
+    def _handle(self, event: Event, now: float | None = None) -> None:
         """Let the module take in an event. Its failure must cost one request, never the router."""
         try:
             actions = self.module.handle(self.clock.now() if now is None else now, event)
@@ -270,145 +304,147 @@
             if self.counters["module.errors"] <= MAX_ERRORS_LOGGED:
                 log.exception("module-error", input=repr(event))
             actions = []
-            if isinstance(event, api.Request | api.Outcome) and event.id in self.requests:
+            if isinstance(event, Request | Outcome) and event.id in self.requests:
                 self._finish(self.requests[event.id], Failed())
         self._carry_out(actions)
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Go over to new settings: what was asked before comes before them in the mailbox."""
-        self.telemetry.know(cls.name for cls in settings.classes)
-        self.mailbox.must_put(api.Retuned(settings))
+        self.telemetry.register_classes(cls.name for cls in settings.classes)
+        self.mailbox.must_put(SettingsChanged(settings))
 
     # requests
 
-    def take(self, request: Taken) -> None:
+    def submit(self, request: PendingRequest) -> None:
         """Take a request: the one way in. What finds no place is refused, by the one way out."""
-        self.telemetry.taken()
+        self.telemetry.on_received()
         if not self.mailbox.put(Asked(request)):
             self.counters.note("requests.mailbox_full")
-            self._finish(request, Refused())
+            self._finish(request, Rejected())
 
     def fail_all(self) -> None:
         """Give every request that is owed an answer its final one: this process ends."""
         for request in list(self.requests.values()):
             self._finish(request, Failed())
-            self._handle(api.Withdrawn(request.id))
+            self._handle(RequestCancelled(request.id))
 
-    def refuse(self, request: Taken) -> None:
+    def reject(self, request: PendingRequest) -> None:
         """Take a request and refuse it unseen, as there is no memory to hold it."""
-        self.telemetry.taken()
-        self._finish(request, Refused())
+        self.telemetry.on_received()
+        self._finish(request, Rejected())
 
-    def _asked(self, now: float, request: Taken) -> None:
-        if request.over or request.withdrawn:  # its client left while the message lay in the mailbox
+    def _asked(self, now: float, request: PendingRequest) -> None:
+        if request.finished or request.withdrawn:  # its client left while the message lay in the mailbox
             return
         self._last_id += 1
         request.id = self._last_id
         self.requests[request.id] = request
         self.attempts[request.id] = []
         self.counters.note("requests.taken")
-        number = self._numbers.get(request.cls.name)
-        if request.ends <= now or number is None:
+        number = self._numbers.get(request.request_class.name)
+        if request.deadline <= now or number is None:
             # It came too late, or its class is gone since: a value in pieces is asked for some time after its head.
             self._finish(request, Failed())
             return
-        request.guard = self.deadlines.set(request.ends + OVERDUE, lambda: self._overdue(request))
+        request.deadline_timer = self.deadlines.set(request.deadline + OVERDUE, lambda: self._overdue(request))
         self._handle(
-            api.Request(
+            Request(
                 request.id,
                 number,
-                min(request.ends - now, request.cls.deadline),
+                min(request.deadline - now, request.request_class.deadline),
                 request.key,
-                cost=request.hint,
+                cost_hint=request.cost_hint,
                 size=request.size,
-                single=request.body is not None,
+                single_use=request.body is not None,
                 is_retry=request.is_retry,
                 is_write=request.is_write,
-                waited=now - request.came_at if self.full else 0.0,
+                queue_time=now - request.received_at if self.full else 0.0,
             ),
             now,
         )
 
-    def _whole(self, request: Taken, ends: float) -> None:
+    def _whole(self, request: PendingRequest, ends: float) -> None:
         """Count a request's time, and that of its attempt, from its last byte."""
-        if request.over:
+        if request.finished:
             return
-        now, request.ends = self.clock.now(), ends
-        self.deadlines.clear(request.guard)
-        request.guard = self.deadlines.set(ends + OVERDUE, lambda: self._overdue(request))
+        now, request.deadline = self.clock.now(), ends
+        self.deadlines.clear(request.deadline_timer)
+        request.deadline_timer = self.deadlines.set(ends + OVERDUE, lambda: self._overdue(request))
         for attempt in self.attempts.get(request.id, ()):
-            if attempt.wanted:
+            if attempt.pending:
                 attempt.sent_at = now
                 self._limit(attempt, ends)
 
-    def _overdue(self, request: Taken) -> None:
+    def _overdue(self, request: PendingRequest) -> None:
         """Guards against a module that forgets a request: it is owed an answer all the same."""
-        if not request.over:
+        if not request.finished:
             self.counters.note("requests.overdue")
-            log.warning("overdue", request=request.id, sends=request.sends, **{"class": request.cls.name})
+            log.warning(
+                "overdue", request=request.id, sends=request.attempts_started, **{"class": request.request_class.name}
+            )
             self._finish(request, Failed())
-            self._handle(api.Withdrawn(request.id))
+            self._handle(RequestCancelled(request.id))
 
-    def _withdraw(self, request: Taken) -> None:
-        if request.over:
+    def _withdraw(self, request: PendingRequest) -> None:
+        if request.finished:
             return
         self.counters.note("requests.withdrawn")
-        self.telemetry.ended(request.cls.name, End.ABANDONED)
-        request.over = True
+        self.telemetry.on_finished(request.request_class.name, End.ABANDONED)
+        request.finished = True
         if request.body is not None:
             request.body.abandon()
         if request.id:
-            self.deadlines.clear(request.guard)
-            self._handle(api.Withdrawn(request.id))
+            self.deadlines.clear(request.deadline_timer)
+            self._handle(RequestCancelled(request.id))
             self._forget(request)
 
-    def _finish(self, request: Taken, answer: Answer) -> None:
+    def _finish(self, request: PendingRequest, answer: Answer) -> None:
         """The one place where a request gets its final answer."""
-        if request.over:
+        if request.finished:
             return
-        request.over = True
-        self.deadlines.clear(request.guard)
+        request.finished = True
+        self.deadlines.clear(request.deadline_timer)
         kind = type(answer).__name__.lower()
         self.counters.note(f"answers.{kind}")
         if request.body is not None:
             request.body.abandon()
-        self._count_end(request.cls.name, answer)
+        self._count_end(request.request_class.name, answer)
         request.requester.answer(request, answer)
         self._forget(request)
 
     def _count_end(self, cls: str, answer: Answer) -> None:
         """Count how a request ended; where its value goes out in pieces, once that is known."""
         if not isinstance(answer, Served) or (pipe := answer.pipe) is None:
-            self.telemetry.ended(cls, ENDS[type(answer)])
+            self.telemetry.on_finished(cls, ENDS[type(answer)])
             return
 
         def settled() -> None:
-            self.telemetry.ended(
-                cls, End.SUCCESS if pipe.whole else End.FAILURE if pipe.whole is False else End.ABANDONED
+            self.telemetry.on_finished(
+                cls, End.SUCCESS if pipe.complete else End.FAILURE if pipe.complete is False else End.ABANDONED
             )
 
         pipe.when_settled(settled)
 
-    def _forget(self, request: Taken) -> None:
-        if request.over and request.out == 0:
+    def _forget(self, request: PendingRequest) -> None:
+        if request.finished and request.attempts_in_flight == 0:
             self.requests.pop(request.id, None)
             self.attempts.pop(request.id, None)
 
     # attempts
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: Send) -> None:
         now = self.clock.now()
         request = self.requests.get(action.id)
         if request is None:
             self.counters.note("attempts.unknown_request")
             return
-        until = min(now + action.timeout, request.ends) if action.timeout else request.ends
-        attempt = Attempt(request, request.sends, action.server, now, until, action.before)
+        until = min(now + action.timeout, request.deadline) if action.timeout else request.deadline
+        attempt = Attempt(request, request.attempts_started, action.server, now, until, action.write_deadline)
         self.attempts[request.id].append(attempt)
-        request.sends += 1
-        request.out += 1
-        if request.over or request.withdrawn or request.sends > self.settings.max_attempts:
-            self.mailbox.must_put(Ended(attempt, api.Result.MOOT))
+        request.attempts_started += 1
+        request.attempts_in_flight += 1
+        if request.finished or request.withdrawn or request.attempts_started > self.settings.max_attempts:
+            self.mailbox.must_put(AttemptEnded(attempt, AttemptResult.NOT_SENT))
             return
         self.counters.note("attempts.started")
         self._limit(attempt, until)
@@ -416,74 +452,76 @@
 
     def _limit(self, attempt: Attempt, until: float) -> None:
         """Stop waiting for an attempt at a time."""
-        self.deadlines.clear(attempt.limit)
-        attempt.until = until
-        attempt.limit = self.deadlines.set(until, lambda: self._ended(Ended(attempt, api.Result.TIMEOUT), abandon=True))
+        self.deadlines.clear(attempt.timeout_timer)
+        attempt.deadline = until
+        attempt.timeout_timer = self.deadlines.set(
+            until, lambda: self._ended(AttemptEnded(attempt, AttemptResult.TIMEOUT), abandon=True)
+        )
 
-    def _ended(self, message: Ended, abandon: bool = False) -> None:
+    def _ended(self, message: AttemptEnded, abandon: bool = False) -> None:
         """The one place where an attempt gets its outcome; later ones are dropped."""
         attempt, result = message.attempt, message.result
-        if not attempt.wanted:
+        if not attempt.pending:
             self.counters.note("attempts.late_outcomes")
             if message.pipe is not None:
                 message.pipe.abandon()
             return
-        attempt.wanted = False
-        self.deadlines.clear(attempt.limit)
+        attempt.pending = False
+        self.deadlines.clear(attempt.timeout_timer)
         if abandon:
             self.fleet.abandon(attempt)
         self.counters.note(f"attempts.{result.name.lower()}")
         request = attempt.request
-        request.out -= 1
-        if result == api.Result.OK:
-            if message.pipe is not None and request.over:
+        request.attempts_in_flight -= 1
+        if result == AttemptResult.OK:
+            if message.pipe is not None and request.finished:
                 message.pipe.abandon()
             self._finish(request, Served(message.payload, message.pipe))
         self._handle(
-            api.Outcome(
+            Outcome(
                 request.id,
                 attempt.number,
                 attempt.server,
                 result,
                 self.clock.now() - attempt.sent_at,
-                request.over,
-                message.note,
-                message.report,
+                request.finished,
+                message.cache_status,
+                message.load_report,
             )
         )
         self._forget(request)
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: Cancel) -> None:
         attempts = self.attempts.get(action.id, [])
-        if action.attempt < len(attempts) and attempts[action.attempt].wanted:
+        if action.attempt < len(attempts) and attempts[action.attempt].pending:
             attempt = attempts[action.attempt]
             self.fleet.abandon(attempt)
-            self.mailbox.must_put(Ended(attempt, api.Result.CANCELLED))
+            self.mailbox.must_put(AttemptEnded(attempt, AttemptResult.CANCELLED))
 
     # actions
 
-    def _carry_out(self, actions: list[api.Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, Send):
                 self._send(action)
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, Reject | Fail):
                 if (request := self.requests.get(action.id)) is not None:
-                    self._finish(request, Refused(action.retry_after) if isinstance(action, api.Refuse) else Failed())
-            elif isinstance(action, api.Cancel):
+                    self._finish(request, Rejected(action.retry_after) if isinstance(action, Reject) else Failed())
+            elif isinstance(action, Cancel):
                 self._cancel(action)
-            elif isinstance(action, api.SetTimer):
-                event = api.Timer(action.label)
+            elif isinstance(action, SetTimer):
+                event = Timer(action.label)
                 self.deadlines.set(action.at, lambda event=event: self._handle(event))  # type: ignore[misc]
-            elif isinstance(action, api.Probe):
+            elif isinstance(action, HealthCheck):
                 self.counters.note("probes.sent")
-                self.fleet.probe(action.server)
-            elif isinstance(action, api.CloseConnections):
+                self.fleet.check_health(action.server)
+            elif isinstance(action, CloseConnections):
                 self.fleet.close_idle(action.server)
-            elif isinstance(action, api.Tell):
-                self.peers.tell(action.peer, action.payload)
-            elif isinstance(action, api.Watch):
+            elif isinstance(action, SendToPeer):
+                self.peers.send(action.peer, action.payload)
+            elif isinstance(action, WatchEndpoints):
                 self.registry.watch(action.active)
-            elif isinstance(action, api.FetchList):
+            elif isinstance(action, FetchEndpoints):
                 self.registry.fetch()
             else:
                 log.info("module", text=action.text)
--- a/starlingthread/core/telemetry.py
+++ b/starlingthread/core/telemetry.py
@@ -29,27 +29,27 @@
         self.inflight = 0  # requests taken and not ended
         self.backend_calls = 0  # attempts written whole to cache servers
         self.reconfig_ok = self.reconfig_failed = 0  # files taken and turned down at SIGHUP
-        self.know(classes)
+        self.register_classes(classes)
 
-    def know(self, classes: Iterable[str]) -> None:
+    def register_classes(self, classes: Iterable[str]) -> None:
         """Take in the names of classes; each is told from now on, also at 0."""
         for name in classes:
             self._ends.setdefault(name, dict.fromkeys(End, 0))
 
-    def taken(self) -> None:
+    def on_received(self) -> None:
         """Count a request that was taken."""
         self.inflight += 1
 
-    def ended(self, cls: str, end: End) -> None:
+    def on_finished(self, cls: str, end: End) -> None:
         """Count the one end of a request that was taken."""
         self.inflight -= 1
         self._ends[cls][end] += 1
 
-    def count(self, cls: str, end: End) -> int:
+    def finished_count(self, cls: str, end: End) -> int:
         """Return how many requests of a class ended so."""
         return self._ends[cls][end]
 
-    def report(self, listed: int, down: int) -> dict[str, object]:
+    def snapshot(self, listed: int, down: int) -> dict[str, object]:
         """Return the figures as they are told; of cache servers, how many are listed and avoided."""
         told = (End.SUCCESS, End.BUSY, End.FAILURE)
         return {
--- a/starlingthread/emulator/routers.py
+++ b/starlingthread/emulator/routers.py
@@ -161,7 +161,7 @@
             environment["STARLINGTHREAD_OPTIONS"] = str(self.folder / OPTIONS_FILE)
         command = routers.command or (sys.executable, "-m", "starlingthread")
         if routers.policy:
-            command = (sys.executable, "-m", "starlingthread.lab.router", routers.policy)
+            command = (sys.executable, "-m", "starlingthread.baselines.router", routers.policy)
             environment[VARIABLE] = str(self.folder / TRUTH_FILE)
         self._log = (self.folder / f"{self.name}.log").open("ab")
         process = await asyncio.create_subprocess_exec(
--- a/starlingthread/emulator/run.py
+++ b/starlingthread/emulator/run.py
@@ -19,16 +19,16 @@
 import uvloop
 
 from ..load.traffic import streams
-from .servers import LoopSchedule
 from .channel import Channel
 from .discovery import DiscoveryServer, Entry
 from .faults import FRONT_GRACE, Faults
 from .model import OriginModel
-from .records import ServerEvent, Ledger, Marked, Notified
+from .records import Ledger, Marked, Notified, ServerEvent
 from .relay import Relay
 from .routers import OPTIONS_FILE, TRUTH_FILE, RouterProcess
 from .scenario import Scenario, descriptors_needed
-from .truth import server_name, lay_out
+from .servers import LoopSchedule
+from .truth import lay_out, server_name
 
 SAMPLE_EVERY = 0.25  # s between looks at the routers
 START_WITHIN = 30.0  # s for workers to come up
--- a/starlingthread/emulator/scenario.py
+++ b/starlingthread/emulator/scenario.py
@@ -56,7 +56,7 @@
 
 Policy = Literal[
     "", "random", "round-robin", "hash", "bounded-hash", "two-choices", "two-reported", "least-reported", "truth"
-]  # as lab/policies.py has them
+]  # as baselines/policies.py has them
 
 RENAMED = {
     "boxes": "servers",
--- a/starlingthread/emulator/servers.py
+++ b/starlingthread/emulator/servers.py
@@ -14,8 +14,8 @@
 import numpy as np
 
 from .links import Door, Lane
-from .model import ServerModel, Chances, Job
-from .records import ANSWERED, CUT, FAILED, RUN, TURNED_AWAY, ServerEvent, Delivery, Ledger
+from .model import Chances, Job, ServerModel
+from .records import ANSWERED, CUT, FAILED, RUN, TURNED_AWAY, Delivery, Ledger, ServerEvent
 
 MAX_LINE = 4096
 MAX_VALUE = 1 << 20
--- a/starlingthread/emulator/worker.py
+++ b/starlingthread/emulator/worker.py
@@ -16,13 +16,13 @@
 import uvloop
 
 from ..load.client import Load
-from ..load.traffic import server_speeds, draw, hottest_first, key_name, streams
-from .servers import CacheServer, LoopSchedule
+from ..load.traffic import draw, hottest_first, key_name, server_speeds, streams
 from .channel import Channel
 from .links import Door
-from .model import ServerModel, Chances
-from .records import ServerSample, Ledger
+from .model import Chances, ServerModel
+from .records import Ledger, ServerSample
 from .scenario import Scenario, distance_ms, link_groups
+from .servers import CacheServer, LoopSchedule
 from .truth import EVERY, Truth, server_name
 
 LAG_TICK = 0.005  # s
--- a/starlingthread/failover/zones.py
+++ b/starlingthread/failover/zones.py
@@ -9,14 +9,14 @@
 
 from collections.abc import Iterable
 
-from ..interface import Result
+from ..events import AttemptResult
 from .evidence import ZoneSeen
 from .plan import Change, Plan, Says, Word
 from .topology import Topology
 
 TRY_EVERY = 250.0  # ms between requests that a router risks in a zone that it leaves alone
 MOST_TRY = 4000.0  # ms; the pause is doubled with each that comes to nothing
-SILENT = (Result.TIMEOUT, Result.CONNECT_FAILED)
+SILENT = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
 FRESH = 3000.0  # ms for which a word from a zone shows that it is there
 
 
@@ -47,11 +47,11 @@
         if self._shut.pop(zone, None) is not None or self._is_lost(zone):
             self._say(now, zone)  # while it is only in question, the tick does
 
-    def ended(self, now: float, zone: int, server: int, result: Result, sent_at: float) -> None:
+    def ended(self, now: float, zone: int, server: int, result: AttemptResult, sent_at: float) -> None:
         """Take in how an attempt ended."""
         if result in SILENT:
             self.owes(now, zone, server, sent_at)
-        elif result not in (Result.CANCELLED, Result.MOOT):
+        elif result not in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             self.heard(now, zone, server, now - sent_at)
         else:
             self._of(zone).out.pop(server, None)
--- a/starlingthread/limits/concurrency.py
+++ b/starlingthread/limits/concurrency.py
@@ -18,35 +18,35 @@
 USED = 0.5  # of the limit has to be out for a good answer to raise it: else it says nothing of more
 
 
-class Concurrency:
+class ConcurrencyLimit:
     """The limit of one server; none until something bad was seen."""
 
-    __slots__ = ("least", "limit")
+    __slots__ = ("minimum", "limit")
 
     def __init__(self, least: float = LEAST) -> None:
-        self.limit, self.least = math.inf, least
+        self.limit, self.minimum = math.inf, least
 
     @property
-    def known(self) -> bool:
+    def is_learned(self) -> bool:
         """Whether anything has shown yet where the limit lies."""
         return math.isfinite(self.limit)
 
-    def width(self, guess: float) -> float:
+    def slots(self, guess: float) -> float:
         """Return how many it is taken to work on side by side: the limit, or a guess while that is not known."""
-        return self.limit if self.known else guess
+        return self.limit if self.is_learned else guess
 
-    def good(self, out: float) -> None:
+    def on_success(self, out: float) -> None:
         """Take in an answer in good time to what was sent as the out-th that this server had from us."""
         if out >= self.limit * USED or self.limit < FIRST:
             self.limit += UP
 
-    def bad(self, out: float) -> None:
+    def on_failure(self, out: float) -> None:
         """Take in one that waited too long, or never came; so many were out then, where nothing else is known."""
-        self.limit = max(self.least, min(self.limit, max(FIRST, out)) - DOWN)
+        self.limit = max(self.minimum, min(self.limit, max(FIRST, out)) - DOWN)
 
-    def full(self, out: float) -> None:
+    def on_rejection(self, out: float) -> None:
         """Take in that it turned away what was sent as the out-th: that many are too many."""
-        self.limit = max(self.least, min(self.limit, out) - DOWN)
+        self.limit = max(self.minimum, min(self.limit, out) - DOWN)
 
     def allows(self, out: float, draw: float = 0.0) -> bool:
         """Tell whether one more may go where so many are out; a part of one by a number in [0, 1) drawn at random."""
--- a/starlingthread/limits/hedging.py
+++ b/starlingthread/limits/hedging.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from ..interface import Result
+from ..events import AttemptResult
 from .outliers import OutlierDetector
 
 AFTER = 0.65  # of the aim; what is out longer may get a copy; later still if it was uncounted
@@ -28,32 +28,34 @@
 class HedgeBudget:
     """What second copies may be sent, and for whom they are worth their work."""
 
-    __slots__ = ("dead", "saved")
+    __slots__ = ("lost_share", "tokens")
 
     def __init__(self) -> None:
-        self.saved = 0.0
-        self.dead = 0.0  # share of the requests looked at, at servers that answered others, that were never answered
+        self.tokens = 0.0
+        self.lost_share = (
+            0.0  # share of the requests looked at, at servers that answered others, that were never answered
+        )
 
-    def sent(self, aim: float, counted: bool) -> float:
+    def on_first_attempt(self, aim: float, counted: bool) -> float:
         """Take in a first attempt, which earns a part of a copy; return after how long to look at it."""
-        self.saved = min(MOST, self.saved + (LOST_SHARE if self.dead > DEAD else SHARE))
+        self.tokens = min(MOST, self.tokens + (LOST_SHARE if self.lost_share > DEAD else SHARE))
         return AFTER * aim * (1.0 if counted else UNCOUNTED)
 
-    def pays(self, sent_at: float, outliers: OutlierDetector, chance: float, over: float, draw: float) -> bool:
+    def is_worthwhile(self, sent_at: float, outliers: OutlierDetector, chance: float, over: float, draw: float) -> bool:
         """Tell whether what was sent then, and is cached by this chance, is worth a copy; 'draw' is in [0, 1).
 
         over: times that it is out already what a request and a fetch take.
         """
-        if self.saved < 1:
+        if self.tokens < 1:
             return False
         overdue = chance > CACHED or over > OVERDUE
-        return outliers.heard_at <= sent_at or (overdue and self.dead > DEAD and draw >= LET_BE)
+        return outliers.last_response_at <= sent_at or (overdue and self.lost_share > DEAD and draw >= LET_BE)
 
-    def lost(self, result: Result, sent_at: float, outliers: OutlierDetector) -> bool:
+    def is_lost(self, result: AttemptResult, sent_at: float, outliers: OutlierDetector) -> bool:
         """Tell whether what ended so got lost by itself, while its server answered what was sent later."""
-        return result == Result.TIMEOUT and self.dead > DEAD and outliers.answered > sent_at
+        return result == AttemptResult.TIMEOUT and self.lost_share > DEAD and outliers.last_answered_sent_at > sent_at
 
-    def ended(self, result: Result, chance: float) -> None:
+    def on_outcome(self, result: AttemptResult, chance: float) -> None:
         """Take in how one ended that was looked at and got no copy."""
-        if chance > CACHED and result in (Result.OK, Result.TIMEOUT):
-            self.dead += ((result == Result.TIMEOUT) - self.dead) * GAIN
+        if chance > CACHED and result in (AttemptResult.OK, AttemptResult.TIMEOUT):
+            self.lost_share += ((result == AttemptResult.TIMEOUT) - self.lost_share) * GAIN
--- a/starlingthread/limits/feedback.py
+++ b/starlingthread/limits/limit_adjustment.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from ..interface import Note, Outcome, Result
-from .concurrency import Concurrency
+from ..events import AttemptResult, CacheStatus, Outcome
+from .concurrency import ConcurrencyLimit
 from .origin_limit import OriginLimit
 
 LATE = 0.5  # of the aim; who waits longer at a server than this leaves no time to make up for it elsewhere
 
 
 def adjust_limits(
-    server: Concurrency,
+    server: ConcurrencyLimit,
     fetches: OriginLimit,
     event: Outcome,
     out: int,
@@ -27,16 +27,18 @@
     server owes tells nothing of it: a few servers that fail at once, or a lost zone, made all routers refuse fetches.
     """
     result = event.result
-    if result == Result.FULL:
-        server.full(out)
-    elif result == Result.OK and (event.note == Note.MISS or (fetch >= 1 and event.note != Note.HIT)):
-        fetches.fetched(True, event.elapsed, aim)
-    elif result == Result.ERROR or (result == Result.TIMEOUT and fetch > 0.5):
+    if result == AttemptResult.FULL:
+        server.on_rejection(out)
+    elif result == AttemptResult.OK and (
+        event.cache_status == CacheStatus.MISS or (fetch >= 1 and event.cache_status != CacheStatus.HIT)
+    ):
+        fetches.on_fetch(True, event.elapsed, aim)
+    elif result == AttemptResult.ERROR or (result == AttemptResult.TIMEOUT and fetch > 0.5):
         if event.elapsed >= usual:
-            fetches.fetched(False, event.elapsed, aim)
-    elif result in (Result.TIMEOUT, Result.CONNECT_FAILED) or (
-        result == Result.OK and event.elapsed > max(cost, LATE * aim)
+            fetches.on_fetch(False, event.elapsed, aim)
+    elif result in (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED) or (
+        result == AttemptResult.OK and event.elapsed > max(cost, LATE * aim)
     ):
-        server.bad(out)
-    elif result == Result.OK:
-        server.good(out)
+        server.on_failure(out)
+    elif result == AttemptResult.OK:
+        server.on_success(out)
--- a/starlingthread/limits/speed.py
+++ b/starlingthread/limits/machine_speed.py
@@ -14,7 +14,7 @@
 ENOUGH = 50  # answers of a kind before it counts
 
 
-class Speeds:
+class MachineSpeeds:
     """A time for each kind, as the logarithm of ms of the same work; speeds are those beside the quickest kind."""
 
     def __init__(self) -> None:
@@ -36,6 +36,6 @@
         self._used = speeds
         return True
 
-    def of(self, kind: int) -> float:
+    def speed(self, kind: int) -> float:
         """Return the speed of a kind beside the quickest one's; 1 as long as nothing is known."""
         return self._used.get(kind, 1.0)
--- a/starlingthread/limits/origin_limit.py
+++ b/starlingthread/limits/origin_limit.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from .concurrency import Concurrency
+from .concurrency import ConcurrencyLimit
 from .replicas import ReplicaLimit
 
 LEAST = 0.2  # at once: who asks for none never learns that the origin is well again
@@ -20,12 +20,12 @@
 class OriginLimit:
     """What is out at the origin on our account, as far as we know, and how much may be."""
 
-    __slots__ = ("copies", "limit", "out", "refused")
+    __slots__ = ("replicas", "limit", "in_flight", "rejected_share")
 
     def __init__(self) -> None:
-        self.out = 0.0  # sum of the chances that what is out is a fetch
-        self.refused = 0.0  # share of likely fetches that were refused lately
-        self.limit, self.copies = Concurrency(LEAST), ReplicaLimit()
+        self.in_flight = 0.0  # sum of the chances that what is out is a fetch
+        self.rejected_share = 0.0  # share of likely fetches that were refused lately
+        self.limit, self.replicas = ConcurrencyLimit(LEAST), ReplicaLimit()
 
     def allows(self, now: float, chance: float, draw: float, write: bool = False) -> bool:
         """Tell whether what is a fetch by this chance may go; what hardly is one counts for little.
@@ -34,24 +34,24 @@
         it is cached. So fetches make room for writes, which are thinned only while the origin bears less than one
         thing at a time from us: else they fail there, and hold the servers' places until they do.
         """
-        allowed = self.limit.allows(0.0 if write else self.out * chance, draw * chance)
+        allowed = self.limit.allows(0.0 if write else self.in_flight * chance, draw * chance)
         if chance > 0.5 and not write:
-            self.refused += ((not allowed) - self.refused) * GAIN
-            self.copies.observe(now, self.refused)
+            self.rejected_share += ((not allowed) - self.rejected_share) * GAIN
+            self.replicas.observe(now, self.rejected_share)
         return allowed
 
-    def sent(self, chance: float) -> float:
+    def on_sent(self, chance: float) -> float:
         """Take in that something went out that is a fetch by this chance; return the chance."""
-        self.out += chance
+        self.in_flight += chance
         return chance
 
-    def over(self, chance: float) -> None:
+    def on_finished(self, chance: float) -> None:
         """Take in that it is over, one way or the other."""
-        self.out = max(0.0, self.out - chance)
+        self.in_flight = max(0.0, self.in_flight - chance)
 
-    def fetched(self, served: bool, elapsed: float, aim: float) -> None:
+    def on_fetch(self, served: bool, elapsed: float, aim: float) -> None:
         """Take in a fetch that was served or not after so many ms; the aim of its class is in ms too."""
         if not served or elapsed > LATE * aim:
-            self.limit.bad(self.out)
+            self.limit.on_failure(self.in_flight)
         else:
-            self.limit.good(self.out)
+            self.limit.on_success(self.in_flight)
--- a/starlingthread/limits/outliers.py
+++ b/starlingthread/limits/outliers.py
@@ -4,7 +4,7 @@
 
 import math
 
-from ..interface import Result
+from ..events import AttemptResult
 
 BACK_OFF = 250.0  # ms; pause after a server failed; doubles, up to 16 times this
 SPOILT = 3  # failures in a row, each sent after the one before was known, that show a server to be at fault
@@ -18,33 +18,39 @@
     its keys and jams the origin; and against counting what was out when it failed once more.
     """
 
-    __slots__ = ("answered", "ejected_until", "failed_at", "fails", "heard_at")
+    __slots__ = (
+        "last_answered_sent_at",
+        "ejected_until",
+        "last_failure_at",
+        "consecutive_failures",
+        "last_response_at",
+    )
 
     def __init__(self) -> None:
-        self.fails, self.failed_at, self.ejected_until = 0, -math.inf, -math.inf
-        self.answered = -math.inf  # when the last attempt was sent that it has answered
-        self.heard_at = -math.inf  # when it said anything last
+        self.consecutive_failures, self.last_failure_at, self.ejected_until = 0, -math.inf, -math.inf
+        self.last_answered_sent_at = -math.inf  # when the last attempt was sent that it has answered
+        self.last_response_at = -math.inf  # when it said anything last
 
-    def heard(self, now: float, sent_at: float, result: Result) -> bool:
+    def on_outcome(self, now: float, sent_at: float, result: AttemptResult) -> bool:
         """Take in an outcome of what was sent then; tell whether the server has said anything since."""
-        if result in (Result.OK, Result.ERROR, Result.FULL, Result.MISS):
-            self.heard_at = now
-        return self.heard_at >= sent_at
+        if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.MISS):
+            self.last_response_at = now
+        return self.last_response_at >= sent_at
 
-    def well(self, sent_at: float) -> None:
+    def on_success(self, sent_at: float) -> None:
         """Take in an answer to what was sent then."""
-        self.fails, self.answered = 0, max(self.answered, sent_at)
+        self.consecutive_failures, self.last_answered_sent_at = 0, max(self.last_answered_sent_at, sent_at)
 
-    def failed(self, now: float, sent_at: float, unreached: bool, spread: float) -> None:
+    def on_failure(self, now: float, sent_at: float, unreached: bool, spread: float) -> None:
         """Take in a failure of what was sent then; 'spread' (0.7 to 1.3) keeps routers out of step."""
-        if sent_at <= max(self.failed_at, self.answered):
+        if sent_at <= max(self.last_failure_at, self.last_answered_sent_at):
             return
-        self.fails, self.failed_at = self.fails + 1, now
-        beyond = self.fails - (UNREACHED if unreached else SPOILT)
+        self.consecutive_failures, self.last_failure_at = self.consecutive_failures + 1, now
+        beyond = self.consecutive_failures - (UNREACHED if unreached else SPOILT)
         if beyond >= 0:
             self.ejected_until = now + BACK_OFF * float(1 << min(beyond, 4)) * spread
 
     @property
-    def spoilt(self) -> bool:
+    def is_faulty(self) -> bool:
         """Whether it has failed often enough to be at fault."""
-        return self.fails >= SPOILT
+        return self.consecutive_failures >= SPOILT
--- a/starlingthread/limits/replicas.py
+++ b/starlingthread/limits/replicas.py
@@ -19,14 +19,14 @@
 class ReplicaLimit:
     """The level of thrift: 0 all owners; 1 none of the zone's own; 2 the first owner alone."""
 
-    __slots__ = ("at", "level")
+    __slots__ = ("updated_at", "level")
 
     def __init__(self) -> None:
-        self.level, self.at = 0.0, math.inf
+        self.level, self.updated_at = 0.0, math.inf
 
     def observe(self, now: float, pressure: float) -> None:
         """Take in the share of fetches refused lately at a time in ms; times that go back count for nothing."""
-        passed, self.at = max(0.0, now - self.at), now
+        passed, self.updated_at = max(0.0, now - self.updated_at), now
         if pressure > HIGH:
             self.level = min(TIERS, self.level + passed / DOWN)
         elif pressure < LOW:
--- a/starlingthread/limits/service_time.py
+++ b/starlingthread/limits/service_time.py
@@ -21,12 +21,12 @@
 class ServiceTime:
     """Of one class: the time of a typical request in ms, and what hints are worth."""
 
-    __slots__ = ("covariance", "hint", "seen", "time", "typical", "variance")
+    __slots__ = ("covariance", "mean_log_hint", "hinted_count", "mean_log_time", "typical", "variance")
 
     def __init__(self, typical: float) -> None:
         self.typical = typical  # ms
-        self.seen = 0  # answers to requests with a hint
-        self.hint = self.time = 0.0  # means of the logarithms
+        self.hinted_count = 0  # answers to requests with a hint
+        self.mean_log_hint = self.mean_log_time = 0.0  # means of the logarithms
         self.variance = self.covariance = 0.0
 
     def expected(self, hint: float) -> float:
@@ -40,18 +40,18 @@
         self.typical += (typical - self.typical) * (UP if typical > self.typical else DOWN)
         if not USED[0] <= hint <= USED[1]:
             return
-        self.seen += 1
-        gain = max(GAIN, 1.0 / self.seen)
-        off_hint, off_time = math.log(hint) - self.hint, math.log(elapsed) - self.time
-        self.hint += gain * off_hint
-        self.time += gain * off_time
+        self.hinted_count += 1
+        gain = max(GAIN, 1.0 / self.hinted_count)
+        off_hint, off_time = math.log(hint) - self.mean_log_hint, math.log(elapsed) - self.mean_log_time
+        self.mean_log_hint += gain * off_hint
+        self.mean_log_time += gain * off_time
         self.variance += gain * ((1 - gain) * off_hint * off_hint - self.variance)
         self.covariance += gain * ((1 - gain) * off_hint * off_time - self.covariance)
 
     @property
     def slope(self) -> float:
         """By how much log(time) grows with log(hint): 0 means that hints tell nothing, 1 that they are exact."""
-        if self.seen < ENOUGH or self.variance < 1e-6:
+        if self.hinted_count < ENOUGH or self.variance < 1e-6:
             return 0.0
         return min(1.0, max(0.0, self.covariance / self.variance))
 
@@ -60,4 +60,4 @@
         if slope <= 0 or not USED[0] <= hint <= USED[1]:
             return 1.0
         reach = REACH * math.sqrt(self.variance)
-        return math.exp(slope * min(reach, max(-reach, math.log(hint) - self.hint)))
+        return math.exp(slope * min(reach, max(-reach, math.log(hint) - self.mean_log_hint)))
--- a/starlingthread/limits/shedding.py
+++ b/starlingthread/limits/shedding.py
@@ -17,15 +17,15 @@
     is in time; nor is our own lateness then taken for the servers'.
     """
 
-    __slots__ = ("lag", "shed", "stepped_at")
+    __slots__ = ("mean_queue_time", "share", "stepped_at")
 
     def __init__(self) -> None:
-        self.lag, self.shed, self.stepped_at = 0.0, 0.0, -math.inf
+        self.mean_queue_time, self.share, self.stepped_at = 0.0, 0.0, -math.inf
 
     def shed_share(self, now: float, waited: float) -> float:
         """Take in how long a request lay here; return the share that is to be shed."""
-        self.lag += (waited - self.lag) * GAIN
+        self.mean_queue_time += (waited - self.mean_queue_time) * GAIN
         if now - self.stepped_at >= EVERY:
             self.stepped_at = now
-            self.shed = min(MOST, self.shed + UP) if self.lag > OWN_LATE else max(0.0, self.shed - DOWN)
-        return self.shed
+            self.share = min(MOST, self.share + UP) if self.mean_queue_time > OWN_LATE else max(0.0, self.share - DOWN)
+        return self.share
--- a/starlingthread/limits/slow_start.py
+++ b/starlingthread/limits/slow_start.py
@@ -10,7 +10,7 @@
 
 import math
 
-from ..interface import Settings
+from ..settings import Settings
 
 MARGIN = 1.0  # of what the ramp can bear at the least: the figures told are the lowest share and the longest time
 BURST = 0.5  # of the multiple at which a server falls over: this many times its part, as keys are not asked for evenly
@@ -34,30 +34,30 @@
     that are refused ask again, and so the budget grew just when all were full. The least is one request a window by
     all routers together, as nobody is served where all servers are cold.
     """
-    least = 1.0 / (rules.tip_after * rules.balancers) if rules.tip_after > 0 else 0.0
+    least = 1.0 / (rules.overload_window * rules.router_count) if rules.overload_window > 0 else 0.0
     return max(least, BURST * rules.overload_factor * part * served / max(warm, part, 1e-9))
 
 
-class Pace:
+class ServedRate:
     """How many requests this router is served, from a decaying count that knows how long it has counted."""
 
-    __slots__ = ("at", "began", "count", "half_life")
+    __slots__ = ("updated_at", "started_at", "count", "half_life")
 
     def __init__(self, half_life: float) -> None:
-        self.half_life, self.count, self.at, self.began = half_life, 0.0, 0.0, 0.0
+        self.half_life, self.count, self.updated_at, self.started_at = half_life, 0.0, 0.0, 0.0
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Start to count."""
-        self.at = self.began = now
+        self.updated_at = self.started_at = now
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Count one request."""
-        self.count, self.at = self.count * math.exp2((self.at - now) / self.half_life) + 1, now
+        self.count, self.updated_at = self.count * math.exp2((self.updated_at - now) / self.half_life) + 1, now
 
     def per_ms(self, now: float) -> float:
         """Return the requests a ms; what is not seen yet is taken as none for the first ms only."""
-        seen = self.half_life / math.log(2) * (1 - math.exp2((self.began - now) / self.half_life))
-        return self.count * math.exp2((self.at - now) / self.half_life) / max(1.0, seen)
+        seen = self.half_life / math.log(2) * (1 - math.exp2((self.started_at - now) / self.half_life))
+        return self.count * math.exp2((self.updated_at - now) / self.half_life) / max(1.0, seen)
 
 
 def first_tokens(chance: float, routers: int) -> float:
@@ -71,18 +71,18 @@
 class SlowStartBudget:
     """The requests that this router may send to one cold server; counted in requests of mean cost."""
 
-    __slots__ = ("at", "saved")
+    __slots__ = ("updated_at", "tokens")
 
     def __init__(self, first: float) -> None:
-        self.saved = first  # in [0, 1), at random
-        self.at = math.inf  # when it was last added to
+        self.tokens = first  # in [0, 1), at random
+        self.updated_at = math.inf  # when it was last added to
 
     def allows(self, now: float, rate: float, window: float, cost: float) -> bool:
         """Tell whether one of this cost may go now, at so many requests a ms, no more saved than in a window (ms)."""
-        self.saved = min(max(1.0, SAVED * rate * window), self.saved + rate * max(0.0, now - self.at))
-        self.at = now
-        return self.saved >= min(cost, max(1.0, SAVED * rate * window))
+        self.tokens = min(max(1.0, SAVED * rate * window), self.tokens + rate * max(0.0, now - self.updated_at))
+        self.updated_at = now
+        return self.tokens >= min(cost, max(1.0, SAVED * rate * window))
 
     def spend(self, cost: float) -> None:
         """Take in that one was sent. What is dearer than all that may be saved is paid off later."""
-        self.saved -= cost
+        self.tokens -= cost
--- a/starlingthread/limits/reserve.py
+++ b/starlingthread/limits/trunk_reservation.py
@@ -14,18 +14,18 @@
 GAIN = 0.02  # weight of one request in that share
 
 
-class Reserve:
+class TrunkReservation:
     """The share of requests that found their server at its limit lately, and what is kept for that."""
 
-    __slots__ = ("turned",)
+    __slots__ = ("at_limit_share",)
 
     def __init__(self) -> None:
-        self.turned = 0.0
+        self.at_limit_share = 0.0
 
-    def chosen(self, at_limit: bool) -> None:
+    def observe(self, at_limit: bool) -> None:
         """Take in whether a request found the server chosen for it at its limit."""
-        self.turned += (at_limit - self.turned) * GAIN
+        self.at_limit_share += (at_limit - self.at_limit_share) * GAIN
 
-    def kept(self, limit: float, fetch: float, write: bool) -> float:
+    def reserved_slots(self, limit: float, fetch: float, write: bool) -> float:
         """Return how many places of a limit are not for a read that is a fetch by this chance; a write gets all."""
-        return 0.0 if write else KEPT * min(1.0, self.turned / PRESSED) * limit * fetch
+        return 0.0 if write else KEPT * min(1.0, self.at_limit_share / PRESSED) * limit * fetch
--- a/starlingthread/net/clients.py
+++ b/starlingthread/net/clients.py
@@ -11,10 +11,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from .. import interface as api
 from ..core.actors import Mailbox, Watcher
-from ..core.pipe import Pipe, ByteBudget
-from ..core.router import Answer, Gone, Refused, Router, Served, Taken, Whole
+from ..core.pipe import ByteBudget, Pipe
+from ..core.router import Answer, BodyReceived, ClientDisconnected, PendingRequest, Rejected, Router, Served
+from ..settings import Settings
 from . import meta
 from .streams import ENDED, EndAwareProtocol, polled, read_at_most, send_at_once
 
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self.parts: tuple[bytes, ...] | None = None
         self.size = 0  # bytes of the value that it holds, on its way in or out
-        self.request: Taken | None = None
+        self.request: PendingRequest | None = None
         self.last = False  # the connection is closed behind this answer
         self.pipe: Pipe | None = None  # where its value follows in pieces
         self.held_back: Answer | None = None  # a final answer to a request whose value is still coming
@@ -85,7 +85,7 @@
         self.front, self.reader, self.writer = front, reader, writer
         self.mailbox: Mailbox[tuple[Slot, tuple[bytes, ...]]] = Mailbox(4 * MAX_PIPELINED)
         self.slots: deque[Slot] = deque()
-        self.by_request: dict[Taken, Slot] = {}
+        self.by_request: dict[PendingRequest, Slot] = {}
         self.parser = meta.CommandParser()
         self.ended = False  # the client has closed, or its connection is over
         self.closing = False  # we close once nothing is owed; what still comes until then is taken
@@ -95,8 +95,8 @@
         self.may_read = asyncio.Event()
         self.used_at = front.clock.now()
         self.began_at: float | None = None  # when the command that is not whole yet began
-        self.body: tuple[Slot, Taken, Pipe] | None = None  # of the request whose value is coming in pieces
-        self.unasked: Taken | None = None  # that request, as long as too little of its value is here
+        self.body: tuple[Slot, PendingRequest, Pipe] | None = None  # of the request whose value is coming in pieces
+        self.unasked: PendingRequest | None = None  # that request, as long as too little of its value is here
         self.delivering: Pipe | None = None  # the value that is going out in pieces
         self.asked = self.malformed = 0  # whole commands so far, and those that made no sense
 
@@ -165,7 +165,7 @@
             return
         slot, request, pipe = self.body
         pipe.put(part.data)
-        if self.unasked is not None and (pipe.held > meta.MAX_WHOLE or pipe.is_full() or part.last):
+        if self.unasked is not None and (pipe.buffered > meta.MAX_WHOLE or pipe.is_full() or part.last):
             # Guards a server's connection against a client that sends a head and then nothing.
             self.unasked = None
             self._ask(request)
@@ -173,12 +173,12 @@
             return
         pipe.end(True)
         self.body, self.began_at = None, None
-        now = self.used_at = request.came_at = self.front.clock.now()
+        now = self.used_at = request.received_at = self.front.clock.now()
         if slot.held_back is not None:
             self._answer(slot, slot.held_back)
-        elif not request.over and isinstance(request.payload, meta.Command):
-            wait = min(request.payload.wait, request.cls.deadline, self.front.answer_by - now)
-            self.front.router.mailbox.must_put(Whole(request, now + wait - ANSWER_EARLY))
+        elif not request.finished and isinstance(request.payload, meta.Command):
+            wait = min(request.payload.wait, request.request_class.deadline, self.front.answer_by - now)
+            self.front.router.mailbox.must_put(BodyReceived(request, now + wait - ANSWER_EARLY))
 
     def _spoil_body(self, item: meta.Bad) -> None:
         """The value that was coming in pieces will never be whole: nothing of it counts."""
@@ -189,24 +189,24 @@
         self._leave(request)
         self._malformed(slot, item)
 
-    def _leave(self, request: Taken) -> None:
+    def _leave(self, request: PendingRequest) -> None:
         """Have a request withdrawn that nobody waits for any more."""
         if self.by_request.pop(request, None) is None:
             return
         request.withdrawn = True  # at once: the message that says so has others before it
         self._give_back_id(request)
         if request is not self.unasked:
-            self.front.router.mailbox.must_put(Gone(request))
+            self.front.router.mailbox.must_put(ClientDisconnected(request))
         elif request.body is not None:
             request.body.abandon()
             self.unasked = None
 
-    def _ask(self, request: Taken) -> None:
+    def _ask(self, request: PendingRequest) -> None:
         if self.front.held > self.front.most_held:
             self.front.counters.note("requests.memory_full")
-            self.front.router.refuse(request)
+            self.front.router.reject(request)
         else:
-            self.front.router.take(request)
+            self.front.router.submit(request)
 
     def _take(self, item: meta.Command | meta.Ask | meta.Bad) -> None:
         front = self.front
@@ -237,7 +237,7 @@
             wait = min(item.wait, cls.deadline, front.answer_by - self.used_at)
             body = Pipe(front.budget) if item.in_pieces else None
             wait = wait if body is None else BODY
-            request = Taken(
+            request = PendingRequest(
                 self,
                 cls,
                 key_number(item.key),
@@ -246,7 +246,7 @@
                 self.used_at,
                 body=body,
                 size=_figure(item.fields, "size"),
-                hint=_figure(item.fields, "h"),
+                cost_hint=_figure(item.fields, "h"),
                 is_retry=item.fields.get("r") == "1",
                 is_write=item.is_write,
             )
@@ -323,7 +323,7 @@
 
     # answering
 
-    def answer(self, request: Taken, answer: Answer) -> None:
+    def answer(self, request: PendingRequest, answer: Answer) -> None:
         """Take a request's one final answer."""
         slot = self.by_request.pop(request, None)
         if slot is None:
@@ -331,7 +331,7 @@
                 answer.pipe.abandon()
             return
         self._give_back_id(request)
-        request.over = True
+        request.finished = True
         if self.body is not None and self.body[1] is request:
             slot.held_back = answer  # it is no request yet that could be answered; the rest of its value is dropped
         else:
@@ -341,12 +341,12 @@
         if isinstance(answer, Served) and isinstance(answer.payload, meta.ServerAnswer):
             slot.pipe = answer.pipe
             self._put(slot, *answer.payload.text)
-        elif isinstance(answer, Refused):
+        elif isinstance(answer, Rejected):
             self._put(slot, meta.busy_line(answer.retry_after))
         else:
             self._put(slot, meta.FAILED_LINE)
 
-    def _give_back_id(self, request: Taken) -> None:
+    def _give_back_id(self, request: PendingRequest) -> None:
         if isinstance(request.payload, meta.Command):
             self.front.open_ids.discard(request.payload.id)
 
@@ -437,7 +437,7 @@
         self.delivering = pipe
         if self.ended:
             pipe.abandon()
-        while not pipe.is_over():
+        while not pipe.is_finished():
             for piece in pipe.take():
                 self.writer.write(piece)
                 if self.writer.transport.get_write_buffer_size() > MAX_UNSENT:
@@ -445,7 +445,7 @@
             await pipe.until_more()
         self.delivering = None
         self.used_at = self.front.clock.now()
-        if not pipe.whole or pipe.abandoned:
+        if not pipe.complete or pipe.abandoned:
             self.front.counters.note("clients.value_broke_off")
             self.writer.transport.abort()
             raise ConnectionAbortedError
@@ -518,7 +518,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         router: Router,
         watcher: Watcher,
         most: int,
@@ -531,7 +531,7 @@
         self.held = 0  # bytes of values that all slots hold
         self.budget = ByteBudget(0)  # for values that go through in pieces, either way
         self.most, self.comfortable, self.most_held, self.ready = most, comfortable, most_held, ready
-        self.retune(settings)
+        self.apply_settings(settings)
         self.open_ids: set[bytes] = set()  # of the requests that are owed an answer
         self.actors: set[ClientActor] = set()
         self.unread: set[ClientActor] = set()  # whose readers wait, so that their connections may not be read
@@ -540,7 +540,7 @@
         self.socket: socket.socket | None = None  # ours for good, whether we accept or not
         self._server: asyncio.Server | None = None
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take in settings, the first or new ones."""
         self.classes = {cls.name: cls for cls in settings.classes}
 
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -55,7 +55,7 @@
             log.warning("failover-alone", why="messages between routers are not allowed, or there are no others")
         if self.zones is None:
             self.zones = Zones(self.me, self.members.alive())
-            self.zones.listed((s.line.zone, s.line.server) for s in self.router.module.fleet.ready)
+            self.zones.listed((s.endpoint.zone, s.endpoint.server) for s in self.router.module.fleet.ready)
             self.members.on_change = self._know
             self.router.module.fleet.zones = self.zones
             self._set()
@@ -120,7 +120,7 @@
         assert self.zones is not None
         words, self.zones.telling = self.zones.telling, []
         while words and self._tells:
-            self.peers.tell(None, encode(self.me, words[:MOST_WORDS], self._keys[0]))
+            self.peers.send(None, encode(self.me, words[:MOST_WORDS], self._keys[0]))
             words = words[MOST_WORDS:]
         for change in self.zones.changes():
             log.warning(
--- a/starlingthread/net/members.py
+++ b/starlingthread/net/members.py
@@ -78,7 +78,7 @@
         if self.membership is None or self.membership.members != count or old.period_ms != own.period_ms:
             self.stop()
             self.membership = Membership(
-                self.me, count, keys, self.router.module.fleet.rng.randrange(1 << 30), self.peers.tell, own.period_ms
+                self.me, count, keys, self.router.module.fleet.rng.randrange(1 << 30), self.peers.send, own.period_ms
             )
             self.membership.start(self.router.clock.now())
             self.peers.takers[VERSION] = self._received
--- a/starlingthread/net/peers.py
+++ b/starlingthread/net/peers.py
@@ -7,8 +7,8 @@
 import socket
 from collections.abc import Callable
 
-from .. import interface as api
 from ..core.router import Router
+from ..events import PeerMessage
 
 MAX_MESSAGE = 256
 
@@ -18,12 +18,12 @@
 
     def __init__(self, router: Router, peers: list[tuple[str, int]], everyone: tuple[str, int] | None, me: int) -> None:
         self.router, self.counters, self.me = router, router.counters, me
-        self.move(peers, everyone)
+        self.set_addresses(peers, everyone)
         self.transport: asyncio.DatagramTransport | None = None
         self.socket: socket.socket | None = None  # ours for good, whether we hear or not
         self.takers: dict[int, Callable[[int, bytes], None]] = {}  # by the first byte; the rest is the module's
 
-    def move(self, peers: list[tuple[str, int]], everyone: tuple[str, int] | None) -> None:
+    def set_addresses(self, peers: list[tuple[str, int]], everyone: tuple[str, int] | None) -> None:
         """Take over the addresses of the others."""
         self.peers, self.everyone = peers, everyone
         self.number = {address: number for number, address in enumerate(peers)}
@@ -59,14 +59,14 @@
         elif data and (take := self.takers.get(data[0])) is not None:
             self.counters.note("peers.taken")
             take(sender, data)
-        elif self.router.mailbox.put(api.PeerMessage(sender, data)):
+        elif self.router.mailbox.put(PeerMessage(sender, data)):
             self.counters.note("peers.received")
 
     def error_received(self, exc: Exception) -> None:
         """Count what the network gave back; messages may be lost anyway."""
         self.counters.note("peers.errors")
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send(self, peer: int | None, payload: bytes) -> None:
         """Send a message to one router, or to all (None)."""
         if self.transport is None or len(payload) > MAX_MESSAGE:
             self.counters.note("peers.unsent")
--- a/starlingthread/net/registry.py
+++ b/starlingthread/net/registry.py
@@ -12,10 +12,10 @@
 
 import h11
 
-from .. import interface as api
 from ..core.actors import Mailbox, Watcher
 from ..core.deadlines import Deadline
-from ..core.router import Listed, Router
+from ..core.router import EndpointsReceived, Router
+from ..events import Endpoint, EndpointList, EndpointListKind, ServerState
 from ..logs import log
 
 SILENCE = 3000.0  # ms without a byte after which a call has failed
@@ -28,9 +28,9 @@
 AGAIN = 20.0  # ms; mean pause before a pushed watch is opened anew
 MAX_AGAIN_DOUBLED = 4  # times that it is doubled, once with each failure
 STATES = {
-    "in_service": api.ServerState.READY,
-    "terminating": api.ServerState.DRAINING,
-    "terminated": api.ServerState.GONE,
+    "in_service": ServerState.READY,
+    "terminating": ServerState.DRAINING,
+    "terminated": ServerState.GONE,
 }
 LIST_PATH = "/registry/instances"
 
@@ -142,14 +142,14 @@
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.ids = Ids()
 
-    def read(self, raw: object, kind: api.ListKind | None = None) -> Listed:
+    def read(self, raw: object, kind: EndpointListKind | None = None) -> EndpointsReceived:
         """Read one object; its kind is told by 'snapshot' unless given. Raise ListError if it is no list."""
         try:
             return self._read(raw, kind)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
             raise ListError(f"not a list: {error!r}") from None
 
-    def _read(self, raw: Any, kind: api.ListKind | None) -> Listed:
+    def _read(self, raw: Any, kind: EndpointListKind | None) -> EndpointsReceived:
         members, addresses = [], {}
         # In the order of names, so that even ids that collide within one list come out the same everywhere.
         for line in sorted(raw["endpoints"], key=lambda line: str(line["name"])):
@@ -158,7 +158,7 @@
                 addresses[number] = parse_address(line["address"])
             # An unknown zone or kind gets a place behind the known ones: it is then nobody's own.
             members.append(
-                api.Member(
+                Endpoint(
                     number,
                     self.zones.get(line.get("zone"), len(self.zones)),
                     self.kinds.get(line.get("type"), len(self.kinds)),
@@ -169,8 +169,8 @@
                 )
             )
         if kind is None:
-            kind = api.ListKind.FULL if raw["snapshot"] else api.ListKind.DELTA
-        return Listed(api.MemberList(kind, int(raw["index"]), tuple(members)), addresses)
+            kind = EndpointListKind.FULL if raw["snapshot"] else EndpointListKind.DELTA
+        return EndpointsReceived(EndpointList(kind, int(raw["index"]), tuple(members)), addresses)
 
 
 class Move(NamedTuple):
@@ -219,9 +219,9 @@
 
     def known(self, raw: object) -> None:
         """Tell the module the list from the configuration."""
-        listing = self.reader.read(raw, api.ListKind.CACHED)
+        listing = self.reader.read(raw, EndpointListKind.CACHED)
         self.index = listing.event.version
-        self._listed = {m.server for m in listing.event.members}
+        self._listed = {m.server for m in listing.event.endpoints}
         self.router.mailbox.must_put(listing)
 
     def watch(self, active: bool) -> None:
@@ -282,7 +282,7 @@
     def _failed(self, why: str) -> None:
         self.counters.note("registry.failures")
         log.info("registry-failed", why=why)
-        self.router.mailbox.must_put(Listed(api.MemberList(api.ListKind.FAILED, self.index), {}))
+        self.router.mailbox.must_put(EndpointsReceived(EndpointList(EndpointListKind.FAILED, self.index), {}))
         if self.pushed:
             pause = AGAIN * (1 << min(self._failures, MAX_AGAIN_DOUBLED)) * self._rng.uniform(0.5, 1.5)
             self._failures += 1
@@ -371,14 +371,14 @@
             self.counters.note("registry.bad_json")
             raise ListError(f"bad JSON: {error}") from None
         listing = self.reader.read(raw)
-        if listing.event.kind == api.ListKind.DELTA and listing.event.version < self.index:
+        if listing.event.kind == EndpointListKind.DELTA and listing.event.version < self.index:
             known, self.index = self.index, 0  # it counts anew: the next call asks for the whole list
             raise ListError(f"changes for version {listing.event.version}, we have {known}")
         self.index = listing.event.version
         event = listing.event
-        gone = {m.server for m in event.members if m.state == api.ServerState.GONE}
-        told = {m.server for m in event.members} - gone
-        self._listed = told if event.kind != api.ListKind.DELTA else (self._listed | told) - gone
+        gone = {m.server for m in event.endpoints if m.state == ServerState.GONE}
+        told = {m.server for m in event.endpoints} - gone
+        self._listed = told if event.kind != EndpointListKind.DELTA else (self._listed | told) - gone
         self.reader.ids.keep(self._listed)
         self._failures = 0
         self.counters.note("registry.lists")
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from ... import interface as api
 from ...core.actors import Mailbox
 from ...core.pipe import Pipe
-from ...core.router import Attempt, Ended
+from ...core.router import Attempt, AttemptEnded
+from ...events import AttemptResult, CacheStatus, HealthCheckResult
 from ...logs import log
 from .. import meta
 from .connection import DOUBT, Connection, Job, Probing
@@ -34,7 +34,7 @@
 DRAIN_MARGIN = 100.0  # ms before the end of the drain grace from which we write nothing more
 OWN_LATE = 10.0  # ms after which we look late at something that is due
 ON_ITS_WAY = 5.0  # ms that a write takes at least until a server has it
-NOTES = {"h1": api.Note.HIT, "h0": api.Note.MISS, "h0 Z": api.Note.FETCH_OUT}
+NOTES = {"h1": CacheStatus.HIT, "h0": CacheStatus.MISS, "h0 Z": CacheStatus.FETCH_IN_FLIGHT}
 
 
 class ServerActor:
@@ -77,7 +77,7 @@
                 self.opening.wait_on(message.job)
             elif self.opening.stop(message.job):
                 self.fleet.counters.note("connections.late")
-                self.report(message.job, api.Result.CONNECT_FAILED)
+                self.report(message.job, AttemptResult.CONNECT_FAILED)
         else:
             self.pool.retire(message.idle)
 
@@ -91,21 +91,21 @@
             return True
         now = self.fleet.clock.now()
         # A request that ended meanwhile must not run, and one past the drain grace would break the drain.
-        if not job.wanted or job.request.over or job.request.withdrawn or now >= job.until:
+        if not job.pending or job.request.finished or job.request.withdrawn or now >= job.deadline:
             return False
         # The window in which a server drops repeats runs on while a connection comes up.
-        if now + ON_ITS_WAY >= job.before:
+        if now + ON_ITS_WAY >= job.write_deadline:
             return False
         return self.shut_at is None or now <= self.shut_at + self.fleet.grace - DRAIN_MARGIN
 
     def _start(self, job: Job) -> None:
         if not self._is_wanted(job):
-            self.report(job, api.Result.MOOT)
+            self.report(job, AttemptResult.NOT_SENT)
         elif (connection := self.pool.take(isinstance(job, Attempt) and job.request.is_write)) is not None:
             self._write(connection, job)
         elif not self.fleet.allow_connection():
             self.fleet.counters.note("connections.pool_exhausted")
-            self.report(job, api.Result.CONNECT_FAILED)
+            self.report(job, AttemptResult.CONNECT_FAILED)
         else:
             self.opening.start(job)
 
@@ -126,16 +126,16 @@
             return
         if connection is None:
             self.fleet.counters.note("connections.refused")
-            self.report(job, api.Result.CONNECT_FAILED)
+            self.report(job, AttemptResult.CONNECT_FAILED)
             return
         self.fleet.counters.note("connections.opened")
         self.fleet.watcher.start(self.reader.run(connection), "server-reader", lambda _: self.tell(Broken(connection)))
         if not self._is_wanted(job):
-            self.report(job, api.Result.MOOT)
+            self.report(job, AttemptResult.NOT_SENT)
             self.pool.keep(connection)
         elif not connection.is_fresh(self.pool.address):
             # Guards against a new server at an old address, and against one that turned us away at once.
-            self.report(job, api.Result.CONNECT_FAILED)
+            self.report(job, AttemptResult.CONNECT_FAILED)
             self.pool.discard(connection)
         else:
             self._write(connection, job)
@@ -146,9 +146,9 @@
         if isinstance(job, Probing):
             writer.write(b"stats load\r\n" if self.fleet.report_fields else b"mn\r\n")
         elif isinstance(job.request.payload, meta.Command):
-            wait = job.until - self.fleet.clock.now()
+            wait = job.deadline - self.fleet.clock.now()
             if job.request.body is not None:  # its time runs from its last byte, which is still to come
-                wait = min(wait, job.request.payload.wait, job.request.cls.deadline)
+                wait = min(wait, job.request.payload.wait, job.request.request_class.deadline)
             writer.writelines(meta.pass_on(job.request.payload, wait))
             if job.request.body is None:
                 self.fleet.router.telemetry.backend_calls += 1
@@ -161,10 +161,10 @@
     async def _send(self, connection: Connection, body: Pipe) -> None:
         """Write a value as its pieces come, no faster than the server takes them."""
         try:
-            while not connection.closed and not body.is_over():
+            while not connection.closed and not body.is_finished():
                 pieces = body.take()
                 for piece in pieces:
-                    if body.whole and piece is pieces[-1] and not body.has_more():
+                    if body.complete and piece is pieces[-1] and not body.has_more():
                         connection.body = None  # the last byte goes out with this piece: from now on it may have run
                         self.fleet.router.telemetry.backend_calls += 1
                     connection.writer.write(piece)
@@ -179,7 +179,7 @@
             self.pool.discard(connection)
 
     def report(
-        self, job: Job, result: api.Result, answer: meta.ServerAnswer | None = None, pipe: Pipe | None = None
+        self, job: Job, result: AttemptResult, answer: meta.ServerAnswer | None = None, pipe: Pipe | None = None
     ) -> None:
         """Tell the module's actor how a job ended. What it no longer waits for it drops itself."""
         fields = self.fleet.report_fields
@@ -191,10 +191,10 @@
         report = tuple(load[f] for f in fields) if load and all(f in load for f in fields) else ()
         if isinstance(job, Probing):
             elapsed = self.fleet.clock.now() - job.sent_at
-            self.fleet.router.mailbox.must_put(api.ProbeResult(self.number, result, elapsed, report))
+            self.fleet.router.mailbox.must_put(HealthCheckResult(self.number, result, elapsed, report))
         else:
-            note = NOTES.get(answer.note, api.Note.NONE) if answer is not None else api.Note.NONE
-            self.fleet.router.mailbox.must_put(Ended(job, result, note, report, answer, pipe))
+            note = NOTES.get(answer.note, CacheStatus.NONE) if answer is not None else CacheStatus.NONE
+            self.fleet.router.mailbox.must_put(AttemptEnded(job, result, note, report, answer, pipe))
 
     def _stalled(self, connection: Connection, sure: bool, due: float) -> None:
         """Guards against an answer that stops short: its rest will not come, and the request has time left.
@@ -207,7 +207,7 @@
         elif not connection.closed and connection.parser.is_midway():
             self.fleet.counters.note("servers.stalled")
             if connection.busy is not None:
-                self.report(connection.busy, api.Result.RESET)
+                self.report(connection.busy, AttemptResult.RESET)
             self.pool.discard(connection)
 
     def _answered(self, connection: Connection, answer: meta.ServerAnswer, pipe: Pipe | None = None) -> None:
@@ -226,16 +226,16 @@
     ) -> None:
         command, kind = job.request.payload, answer.kind
         # A spoilt answer is a broken connection to the module: only the server's own word is its error.
-        result = api.Result.ERROR if kind == meta.Kind.FAILED else api.Result.RESET
+        result = AttemptResult.ERROR if kind == meta.Kind.FAILED else AttemptResult.RESET
         if kind == meta.Kind.BUSY:
             # Guards the never-twice rule: right behind an answer it may be a stray line, and prove nothing.
             doubtful = job.request.is_write and connection.written_at - connection.answered_at < DOUBT
-            result = api.Result.RESET if doubtful else api.Result.FULL
+            result = AttemptResult.RESET if doubtful else AttemptResult.FULL
         elif kind in (meta.Kind.VALUE, meta.Kind.RECEIPT):
             fits = isinstance(command, meta.Command) and command.id == answer.id
             if fits and job.request.is_write == (kind == meta.Kind.RECEIPT):
-                result = api.Result.OK
-        if result == api.Result.RESET and kind != meta.Kind.BUSY:
+                result = AttemptResult.OK
+        if result == AttemptResult.RESET and kind != meta.Kind.BUSY:
             # Not an answer to what was asked: nobody knows what the next one on this connection would answer.
             self.fleet.counters.note("servers.bad_answers")
             if self.fleet.counters["servers.bad_answers"] <= MAX_LOGGED:
@@ -265,7 +265,7 @@
         fine = answer.kind in (meta.Kind.END, meta.Kind.READY)
         if answer.load:
             job.fields.update(answer.load)
-        self.report(job, api.Result.OK if fine else api.Result.ERROR)
+        self.report(job, AttemptResult.OK if fine else AttemptResult.ERROR)
         self.pool.keep(connection) if answer.kind != meta.Kind.OTHER else self.pool.discard(connection)
 
     def _broken(self, connection: Connection) -> None:
@@ -277,7 +277,7 @@
                 self.fleet.counters.note("connections.reset_reused")
             # A value that has not gone out whole has not begun to run.
             never = connection.body is not None
-            self.report(job, api.Result.CONNECT_FAILED if never else api.Result.RESET)
+            self.report(job, AttemptResult.CONNECT_FAILED if never else AttemptResult.RESET)
         self.pool.discard(connection)
 
     def close(self) -> None:
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -4,10 +4,11 @@
 
 import asyncio
 
-from ... import interface as api
 from ...core.actors import Watcher
 from ...core.pipe import ByteBudget
-from ...core.router import Attempt, Ended, Listed, Router
+from ...core.router import Attempt, AttemptEnded, EndpointsReceived, Router
+from ...events import AttemptResult, EndpointListKind, HealthCheckResult, ServerState
+from ...settings import Settings
 from .actor import ServerActor
 from .connection import Probing
 from .messages import Abandon, Retire, Start
@@ -22,21 +23,21 @@
 class ServerFleet:
     """Owns the actors of all cache servers that lists have named, and the budget of their connections."""
 
-    def __init__(self, settings: api.Settings, router: Router, watcher: Watcher, most: int, idle_close: float) -> None:
+    def __init__(self, settings: Settings, router: Router, watcher: Watcher, most: int, idle_close: float) -> None:
         self.router, self.watcher, self.most = router, watcher, most
         self.clock, self.counters, self.deadlines = router.clock, router.counters, router.deadlines
         self.risk = IdleRisk()
-        self.retune(settings, idle_close)
+        self.apply_settings(settings, idle_close)
         self.in_maintenance: set[int] = set()  # servers that operators leave out
         self.budget = ByteBudget(0)  # for values that come in pieces
         self.actors: dict[int, ServerActor] = {}
         self.tasks: dict[int, asyncio.Task[None]] = {}
         self._look()
 
-    def retune(self, settings: api.Settings, idle_close: float) -> None:
+    def apply_settings(self, settings: Settings, idle_close: float) -> None:
         """Take in settings, the first or new ones."""
         self.grace, self.connect_timeout = settings.drain_grace, settings.connect_timeout
-        self.report_fields = settings.report_fields
+        self.report_fields = settings.load_report_fields
         self.retire_after = idle_close * RETIRE_SHARE
 
     def set_maintenance(self, server: int, out: bool) -> None:
@@ -60,15 +61,15 @@
         self.actors.pop(number).close()
         self.tasks.pop(number).cancel()
 
-    def listed(self, listing: Listed, now: float) -> None:
+    def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
         """Take in a list: who is new, who has moved, who drains or is gone."""
         event = listing.event
-        if event.kind == api.ListKind.FAILED:
+        if event.kind == EndpointListKind.FAILED:
             return
-        shut = {m.server: m.state for m in event.members if m.state != api.ServerState.READY}
-        if event.kind != api.ListKind.DELTA:
-            named = {m.server for m in event.members}
-            shut.update({n: api.ServerState.GONE for n in self.actors if n not in named})
+        shut = {m.server: m.state for m in event.endpoints if m.state != ServerState.READY}
+        if event.kind != EndpointListKind.DELTA:
+            named = {m.server for m in event.endpoints}
+            shut.update({n: ServerState.GONE for n in self.actors if n not in named})
         for number, address in listing.addresses.items():
             actor = self.actors.get(number)
             if actor is None:
@@ -82,7 +83,7 @@
                 if actor.shut_at is None:
                     actor.shut_at = now
                     actor.mailbox.must_put(Retire(0.0))  # nothing new goes there: give descriptors back
-                if shut[number] == api.ServerState.GONE:
+                if shut[number] == ServerState.GONE:
                     actor.gone_at = now if actor.gone_at is None else actor.gone_at
             elif number in listing.addresses:
                 actor.shut_at = actor.gone_at = None
@@ -92,7 +93,7 @@
             # Guards against attempts that nobody would end: each gets its outcome, then all starts anew.
             self.counters.note("servers.actor_died")
             for job in [*actor.opening.jobs, *actor.pool.busy]:
-                actor.report(job, api.Result.RESET)
+                actor.report(job, AttemptResult.RESET)
             actor.close()
             if self.actors.get(actor.number) is actor:
                 self._run(actor)
@@ -103,22 +104,22 @@
         """Make an attempt."""
         actor = self.actors.get(attempt.server)
         if actor is None or not actor.mailbox.put(Start(attempt)):
-            self.router.mailbox.must_put(Ended(attempt, api.Result.CONNECT_FAILED))
+            self.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.CONNECT_FAILED))
 
     def abandon(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt."""
         if (actor := self.actors.get(attempt.server)) is not None:
             actor.mailbox.must_put(Abandon(attempt))
 
-    def probe(self, server: int) -> None:
+    def check_health(self, server: int) -> None:
         """Check a server."""
         job, actor = Probing(self.clock.now()), self.actors.get(server)
         if actor is None:
-            self.router.mailbox.must_put(api.ProbeResult(server, api.Result.CONNECT_FAILED, 0.0))
+            self.router.mailbox.must_put(HealthCheckResult(server, AttemptResult.CONNECT_FAILED, 0.0))
             return
 
         def late(actor: ServerActor = actor) -> None:
-            actor.report(job, api.Result.TIMEOUT)
+            actor.report(job, AttemptResult.TIMEOUT)
             actor.mailbox.must_put(Abandon(job))
 
         job.limit = self.deadlines.set(self.clock.now() + self.connect_timeout + PROBE_WAIT, late)
--- a/starlingthread/options.py
+++ b/starlingthread/options.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from .interface import Settings
+from .settings import Settings
 
 VARIABLE = "STARLINGTHREAD_OPTIONS"
 USUAL = Path("deploy/starlingthread.toml")
--- a/starlingthread/policy/__init__.py
+++ b/starlingthread/policy/__init__.py
@@ -1,4 +1,4 @@
-"""All decisions of one balancer. The types it takes and gives are in starlingthread/interface.py.
+"""All decisions of one router. Its types are in starlingthread/events.py, actions.py and settings.py.
 Parts: load, affinity (counts), choice, attempts (the gate to the wire), refusal, retries (and second copies).
 """
 
@@ -6,29 +6,27 @@
 
 import math
 
-from ..interface import (
-    Action,
+from ..actions import Action, SetTimer, WatchEndpoints
+from ..events import (
+    AttemptResult,
+    CacheStatus,
+    EndpointList,
+    EndpointListKind,
     Event,
     FirstByte,
-    ListKind,
+    HealthCheckResult,
     Maintenance,
-    MemberList,
-    Note,
     Outcome,
     PeerMessage,
-    ProbeResult,
     Request,
-    Result,
-    Retuned,
-    SetTimer,
-    Settings,
+    RequestCancelled,
+    SettingsChanged,
     Timer,
-    Watch,
-    Withdrawn,
 )
-from ..limits.feedback import adjust_limits
+from ..limits.limit_adjustment import adjust_limits
+from ..settings import Settings
 from ..state.fleet import Fleet
-from ..state.records import Server, Tracked
+from ..state.records import RequestState, Server
 from .affinity import Affinity
 from .attempts import Attempts
 from .choice import Choice
@@ -44,7 +42,7 @@
 class Balancer:
     """Every read a cache serves goes to the server with the least (load + expected cost) / affinity."""
 
-    choice_part: type[Choice] = Choice  # lab/ sets others beside them
+    choice_part: type[Choice] = Choice  # baselines/ sets others beside them
     load_part: type[LoadEstimate] = LoadEstimate
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -54,13 +52,13 @@
         self.choice = self.choice_part(self.affinity, self.attempts)
         self.refusal = Refusal(self.affinity, self.attempts)
         self.retries = Retries(self.choice, self.refusal)
-        self.ask_fails, self.subscribed = 0, not settings.must_ask
+        self.ask_fails, self.subscribed = 0, not settings.must_poll
 
     def start(self, now: float) -> list[Action]:
         """Begin: where the list must be asked for, do so at a random moment, that a fleet is no herd."""
-        self.load.pace.begin(now)
-        if self.fleet.set.must_ask:
-            self._ask_at(now + self.fleet.rng.uniform(0, self.fleet.set.ask_within * 0.3))
+        self.load.pace.start(now)
+        if self.fleet.settings.must_poll:
+            self._ask_at(now + self.fleet.rng.uniform(0, self.fleet.settings.poll_interval * 0.3))
         return self._flush()
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -69,31 +67,31 @@
             self._on_request(now, event)
         elif isinstance(event, Outcome):
             self._on_outcome(now, event)
-        elif isinstance(event, MemberList):
+        elif isinstance(event, EndpointList):
             self._on_list(now, event)
         elif isinstance(event, Timer):
             self._on_timer(now, event.label)
-        elif isinstance(event, Withdrawn):
-            if tracked := self.fleet.live.get(event.id):
+        elif isinstance(event, RequestCancelled):
+            if tracked := self.fleet.requests.get(event.id):
                 self.refusal.close(now, tracked)
         elif isinstance(event, FirstByte):
-            if tracked := self.fleet.live.get(event.id):
+            if tracked := self.fleet.requests.get(event.id):
                 tracked.streaming = True
-        elif isinstance(event, ProbeResult):
+        elif isinstance(event, HealthCheckResult):
             if server := self.fleet.servers.get(event.server):
-                self.load.hear(now, server, event.report)
+                self.load.hear(now, server, event.load_report)
         elif isinstance(event, Maintenance):
-            self.fleet.maintain(now, event)
-        elif isinstance(event, Retuned):
-            self.fleet.tune(event.settings)
+            self.fleet.set_maintenance(now, event)
+        elif isinstance(event, SettingsChanged):
+            self.fleet.apply_settings(event.settings)
             self.load.tune()
-            self.fleet.sort_out()
+            self.fleet.classify_servers()
         elif not isinstance(event, PeerMessage):
             raise TypeError(f"not an event: {event!r}")
         return self._flush()
 
     def _flush(self) -> list[Action]:
-        done, self.fleet.todo = self.fleet.todo, []
+        done, self.fleet.actions = self.fleet.actions, []
         return done
 
     def avoided(self, now: float) -> list[int]:
@@ -105,19 +103,19 @@
         ]
 
     def _ask_at(self, at: float) -> None:
-        self.fleet.todo.append(SetTimer(at, ASK))
+        self.fleet.actions.append(SetTimer(at, ASK))
 
-    def _on_list(self, now: float, event: MemberList) -> None:
-        if event.kind == ListKind.FAILED:
-            self.subscribed = not self.fleet.set.must_ask
-            if self.fleet.set.must_ask:
+    def _on_list(self, now: float, event: EndpointList) -> None:
+        if event.kind == EndpointListKind.FAILED:
+            self.subscribed = not self.fleet.settings.must_poll
+            if self.fleet.settings.must_poll:
                 doubled = float(1 << min(self.ask_fails, MAX_ASK_DOUBLED))
                 self._ask_at(now + ASK_BACK_OFF * doubled * self.fleet.rng.uniform(0.5, 1.5))
                 self.ask_fails += 1
             return
-        if event.kind != ListKind.CACHED:
+        if event.kind != EndpointListKind.CACHED:
             self.subscribed, self.ask_fails = True, 0
-        self.fleet.listed(now, event)
+        self.fleet.apply_endpoint_list(now, event)
 
     def _on_timer(self, now: float, label: int) -> None:
         if label == LOOK:
@@ -125,58 +123,67 @@
         elif label != ASK:
             self.retries.wake(now, label - 1)
         elif not self.subscribed:
-            self.fleet.todo.append(Watch(True))
+            self.fleet.actions.append(WatchEndpoints(True))
 
     def _on_request(self, now: float, req: Request) -> None:
         fleet = self.fleet
-        if req.id in fleet.live or not 0 <= req.cls < len(fleet.set.classes):
+        if req.id in fleet.requests or not 0 <= req.class_index < len(fleet.settings.classes):
             return
-        cls = fleet.set.classes[req.cls]
-        tracked = Tracked(req, cls, now, self.load.work[cls.name].expected(req.cost))
-        fleet.live[req.id] = tracked
-        if len(fleet.live) >= fleet.set.max_open or self.refusal.is_beyond_us(now, tracked):
+        cls = fleet.settings.classes[req.class_index]
+        tracked = RequestState(req, cls, now, self.load.work[cls.name].expected(req.cost_hint))
+        fleet.requests[req.id] = tracked
+        if len(fleet.requests) >= fleet.settings.max_open_requests or self.refusal.is_beyond_us(now, tracked):
             self.refusal.give_up(now, tracked)
         else:
             self.retries.route(now, tracked)
 
     def _on_outcome(self, now: float, event: Outcome) -> None:
-        tracked = self.fleet.live.get(event.id)
+        tracked = self.fleet.requests.get(event.id)
         if tracked is None or (over := self.attempts.over(tracked, event)) is None:
             return
         number, sent_at, cost, out, fetch = over
         server, result = self.fleet.servers[number], event.result
         load, hedging = self.load, self.retries.hedging
-        load.hear(now, server, event.report)
+        load.hear(now, server, event.load_report)
         self._learn(now, tracked, server, event, cost)
-        usual = load.throttle.usual if server.outliers.heard(now, sent_at, result) else math.inf
+        usual = load.throttle.typical_fetch_time if server.outliers.on_outcome(now, sent_at, result) else math.inf
         if self.fleet.zones:
-            self.fleet.zones.ended(now, server.line.zone, server.line.server, result, sent_at)
-        if not hedging.lost(result, sent_at, server.outliers):
-            adjust_limits(server.limit, load.fetches, event, out, fetch, cost, tracked.cls.aim, usual)
-        load.fetches.over(fetch)
-        if tracked.looked:
-            hedging.ended(result, tracked.chance)
-        if event.ended or tracked.ended:
+            self.fleet.zones.ended(now, server.endpoint.zone, server.endpoint.server, result, sent_at)
+        if not hedging.is_lost(result, sent_at, server.outliers):
+            adjust_limits(
+                server.concurrency,
+                load.fetches,
+                event,
+                out,
+                fetch,
+                cost,
+                tracked.request_class.latency_objective,
+                usual,
+            )
+        load.fetches.on_finished(fetch)
+        if tracked.checked_for_hedge:
+            hedging.on_outcome(result, tracked.hit_probability)
+        if event.request_finished or tracked.finished:
             self.refusal.close(now, tracked)
-        elif tracked.out == 0:
+        elif tracked.attempts_in_flight == 0:
             self.retries.go_on(now, tracked, server, result)
 
-    def _learn(self, now: float, tracked: Tracked, server: Server, event: Outcome, cost: float) -> None:
+    def _learn(self, now: float, tracked: RequestState, server: Server, event: Outcome, cost: float) -> None:
         """Take from an outcome what it tells of the server, the origin, the class and the key."""
         result, sent_at = event.result, now - event.elapsed
         failed = self.load.waited(now, tracked, server, event, cost)
-        if result in (Result.CONNECT_FAILED, Result.RESET, Result.ERROR, Result.TIMEOUT):
+        if result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET, AttemptResult.ERROR, AttemptResult.TIMEOUT):
             self.attempts.failed(now, server, result, sent_at)
-        elif result in (Result.OK, Result.MISS):
-            server.outliers.well(sent_at)
+        elif result in (AttemptResult.OK, AttemptResult.MISS):
+            server.outliers.on_success(sent_at)
         if server is self.fleet.origin:
-            return self.load.throttle.answered(now, result, event.elapsed)
-        if result == Result.OK:
+            return self.load.throttle.on_outcome(now, result, event.elapsed)
+        if result == AttemptResult.OK:
             self.load.served(now, tracked, server, event)
-        if tracked.req.key and (failed or result in (Result.OK, Result.MISS)):
-            hit = result == Result.OK and event.note != Note.MISS
-            if tracked.role >= 0:
+        if tracked.request.key and (failed or result in (AttemptResult.OK, AttemptResult.MISS)):
+            hit = result == AttemptResult.OK and event.cache_status != CacheStatus.MISS
+            if tracked.owner_group >= 0:
                 prior = self.affinity.prior
-                prior[tracked.role] += (hit - prior[tracked.role]) * 0.05
-            entry = self.affinity.entry(now, tracked.req.key)
-            self.affinity.count(now, entry, server.line.server, -1.0 if failed else 0.0, 1.0 if hit else -1.0)
+                prior[tracked.owner_group] += (hit - prior[tracked.owner_group]) * 0.05
+            entry = self.affinity.entry(now, tracked.request.key)
+            self.affinity.count(now, entry, server.endpoint.server, -1.0 if failed else 0.0, 1.0 if hit else -1.0)
--- a/starlingthread/policy/affinity.py
+++ b/starlingthread/policy/affinity.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 
 from ..balance.rendezvous import Candidate, Owner, Rendezvous
-from ..interface import Request
+from ..events import Request
 from ..state.records import Key
 from .load import HALF_LIFE, LoadEstimate
 
@@ -23,7 +23,10 @@
     def __init__(self, load: LoadEstimate) -> None:
         self.fleet, self.load = load.fleet, load
         self.keys: OrderedDict[int, Key] = OrderedDict()
-        self.owners, self.drawn_at = Rendezvous(self.fleet.set.me, OWNERS), -1  # the list that they are from
+        self.owners, self.drawn_at = (
+            Rendezvous(self.fleet.settings.router_index, OWNERS),
+            -1,
+        )  # the list that they are from
         self.prior = list(PRIOR)
 
     def entry(self, now: float, number: int) -> Key:
@@ -33,7 +36,7 @@
             for _ in range(2):  # one in, two out at most: the table shrinks again after a crowd of keys
                 oldest, old = next(iter(self.keys.items()))
                 worn = len(self.keys) > MAX_KEYS or now - old.used_at > KEY_LIFE
-                if not worn or old.waiting or old.fetcher:
+                if not worn or old.waiting or old.fetching_request:
                     break
                 del self.keys[oldest]
         else:
@@ -60,18 +63,18 @@
 
     def owners_of(self, now: float, entry: Key, req: Request) -> list[Owner]:
         """Return a key's owners by weighted stable hash: every balancer with the same list names the same."""
-        fleet, version = self.fleet, self.fleet.list_count + self.load.speed_steps
+        fleet, version = self.fleet, self.fleet.list_version + self.load.speed_steps
         if self.drawn_at != version:
             self.drawn_at = version
             self.owners.update(
                 *(
                     [
-                        Candidate(s.salt, s.line.weight * self.load.speed(s), s.line.server)
+                        Candidate(s.salt, s.endpoint.weight * self.load.speed(s), s.endpoint.server)
                         for s in fleet.ready
-                        if s.line.zone in zones
+                        if s.endpoint.zone in zones
                     ]
-                    for zones in ({s.line.zone for s in fleet.ready}, {fleet.set.zone})
+                    for zones in ({s.endpoint.zone for s in fleet.ready}, {fleet.settings.zone})
                 )
             )
-        demand = fleet.demand if fleet.set.hot_keys else None
-        return entry.owners.of(now, req.key, req.is_write, self.owners, demand)
+        demand = fleet.demand if fleet.settings.hot_keys else None
+        return entry.owners.owners(now, req.key, req.is_write, self.owners, demand)
--- a/starlingthread/policy/choice.py
+++ b/starlingthread/policy/choice.py
@@ -5,8 +5,8 @@
 import math
 
 from ..balance.load import CORES
-from ..interface import RequestClass
-from ..state.records import Key, Server, Tracked
+from ..settings import RequestClass
+from ..state.records import Key, RequestState, Server
 from .affinity import Affinity
 from .attempts import Attempts
 
@@ -24,35 +24,38 @@
 
     def _crossing(self, server: Server, cls: RequestClass) -> float:
         """What leaving the zone costs, in ms: its price in worth, and a request's worth is its aim."""
-        rules, there, zones = self.fleet.set, server.line.zone, self.fleet.zones
+        rules, there, zones = self.fleet.settings, server.endpoint.zone, self.fleet.zones
         far = zones.cost(rules.zone, there) if zones else 0.0
-        return far + rules.price_cross_zone * cls.aim if there != rules.zone else 0.0
+        return far + rules.price_cross_zone * cls.latency_objective if there != rules.zone else 0.0
 
     def _miss_cost(self, now: float, cls: RequestClass) -> float:
         """What a fetch from the origin costs, in ms: its usual time, its prices, and its scarcity."""
         throttle, origin = self.load.throttle, self.fleet.origin
-        cost = throttle.usual + (self.fleet.set.price_origin + 2 * throttle.now(now)) * cls.aim
+        cost = (
+            throttle.typical_fetch_time
+            + (self.fleet.settings.price_origin + 2 * throttle.pressure(now)) * cls.latency_objective
+        )
         return cost + (self._crossing(origin, cls) if origin else 0.0)
 
-    def choose(self, now: float, tracked: Tracked, entry: Key | None) -> Server | None:
+    def choose(self, now: float, tracked: RequestState, entry: Key | None) -> Server | None:
         """Return the server with the least score, None if none may be asked now."""
-        fleet, load, affinity, cls = self.fleet, self.load, self.affinity, tracked.cls
+        fleet, load, affinity, cls = self.fleet, self.load, self.affinity, tracked.request_class
         counted = affinity.counted(now, entry) if entry else {}
-        owners = affinity.owners_of(now, entry, tracked.req) if entry else []
+        owners = affinity.owners_of(now, entry, tracked.request) if entry else []
         if entry and entry.owners.spread:  # back to our part of its owners alone
             counted = {owner.number: counted[owner.number] for owner in owners if owner.number in counted}
         idf = math.log(max(1.0, len(fleet.ready) / len(counted))) if counted else 0.0
         total = sum(count for count, _ in counted.values())
         floors: dict[int, tuple[float, int]] = {}
-        saves = (total + 1) * fleet.demand.sharing * fleet.set.price_cross_zone * cls.aim
+        saves = (total + 1) * fleet.demand.routers_per_zone * fleet.settings.price_cross_zone * cls.latency_objective
         for number, rank, near in owners:
             # A copy more is a fetch more; it pays once not leaving the zone saves its routers as much.
-            allowed = load.fetches.copies.allows(tracked.req.key, rank, near)
-            if not allowed or (near and saves < load.throttle.usual):
+            allowed = load.fetches.replicas.allows(tracked.request.key, rank, near)
+            if not allowed or (near and saves < load.throttle.typical_fetch_time):
                 continue
             floor = max(OWNER_FLOOR, total * idf if near else 0.0) * 0.5**rank
             floors.setdefault(number, (floor, int(near)))
-        sampled = (fleet.rng.choice(fleet.ready).line.server for _ in range(SAMPLED if fleet.ready else 0))
+        sampled = (fleet.rng.choice(fleet.ready).endpoint.server for _ in range(SAMPLED if fleet.ready else 0))
         for number in (*counted, *sampled):
             floors.setdefault(number, (FLOOR, -1))
         miss_cost, best, least = self._miss_cost(now, cls), None, (True, math.inf)
@@ -61,26 +64,26 @@
             server = fleet.servers[number]
             if (
                 server.outliers.ejected_until > now
-                or number in tracked.bad
-                or number in tracked.missed
-                or (server.since > 0 and not self.attempts.is_warm_enough(now, server, tracked))
-                or (fleet.zones and not fleet.zones.is_open(now, server.line.zone, tracked.req.key))
+                or number in tracked.failed_servers
+                or number in tracked.missed_servers
+                or (server.cold_since > 0 and not self.attempts.is_warm_enough(now, server, tracked))
+                or (fleet.zones and not fleet.zones.is_open(now, server.endpoint.zone, tracked.request.key))
             ):
                 continue
             count, nudge = counted.get(number, (0.0, 0.0))
             chance = count / (count + 1) if role < 0 else max(count / (count + 1), affinity.prior[role])
             chance += nudge * (1 - chance if nudge > 0 else chance)
-            cost = tracked.cost + self._crossing(server, cls) + (1 - chance) * miss_cost
+            cost = tracked.expected_cost + self._crossing(server, cls) + (1 - chance) * miss_cost
             # Incident i952281: a crowded zone's owners drew all and refused it while other servers idled, so
             # a server that would be late comes after every one that would not, be it by what it has from us:
             # its last answers tell only of what was sent before a crowd.
             lag = load.lag(now, server)
-            wait = lag if server.limit.known else max(lag, server.tally / CORES)
+            wait = lag if server.concurrency.is_learned else max(lag, server.cost_in_flight / CORES)
             score = (
-                not server.limit.allows(server.out) or wait + load.cost(tracked, server) > limit,
+                not server.concurrency.allows(server.attempts_in_flight) or wait + load.cost(tracked, server) > limit,
                 (load.load(now, server, lag) + cost) / max(floor, count * idf),
             )
             if score < least:
-                best, least, tracked.chance = server, score, chance
-                tracked.role = role if not count else -1
+                best, least, tracked.hit_probability = server, score, chance
+                tracked.owner_group = role if not count else -1
         return best
--- a/starlingthread/policy/load.py
+++ b/starlingthread/policy/load.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from ..balance.load import CORES, LoadEstimates
-from ..interface import Note, Outcome, Result
+from ..events import AttemptResult, CacheStatus, Outcome
+from ..limits.machine_speed import MachineSpeeds
 from ..limits.origin_limit import OriginLimit
 from ..limits.origin_throttle import OriginThrottle
 from ..limits.service_time import ServiceTime
-from ..limits.slow_start import Pace
-from ..limits.speed import Speeds
+from ..limits.slow_start import ServedRate
 from ..state.fleet import Fleet
-from ..state.records import Server, Tracked
+from ..state.records import RequestState, Server
 
 FETCH_SHARE = 0.15  # of the aim: first guess of an origin fetch's time
 LATE_FETCH = 0.9  # of the aim; a fetch that takes longer earns nothing: the origin has too many
@@ -21,72 +21,85 @@
     """What our own attempts, answers and reports tell; times are ms."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.views, self.speeds, self.fetches = fleet, LoadEstimates(), Speeds(), OriginLimit()
-        self.throttle = OriginThrottle(min(c.aim for c in fleet.set.classes) * FETCH_SHARE)
+        self.fleet, self.views, self.speeds, self.fetches = fleet, LoadEstimates(), MachineSpeeds(), OriginLimit()
+        self.throttle = OriginThrottle(min(c.latency_objective for c in fleet.settings.classes) * FETCH_SHARE)
         self.work: dict[str, ServiceTime] = {}  # learned times of each class
         self.tune()
-        self.mean_work = self.work[fleet.set.classes[0].name].typical
+        self.mean_work = self.work[fleet.settings.classes[0].name].typical
         self.speed_steps = 0  # times that a kind's speed has changed: owners are drawn anew
-        self.pace = Pace(HALF_LIFE)  # of what is served
+        self.pace = ServedRate(HALF_LIFE)  # of what is served
 
     def tune(self) -> None:
         """Take in new settings; what was learned of a class stays with its name."""
-        self.views.know(self.fleet.set.report_fields)
-        classes = self.fleet.set.classes
-        self.work = {c.name: self.work.get(c.name) or ServiceTime(c.aim * 0.1) for c in classes}
+        self.views.set_report_fields(self.fleet.settings.load_report_fields)
+        classes = self.fleet.settings.classes
+        self.work = {c.name: self.work.get(c.name) or ServiceTime(c.latency_objective * 0.1) for c in classes}
 
     def speed(self, server: Server) -> float:
-        return self.speeds.of(server.line.kind)
+        return self.speeds.speed(server.endpoint.kind)
 
-    def cost(self, tracked: Tracked, server: Server) -> float:
+    def cost(self, tracked: RequestState, server: Server) -> float:
         """Return what a request should take there."""
-        return tracked.cost / self.speeds.of(server.line.kind)
+        return tracked.expected_cost / self.speeds.speed(server.endpoint.kind)
 
     def lag(self, now: float, server: Server) -> float:
-        return self.views.lag(now, server.seen)
+        return self.views.expected_wait(now, server.load)
 
     def load(self, now: float, server: Server, lag: float) -> float:
         """Return what our own attempts there have to wait for, and what else shows there."""
-        return server.tally / server.limit.width(CORES) + max(self.views.reported(now, server.seen), lag)
+        return server.cost_in_flight / server.concurrency.slots(CORES) + max(
+            self.views.reported_wait(now, server.load), lag
+        )
 
-    def limit(self, now: float, tracked: Tracked) -> float:
-        return min(tracked.deadline - now, tracked.cls.aim)  # incident iddb886: full queues made all late
+    def limit(self, now: float, tracked: RequestState) -> float:
+        return min(
+            tracked.deadline - now, tracked.request_class.latency_objective
+        )  # incident iddb886: full queues made all late
 
-    def heavy(self, tracked: Tracked) -> float:
-        return max(1.0, tracked.cost / self.mean_work)
+    def heavy(self, tracked: RequestState) -> float:
+        return max(1.0, tracked.expected_cost / self.mean_work)
 
-    def fetch_chance(self, tracked: Tracked) -> float:
+    def fetch_chance(self, tracked: RequestState) -> float:
         """How likely the server chosen would have to ask the origin for it, as far as we know."""
-        chance = 1.0 if tracked.req.is_write else 1.0 - tracked.chance if tracked.req.key else 0.0
-        return chance if self.fleet.through else 0.0
+        chance = 1.0 if tracked.request.is_write else 1.0 - tracked.hit_probability if tracked.request.key else 0.0
+        return chance if self.fleet.read_through else 0.0
 
     def hear(self, now: float, server: Server, report: tuple[float, ...]) -> None:
-        self.views.hear(now, server.seen, report, self.mean_work)
+        self.views.on_report(now, server.load, report, self.mean_work)
 
-    def waited(self, now: float, tracked: Tracked, server: Server, event: Outcome, cost: float) -> bool:
+    def waited(self, now: float, tracked: RequestState, server: Server, event: Outcome, cost: float) -> bool:
         """Take in the waiting that an attempt met; tell whether a fetch failed and nothing was stored."""
         result, sent_at = event.result, now - event.elapsed
-        lag = event.elapsed - (cost if result == Result.OK else 0.0)
+        lag = event.elapsed - (cost if result == AttemptResult.OK else 0.0)
         # Where it has answered what was sent later, a time-out tells of one connection, no queue; nor does
         # the time at the origin.
-        failed = result == Result.ERROR and (tracked.chance < 0.5 or lag > 2 * self.throttle.usual)
+        failed = result == AttemptResult.ERROR and (
+            tracked.hit_probability < 0.5 or lag > 2 * self.throttle.typical_fetch_time
+        )
         missed = (
-            event.note in (Note.MISS, Note.FETCH_OUT) or failed or (result == Result.TIMEOUT and tracked.chance < 0.5)
+            event.cache_status in (CacheStatus.MISS, CacheStatus.FETCH_IN_FLIGHT)
+            or failed
+            or (result == AttemptResult.TIMEOUT and tracked.hit_probability < 0.5)
         )
-        at_origin = self.fleet.through and (tracked.req.is_write or missed)
-        if at_origin and missed and result in (Result.OK, Result.ERROR, Result.TIMEOUT):
-            self.throttle.observe(now, result == Result.OK, max(0.0, lag), LATE_FETCH * tracked.cls.aim)
-        if not at_origin and (result == Result.OK or (result == Result.TIMEOUT and sent_at > server.outliers.answered)):
-            counts = server is not self.fleet.origin and server.outliers.heard_at >= sent_at
-            self.views.met(now, server.seen, lag, counts)
+        at_origin = self.fleet.read_through and (tracked.request.is_write or missed)
+        if at_origin and missed and result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.TIMEOUT):
+            self.throttle.observe(
+                now, result == AttemptResult.OK, max(0.0, lag), LATE_FETCH * tracked.request_class.latency_objective
+            )
+        if not at_origin and (
+            result == AttemptResult.OK
+            or (result == AttemptResult.TIMEOUT and sent_at > server.outliers.last_answered_sent_at)
+        ):
+            counts = server is not self.fleet.origin and server.outliers.last_response_at >= sent_at
+            self.views.on_wait(now, server.load, lag, counts)
         return failed and at_origin
 
-    def served(self, now: float, tracked: Tracked, server: Server, event: Outcome) -> None:
+    def served(self, now: float, tracked: RequestState, server: Server, event: Outcome) -> None:
         """Take in the time of an answer."""
-        if work := self.work.get(tracked.cls.name):
-            self.speed_steps += event.note == Note.HIT and self.speeds.observe(
-                server.line.kind, event.elapsed / work.expected(tracked.req.cost)
+        if work := self.work.get(tracked.request_class.name):
+            self.speed_steps += event.cache_status == CacheStatus.HIT and self.speeds.observe(
+                server.endpoint.kind, event.elapsed / work.expected(tracked.request.cost_hint)
             )
-            work.observe(tracked.req.cost, event.elapsed * self.speed(server))
-        self.pace.note(now)
-        self.mean_work += (tracked.cost - self.mean_work) * 0.05
+            work.observe(tracked.request.cost_hint, event.elapsed * self.speed(server))
+        self.pace.record(now)
+        self.mean_work += (tracked.expected_cost - self.mean_work) * 0.05
--- a/starlingthread/settings.py
+++ b/starlingthread/settings.py
@@ -1,97 +1,99 @@
-"""The settings object as JSON, turned into Settings; shared by the simulator's adapter and the router."""
+"""The settings of one decision module: request classes, tenants, limits and permissions. Times are in milliseconds."""
 
 from __future__ import annotations
 
-import json
-from typing import Any
+import math
+from enum import IntEnum
+from typing import NamedTuple
 
-from . import interface as api
 
-EFFECTS = {
-    "repeatable": api.Effect.REPEATABLE,
-    "by_key": api.Effect.KEYED,
-    "once": api.Effect.UNSAFE,
-}
+class Idempotency(IntEnum):
+    """Whether a request may run again."""
 
+    IDEMPOTENT = 0
+    IDEMPOTENCY_KEY = 1
+    NOT_IDEMPOTENT = 2
 
-class SettingsError(Exception):
-    """The settings are not what the wire page says."""
 
+class RequestClass(NamedTuple):
+    """One kind of request, as the operator defines it."""
 
-def parse_settings(text: bytes) -> api.Settings:
-    """Turn the settings of a Start event into Settings."""
-    try:
-        raw = json.loads(text)
-    except ValueError as error:
-        raise SettingsError(f"settings are not valid JSON: {error}") from None
-    return settings_of(raw)
+    name: str
+    idempotency: Idempotency
+    latency_objective: float
+    deadline: float
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    deduplication_scope: str = "all"  # which servers drop a repeat: "all", "zone" or "cell"
+    idempotency_window: float = 0.0
+    streamed: bool = False
+    latency_objective_stretch: float = 0.0
 
 
-def settings_of(raw: object) -> api.Settings:
-    """Turn the settings object, already parsed, into Settings."""
-    if not isinstance(raw, dict):
-        raise SettingsError("settings are not a JSON object")
-    try:
-        return _settings(raw).validated()
-    except KeyError as error:
-        raise SettingsError(f"settings lack {error}") from None
-    except (TypeError, ValueError, AttributeError) as error:
-        raise SettingsError(f"settings: {error}") from None
+class Tenant(NamedTuple):
+    """A customer and its share of the service."""
 
+    name: str
+    quota_per_s: float = 0.0
+    share: float = 1.0
 
-def _settings(raw: dict[str, Any]) -> api.Settings:
-    classes = tuple(
-        api.RequestClass(
-            name=str(c.get("name", "")),
-            effect=EFFECTS[c["effect"]],
-            aim=float(c["promiseMs"]),
-            deadline=float(c["hardLimitMs"]),
-            worth=float(c.get("worth", 1.0)),
-            late_worth=float(c.get("lateWorth", 0.0)),
-            group=c.get("group", "all"),
-            memory_span=float(c.get("memorySpanMs", 0.0)),
-            streamed=bool(c.get("streamed", False)),
-            aim_stretch=float(c.get("aimStretch", 0.0)),
-        )
-        for c in raw["grades"]
-    )
-    extra, may, prices = raw.get("extra", {}), raw["permissions"], raw.get("prices", {})
-    rules, report = raw["rules"], raw.get("report", {})
-    tenants = tuple(
-        api.Tenant(str(t.get("name", "")), float(t.get("quotaPerS", 0.0)), float(t.get("share", 1.0)))
-        for t in raw.get("tenants", ())
-    )
-    return api.Settings(
-        classes=classes,
-        me=int(raw.get("me", 0)),
-        balancers=int(raw.get("groupSize", 1)),
-        zone=int(raw.get("zone", 0)),
-        must_ask=raw.get("discovery") == "subscribe",
-        ask_within=float(rules.get("askWithinMs", 10000.0)),
-        mode=extra.get("mode", "through"),
-        origin_kind=int(extra.get("originKind", -1)),
-        tenants=tenants,
-        over_share_worth=float(raw.get("overShareWorth", 1.0)),
-        report_fields=tuple(report.get("fields", ())),
-        report_how=report.get("how", "silent"),
-        can_cancel=bool(may.get("cancel", False)),
-        can_probe=bool(may.get("probing", False)),
-        can_tell_peers=bool(may.get("peerMessages", False)),
-        second_copies=bool(may.get("mayDuplicate", False)),
-        max_attempts=int(may.get("tryLimit", 3)),
-        max_open=int(may.get("maxOpen", 1000000)),
-        max_retry_after=float(may.get("maxRetryAfterMs", 0.0)),
-        connect_timeout=float(may.get("connectTimeoutMs", 250.0)),
-        answer_slack=float(rules.get("answerSlackMs", 0.0)),
-        drain_grace=float(rules["drainGraceMs"]),
-        cold_from=float(rules.get("coldFrom", 1.0)),
-        cold_time=float(rules.get("coldMs", 0.0)),
-        overload_factor=float(rules.get("overloadFactor", 3.0)),
-        tip_after=float(rules.get("tipAfterMs", 2000.0)),
-        price_cross_zone=float(prices.get("crossZone", 0.0)),
-        price_origin=float(prices.get("origin", 0.0)),
-        price_handshake=float(prices.get("handshake", 0.0)),
-        price_late_fail=float(prices.get("lateFail", 0.0)),
-        price_waste=float(prices.get("waste", 0.0)),
-        worth_by_work=raw.get("worthBy") == "work",
-    )
+
+class Settings(NamedTuple):
+    """What a balancer is told at its start."""
+
+    classes: tuple[RequestClass, ...]
+    router_index: int = 0
+    router_count: int = 1
+    zone: int = 0
+    must_poll: bool = False  # the list has to be asked for
+    poll_interval: float = 10000.0
+    mode: str = "through"  # "aside": misses come back to us
+    origin_kind: int = -1
+    tenants: tuple[Tenant, ...] = ()
+    over_quota_weight: float = 1.0
+    load_report_fields: tuple[str, ...] = ()
+    load_report_delivery: str = "silent"
+    can_cancel: bool = False
+    can_health_check: bool = False
+    can_message_peers: bool = False
+    hedging_allowed: bool = False
+    max_attempts: int = 3
+    max_open_requests: int = 1000000
+    max_retry_after: float = 0.0
+    connect_timeout: float = 250.0
+    answer_slack: float = 0.0
+    drain_grace: float = 0.0
+    initial_capacity_share: float = 1.0
+    slow_start_duration: float = 0.0
+    overload_factor: float = 3.0
+    overload_window: float = 2000.0
+    price_cross_zone: float = 0.0
+    price_origin: float = 0.0
+    price_handshake: float = 0.0
+    price_late_fail: float = 0.0
+    price_waste: float = 0.0
+    weight_by_cost: bool = False
+    hot_keys: bool = False  # they get more owners; the operator's file turns it on
+
+    def validated(self) -> Settings:
+        """Return self, or raise a ValueError that names the setting that makes no sense."""
+        if not self.classes:
+            raise ValueError("classes: at least one request class is needed")
+        if len({cls.name for cls in self.classes}) < len(self.classes):
+            raise ValueError("classes: two have the same name")
+        for cls in self.classes:
+            if not (0 < cls.deadline < math.inf and 0 < cls.latency_objective < math.inf):
+                raise ValueError(f"classes.{cls.name}: latency_objective and deadline must be above 0")
+            if cls.deduplication_scope not in ("all", "zone", "cell"):
+                raise ValueError(
+                    f"classes.{cls.name}.deduplication_scope: {cls.deduplication_scope!r} is not all, zone or cell"
+                )
+        if self.mode not in ("aside", "through"):
+            raise ValueError(f"mode: {self.mode!r} is neither 'aside' nor 'through'")
+        if self.max_attempts < 1:
+            raise ValueError("max_attempts: must be 1 or more")
+        if self.router_count < 1:
+            raise ValueError("router_count: must be 1 or more")
+        if not 0 < self.initial_capacity_share <= 1:
+            raise ValueError("initial_capacity_share: must be above 0 and at most 1")
+        return self
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from starlingthread.core.deadlines import Deadline
-from starlingthread.interface import ServerState
+from starlingthread.events import ServerState
 from starlingthread.net import registry
 from starlingthread.net.registry import LIST_PATH, ListError, Objects
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,11 +20,11 @@
 from starlingthread import options
 from starlingthread.cli.main import main
 from starlingthread.emulator import faults, run, scenario
-from starlingthread.emulator.servers import CacheServer, LoopSchedule
 from starlingthread.emulator.discovery import DiscoveryServer, Entry
-from starlingthread.emulator.model import ServerModel, Job, OriginModel
+from starlingthread.emulator.model import Job, OriginModel, ServerModel
 from starlingthread.emulator.records import Ledger, Marked, Notified
 from starlingthread.emulator.relay import Relay
+from starlingthread.emulator.servers import CacheServer, LoopSchedule
 from starlingthread.load import results, traffic
 
 ROOT = Path(__file__).parents[1]
