--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,18 +11,26 @@
 
 import pytest
 
-from starlingthread import interface as api
+from starlingthread.actions import Reject
 from starlingthread.config import ConfigError, read_config
 from starlingthread.core.maintenance import NAME, MaintenanceSet
-from starlingthread.core.router import Ended, Taken
+from starlingthread.core.router import AttemptEnded, PendingRequest
 from starlingthread.core.telemetry import End
-from starlingthread.interface import Maintenance, ListKind, MemberList, Result, Retuned
-from starlingthread.net.upstreams import messages
+from starlingthread.events import (
+    AttemptResult,
+    EndpointList,
+    EndpointListKind,
+    HealthCheckResult,
+    Maintenance,
+    SettingsChanged,
+)
 from starlingthread.net.registry import ListReader, RegistryActor
+from starlingthread.net.upstreams import messages
+from starlingthread.settings import Idempotency
 
 from .standins import Held, talk
 from .test_router import Place
-from .world import KEYED, READ, THROUGH, UNSAFE, World, answers, members, only_send, sends
+from .world import IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, members, only_send, sends
 
 # the module leaves servers out
 
@@ -34,7 +42,7 @@
         for send in sends(world.ask(key=key)):
             found.add(send.server)
             world.now += 10.0
-            world.end(send, Result.OK)
+            world.end(send, AttemptResult.OK)
     return found
 
 
@@ -45,12 +53,12 @@
     world.do(Maintenance(2, True))  # the call may come twice
     assert chosen(world) == {1, 3, 4} and world.balancer.avoided(world.now) == [2]
     lines = tuple(m for m in members() if m.kind != 3)
-    world.do(MemberList(ListKind.FULL, 2, lines))
-    world.do(MemberList(ListKind.DELTA, 3, (lines[1]._replace(started=world.now - 50.0),)))
+    world.do(EndpointList(EndpointListKind.FULL, 2, lines))
+    world.do(EndpointList(EndpointListKind.DELTA, 3, (lines[1]._replace(started=world.now - 50.0),)))
     assert chosen(world) == {1, 3, 4}
-    world.do(MemberList(ListKind.FULL, 4, tuple(m for m in lines if m.server != 2)))
+    world.do(EndpointList(EndpointListKind.FULL, 4, tuple(m for m in lines if m.server != 2)))
     world.pass_time(60000.0)
-    world.do(MemberList(ListKind.FULL, 5, lines))
+    world.do(EndpointList(EndpointListKind.FULL, 5, lines))
     assert chosen(world) == {1, 3, 4}
     world.do(Maintenance(2, False))
     world.do(Maintenance(2, False))
@@ -59,8 +67,8 @@
 
 
 def test_retries_and_second_copies_keep_away_too() -> None:
-    settings = THROUGH._replace(second_copies=True)
-    for result in (Result.CONNECT_FAILED, Result.RESET, Result.MOOT):
+    settings = THROUGH._replace(hedging_allowed=True)
+    for result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET, AttemptResult.NOT_SENT):
         for key in range(1, 40):
             world = World(settings, seed=key)
             first = only_send(world.ask(key=key))
@@ -76,7 +84,7 @@
     for number in range(1, 5):
         world.do(Maintenance(number, True))
     (refused,) = answers(world.ask())
-    assert isinstance(refused, api.Refuse)
+    assert isinstance(refused, Reject)
 
 
 def test_a_server_that_comes_back_is_cold_until_the_list_tells_when_it_started() -> None:
@@ -86,16 +94,16 @@
     world.pass_time(2000.0)
     world.do(Maintenance(2, False))
     server = world.balancer.fleet.servers[2]
-    assert server.since == world.now and server.line.started == 0.0
+    assert server.cold_since == world.now and server.endpoint.started == 0.0
     began, few = world.now, 0
     for key in range(1, 201):
         send = only_send(world.ask(key=key))
         few += send.server == 2
         world.now += 10.0
-        world.end(send, Result.OK)
+        world.end(send, AttemptResult.OK)
     assert 0 < few < 35  # a quarter would be 50; it starts at 0.3 of its capacity, and is at 0.5 by now
-    world.do(MemberList(ListKind.DELTA, 9, (server.line._replace(started=began - 500.0),)))
-    assert world.balancer.fleet.servers[2].since == began  # never taken for warmer than it may be
+    world.do(EndpointList(EndpointListKind.DELTA, 9, (server.endpoint._replace(started=began - 500.0),)))
+    assert world.balancer.fleet.servers[2].cold_since == began  # never taken for warmer than it may be
     world.pass_time(8001.0)
     assert chosen(world) == {1, 2, 3, 4}
 
@@ -110,7 +118,7 @@
         held.fleet.set_maintenance(1, True)
         opened = messages.Start(job) if wait == "idle" else messages.Opened(job, None)
         told = held.take(opened)
-        assert [m.result for m in told] == [Result.MOOT if wait == "idle" else Result.CONNECT_FAILED]
+        assert [m.result for m in told] == [AttemptResult.NOT_SENT if wait == "idle" else AttemptResult.CONNECT_FAILED]
         assert not held.writer.transport.sent
         held.fleet.set_maintenance(1, False)
         if wait == "idle":
@@ -207,45 +215,46 @@
 
 
 FEWER = THROUGH._replace(
-    classes=(THROUGH.classes[2], THROUGH.classes[0]._replace(name="read-2", effect=api.Effect.UNSAFE)), max_attempts=1
+    classes=(THROUGH.classes[2], THROUGH.classes[0]._replace(name="read-2", idempotency=Idempotency.NOT_IDEMPOTENT)),
+    max_attempts=1,
 )
 
 
 def test_requests_under_way_keep_their_class_and_what_comes_after_has_the_new_one() -> None:
     place = Place()
-    before = [place.ask(cls) for cls in (READ, KEYED, UNSAFE)]
-    place.router.mailbox.must_put(api.ProbeResult(1, Result.OK, 1.0))
-    place.router.retune(FEWER)
-    place.give(Ended(place.started[0], Result.RESET))  # "read" is gone, but this one may still run again
+    before = [place.ask(cls) for cls in (READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)]
+    place.router.mailbox.must_put(HealthCheckResult(1, AttemptResult.OK, 1.0))
+    place.router.apply_settings(FEWER)
+    place.give(AttemptEnded(place.started[0], AttemptResult.RESET))  # "read" is gone, but this one may still run again
     assert len(place.started) == 3  # though no more attempts are allowed now
     for attempt in place.started[1:3]:
-        place.give(Ended(attempt, Result.OK, payload=b"x"))
+        place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
     (new,) = [place.ask(1)]
-    assert new.cls.name == "read-2" and len(place.started) == 4
-    place.give(Ended(place.started[3], Result.RESET))  # stricter now: it may have run
+    assert new.request_class.name == "read-2" and len(place.started) == 4
+    place.give(AttemptEnded(place.started[3], AttemptResult.RESET))  # stricter now: it may have run
     assert len(place.started) == 4
     assert [len([a for r, a in place.answers if r is request]) for request in [*before, new]] == [1, 1, 1, 1]
     figures = place.router.telemetry
-    assert figures.count("keyed", End.SUCCESS) == figures.count("unsafe", End.SUCCESS) == 1
-    assert figures.count("read-2", End.FAILURE) == 1 and figures.inflight == 0
+    assert figures.finished_count("keyed", End.SUCCESS) == figures.finished_count("unsafe", End.SUCCESS) == 1
+    assert figures.finished_count("read-2", End.FAILURE) == 1 and figures.inflight == 0
 
 
 def test_what_was_read_before_the_change_is_asked_under_the_old_settings() -> None:
     place = Place()
     now = place.clock.time
-    place.router.take(Taken(place, THROUGH.classes[0], 7, now + 900.0, b"p", now))
-    place.router.retune(FEWER)
+    place.router.submit(PendingRequest(place, THROUGH.classes[0], 7, now + 900.0, b"p", now))
+    place.router.apply_settings(FEWER)
     place.router.turn()
     (attempt,) = place.started
-    place.give(Ended(attempt, Result.OK, payload=b"x"))
-    assert place.router.telemetry.count("read", End.SUCCESS) == 1
-    assert place.router.module.fleet.set is FEWER and place.router.settings is FEWER
+    place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
+    assert place.router.telemetry.finished_count("read", End.SUCCESS) == 1
+    assert place.router.module.fleet.settings is FEWER and place.router.settings is FEWER
 
 
 def test_what_was_learned_of_a_class_that_stays_is_kept() -> None:
     world = World(THROUGH)
     world.balancer.load.work["unsafe"].typical = 77.0
-    world.do(Retuned(FEWER))
+    world.do(SettingsChanged(FEWER))
     assert {name: work.typical for name, work in world.balancer.load.work.items()} == {"unsafe": 77.0, "read-2": 50.0}
 
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -8,13 +8,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread import interface as api
-from starlingthread.core.pipe import WINDOW, Pipe, ByteBudget
-from starlingthread.core.router import Ended, Failed, Gone, Refused, Served, Taken, Whole
+from starlingthread.core.pipe import WINDOW, ByteBudget, Pipe
+from starlingthread.core.router import (
+    AttemptEnded,
+    BodyReceived,
+    ClientDisconnected,
+    Failed,
+    PendingRequest,
+    Rejected,
+    Served,
+)
 from starlingthread.core.telemetry import End
+from starlingthread.events import AttemptResult, CacheStatus, Request
 from starlingthread.net import meta
-from starlingthread.net.upstreams import messages
 from starlingthread.net.clients import MIDWAY
+from starlingthread.net.upstreams import messages
 
 from .standins import Held, Talk, talk
 from .test_router import Place
@@ -50,11 +58,11 @@
     for which, what, size in steps:
         pipe = pipes[which]
         if what == "put" and not pipe.is_full():
-            if not pipe.abandoned and pipe.whole is None:
+            if not pipe.abandoned and pipe.complete is None:
                 put[which] += b"x" * size
             pipe.put(b"x" * size)
             # One piece always; more only within the window, and only while the budget allows.
-            assert pipe.held < WINDOW + size
+            assert pipe.buffered < WINDOW + size
         elif what == "take":
             got[which] += b"".join(pipe.take())
             assert not pipe.is_full()  # so that none ever waits for another one's writer
@@ -62,13 +70,13 @@
             pipe.end(what == "end")
         elif what == "abandon":
             pipe.abandon()
-        assert budget.held == sum(p.held for p in pipes) >= 0
+        assert budget.used == sum(p.buffered for p in pipes) >= 0
     for which, pipe in enumerate(pipes):
         if not pipe.abandoned:
             assert got[which] + b"".join(pipe.take()) == put[which]
         pipe.abandon()
-        assert settled[which] == 1 and pipe.is_over()
-    assert budget.held == 0
+        assert settled[which] == 1 and pipe.is_finished()
+    assert budget.used == 0
 
 
 def test_who_reads_waits_for_who_writes_and_for_nobody_else() -> None:
@@ -91,7 +99,7 @@
         await asyncio.sleep(0)
         slow.abandon()
         await waiting
-        assert budget.held == 0
+        assert budget.used == 0
 
     asyncio.run(play())
 
@@ -114,7 +122,7 @@
     held = Held()
     asyncio.run(started(held))
     (ended,) = held.hear(GOT + VALUE[:100])
-    assert ended.result == api.Result.OK and ended.note == api.Note.HIT and ended.pipe.take() == [VALUE[:100]]
+    assert ended.result == AttemptResult.OK and ended.note == CacheStatus.HIT and ended.pipe.take() == [VALUE[:100]]
     assert not held.actor.pool.busy and not held.actor.pool.idle and held.actor.pool.delivering == {held.connection}
     assert held.hear(VALUE[100:] + b"\r") == [] and ended.pipe.whole is None
     assert held.hear(b"\n") == [] and ended.pipe.whole and held.actor.pool.idle == [held.connection]
@@ -147,7 +155,7 @@
     held = Held()
     asyncio.run(started(held))
     (ended,) = held.hear(b"VA %d O2\r\n" % LONG + VALUE)
-    assert ended.result == api.Result.RESET and ended.pipe is None and held.writer.transport.gone
+    assert ended.result == AttemptResult.RESET and ended.pipe is None and held.writer.transport.gone
 
 
 def test_what_comes_late_or_twice_is_abandoned() -> None:
@@ -156,7 +164,7 @@
     (attempt,) = place.started
     late = Pipe(ByteBudget(0))
     place.pass_time(900.0)
-    place.give(Ended(attempt, api.Result.OK, payload=b"x", pipe=late))
+    place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x", pipe=late))
     assert late.abandoned
 
 
@@ -164,12 +172,12 @@
     for whole, end in ((True, End.SUCCESS), (False, End.FAILURE), (None, End.ABANDONED)):
         place = Place()
         request, pipe = place.ask(), Pipe(ByteBudget(0))
-        place.give(Ended(place.started[0], api.Result.OK, payload=b"x", pipe=pipe))
+        place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"x", pipe=pipe))
         assert place.answers == [(request, Served(b"x", pipe))] and place.router.telemetry.inflight == 1
         place.pass_time(5000.0)  # long past its deadline: what the server still gives is not cut off
         assert not pipe.abandoned and len(place.answers) == 1
         pipe.abandon() if whole is None else pipe.end(whole)
-        assert place.router.telemetry.count("read", end) == 1 and place.router.telemetry.inflight == 0
+        assert place.router.telemetry.finished_count("read", end) == 1 and place.router.telemetry.inflight == 0
 
 
 class Reader(Talk):
@@ -202,7 +210,7 @@
         pipe = await Reader.begin(now)
         pipe.end(False)
         await now.settle()
-        assert now.writer.transport.gone and pipe.is_over()
+        assert now.writer.transport.gone and pipe.is_finished()
 
     assert talk(script) == GOT + VALUE[:9]  # and nothing behind it
 
@@ -225,7 +233,7 @@
         await now.settle()
         pipe.put(VALUE[20:])  # the writer waits, so this one stays
         await now.settle()
-        assert pipe.held == LONG - 20 and pipe.is_full()  # there is no budget beyond one piece
+        assert pipe.buffered == LONG - 20 and pipe.is_full()  # there is no budget beyond one piece
         now.writer.transport.unsent = 0
         await now.settle()
         assert not pipe.is_full()
@@ -240,7 +248,7 @@
 
 def test_a_large_write_is_asked_for_with_its_head_and_its_time_runs_from_its_last_byte() -> None:
     async def script(now: Talk) -> None:
-        now.front.budget.most = 1 << 20
+        now.front.budget.limit = 1 << 20
         now.reader.feed_data(PUT + VALUE[:7])
         assert await now.settle() == []  # a head alone holds no place at a server
         now.reader.feed_data(VALUE[7:-9])
@@ -250,7 +258,7 @@
         now.router.clock.time += 2000.0  # type: ignore[attr-defined]
         now.reader.feed_data(VALUE[-9:] + b"\r\nmn\r\n")
         (whole,) = await now.settle()
-        assert isinstance(whole, Whole) and whole.ends == now.front.clock.now() + 500.0 - 4.0
+        assert isinstance(whole, BodyReceived) and whole.deadline == now.front.clock.now() + 500.0 - 4.0
         assert b"".join(pipe.take()) == VALUE[-9:] + b"\r\n" and pipe.whole
         now.actor.answer(request, Failed())
 
@@ -262,11 +270,11 @@
         now.reader.feed_data(PUT + VALUE[:7])
         (asked,) = await now.settle()
         asked.request.body.abandon()
-        now.actor.answer(asked.request, Refused(100.0))
+        now.actor.answer(asked.request, Rejected(100.0))
         await now.settle()
         assert not now.writer.transport.sent
         now.reader.feed_data(VALUE[7:] + b"\r\n" + b"mn\r\n")
-        assert await now.settle() == [] and now.front.budget.held == 0
+        assert await now.settle() == [] and now.front.budget.used == 0
 
     assert talk(script) == b"SERVER_ERROR busy 100\r\n" + meta.READY_LINE
 
@@ -275,7 +283,7 @@
     for how in ("bad end", "stuck", "left"):
 
         async def script(now: Talk, how: str = how) -> None:
-            now.front.budget.most = 1 << 20
+            now.front.budget.limit = 1 << 20
             now.reader.feed_data(PUT + VALUE[:-7])
             (asked,) = await now.settle()
             if how == "bad end":
@@ -287,7 +295,7 @@
                 now.router.clock.time += MIDWAY  # type: ignore[attr-defined]
                 now.actor.look(now.front.clock.now(), False)
             (gone,) = await now.settle()
-            assert isinstance(gone, Gone) and asked.request.body.whole is False
+            assert isinstance(gone, ClientDisconnected) and asked.request.body.whole is False
             assert now.writer.transport.gone and not now.front.open_ids
             asked.request.body.abandon()
 
@@ -297,13 +305,13 @@
 
 def test_a_head_whose_value_never_comes_was_never_asked() -> None:
     async def script(now: Talk) -> None:
-        now.front.budget.most = 1 << 20
+        now.front.budget.limit = 1 << 20
         now.reader.feed_data(PUT + VALUE[:7])
         assert await now.settle() == []
         now.router.clock.time += MIDWAY  # type: ignore[attr-defined]
         now.actor.look(now.front.clock.now(), False)
         assert await now.settle() == [] and now.writer.transport.gone
-        assert not now.front.open_ids and now.front.budget.held == now.router.telemetry.inflight == 0
+        assert not now.front.open_ids and now.front.budget.used == now.router.telemetry.inflight == 0
 
     assert talk(script) == b"CLIENT_ERROR command not finished\r\n"
 
@@ -339,7 +347,7 @@
 
 
 def test_a_write_is_counted_and_may_have_run_only_once_its_last_byte_is_out() -> None:
-    async def play(whole: bool, breaks: str) -> tuple[api.Result, int]:
+    async def play(whole: bool, breaks: str) -> tuple[AttemptResult, int]:
         held = Write()
         await held.begin()
         held.body.put(VALUE[7:50])
@@ -355,32 +363,34 @@
         assert whole or held.body.abandoned
         return told[0].result, held.place.router.telemetry.backend_calls
 
-    assert asyncio.run(play(False, "reset")) == (api.Result.CONNECT_FAILED, 0)
-    assert asyncio.run(play(True, "reset")) == (api.Result.RESET, 1)
-    assert asyncio.run(play(False, "answer")) == (api.Result.ERROR, 0)
-    assert asyncio.run(play(True, "answer")) == (api.Result.ERROR, 1)
+    assert asyncio.run(play(False, "reset")) == (AttemptResult.CONNECT_FAILED, 0)
+    assert asyncio.run(play(True, "reset")) == (AttemptResult.RESET, 1)
+    assert asyncio.run(play(False, "answer")) == (AttemptResult.ERROR, 0)
+    assert asyncio.run(play(True, "answer")) == (AttemptResult.ERROR, 1)
 
 
 def test_a_request_whose_value_is_coming_has_until_its_last_byte_and_then_its_own_time() -> None:
     place = Place()
     now = place.clock.time
-    request = Taken(place, THROUGH.classes[1], 7, now + 30000.0, b"p", now, is_write=True, body=Pipe(ByteBudget(0)))
-    place.router.take(request)
+    request = PendingRequest(
+        place, THROUGH.classes[1], 7, now + 30000.0, b"p", now, is_write=True, body=Pipe(ByteBudget(0))
+    )
+    place.router.submit(request)
     place.router.turn()
     place.pass_time(2500.0)
-    assert place.started[0].wanted and place.answers == []
-    place.give(Whole(request, place.clock.time + 700.0))
+    assert place.started[0].pending and place.answers == []
+    place.give(BodyReceived(request, place.clock.time + 700.0))
     assert place.started[0].sent_at == place.clock.time
     place.pass_time(699.0)
     assert place.answers == []
     place.pass_time(1.0)
-    assert len(place.answers) == 1 and not place.started[0].wanted and place.abandoned == place.started
+    assert len(place.answers) == 1 and not place.started[0].pending and place.abandoned == place.started
 
 
 def test_the_module_sends_once_only_what_is_not_held_whole() -> None:
-    for result in (api.Result.CONNECT_FAILED, api.Result.FULL, api.Result.RESET, api.Result.ERROR):
-        world = World(THROUGH._replace(second_copies=True))
-        request = api.Request(1, 1, 2000.0, key=7, cost=40.0, is_write=True, single=True)
+    for result in (AttemptResult.CONNECT_FAILED, AttemptResult.FULL, AttemptResult.RESET, AttemptResult.ERROR):
+        world = World(THROUGH._replace(hedging_allowed=True))
+        request = Request(1, 1, 2000.0, key=7, cost_hint=40.0, is_write=True, single_use=True)
         send = only_send(world.do(request))
         assert sends(world.pass_time(400.0)) == []  # no second copy of it either
         after = world.end(send, result)
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -2,9 +2,22 @@
 
 from __future__ import annotations
 
-from starlingthread.interface import Refuse, Request, Result
-
-from .world import ASIDE, KEYED, READ, THROUGH, World, answers, fetch_many, late_reads, members, only_send, sends
+from starlingthread.actions import Reject
+from starlingthread.events import AttemptResult, Request
+
+from .world import (
+    ASIDE,
+    IDEMPOTENCY_KEY,
+    READ,
+    THROUGH,
+    World,
+    answers,
+    fetch_many,
+    late_reads,
+    members,
+    only_send,
+    sends,
+)
 
 
 def test_most_of_what_would_miss_its_aim_is_refused_early() -> None:
@@ -35,7 +48,7 @@
 
 def test_a_refused_client_is_told_when_to_come_back() -> None:
     world = World(ASIDE._replace(max_retry_after=2000.0), ())
-    told = [refusal.retry_after for _ in range(20) for refusal in answers(world.ask()) if isinstance(refusal, Refuse)]
+    told = [refusal.retry_after for _ in range(20) for refusal in answers(world.ask()) if isinstance(refusal, Reject)]
     assert len(told) == 20 and all(1.0 <= ms <= 2000.0 for ms in told) and len(set(told)) > 10
 
 
@@ -47,15 +60,15 @@
         for key in range(400):
             world.now += 10.0
             world.next_id += 1
-            done = world.do(Request(world.next_id, cls, 900.0, key=key + 1, cost=40.0, waited=waited))
+            done = world.do(Request(world.next_id, cls, 900.0, key=key + 1, cost_hint=40.0, queue_time=waited))
             count += len(answers(done))
             for send in sends(done):
-                world.end(send, Result.OK)
+                world.end(send, AttemptResult.OK)
         return count
 
     world = World(THROUGH)
     assert refused(world, 5.0) == 0
-    reads, writes = refused(world, 40.0), refused(world, 40.0, KEYED)
+    reads, writes = refused(world, 40.0), refused(world, 40.0, IDEMPOTENCY_KEY)
     assert 100 < reads < 350 and 0 < writes < 200
     refused(world, 5.0)
     assert refused(world, 5.0) == 0
@@ -67,8 +80,8 @@
     world.balancer.affinity.prior = [0.1, 0.1]
     for _ in range(20):
         world.read(7)
-    fetch_many(world, 40, Result.OK)
+    fetch_many(world, 40, AttemptResult.OK)
     assert not [a for key in range(50) for a in answers(world.ask(500000 + key))]
-    fetch_many(world, 40, Result.ERROR, 200.0)
+    fetch_many(world, 40, AttemptResult.ERROR, 200.0)
     spared = len([a for key in range(50) for a in answers(world.ask(600000 + key))])
     assert spared > 25 and only_send(world.ask(7))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread import interface as api
 from starlingthread.core.actors import Watcher
+from starlingthread.events import Endpoint, EndpointListKind, ServerState
 from starlingthread.net.registry import LIST_PATH, Ids, ListError, ListReader, RegistryActor
 
 from .test_router import Place
@@ -30,10 +30,10 @@
     reader = ListReader(("a", "b"), ("m1", "m2"))
     odd = {**LINE, "name": "s-2", "zone": "x", "type": None, "status": "terminating"}
     told = reader.read({"index": 4, "snapshot": False, "endpoints": [odd, LINE]})
-    one, two = told.event.members
-    assert one == api.Member(Ids().of("s-1"), 1, 1, 3, api.ServerState.READY, 1.5, 17.0)
-    assert (two.zone, two.kind, two.state) == (2, 2, api.ServerState.DRAINING)
-    assert told.event.kind == api.ListKind.DELTA and told.addresses[one.server] == ("127.0.0.1", 11211)
+    one, two = told.event.endpoints
+    assert one == Endpoint(Ids().of("s-1"), 1, 1, 3, ServerState.READY, 1.5, 17.0)
+    assert (two.zone, two.kind, two.state) == (2, 2, ServerState.DRAINING)
+    assert told.event.kind == EndpointListKind.DELTA and told.addresses[one.server] == ("127.0.0.1", 11211)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -49,7 +49,7 @@
 def test_any_json_is_a_list_or_a_list_error(raw: object) -> None:
     for text in (raw, {"index": 1, "snapshot": True, "endpoints": [raw, {**LINE, "zone": raw}]}):
         with contextlib.suppress(ListError):
-            assert ListReader(("a",), ("m1",)).read(text).event.kind in api.ListKind
+            assert ListReader(("a",), ("m1",)).read(text).event.kind in EndpointListKind
 
 
 def test_ids_come_from_the_name_and_collisions_are_told_apart() -> None:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from starlingthread.interface import Fail, Result, Withdrawn
+from starlingthread.actions import Fail
+from starlingthread.events import AttemptResult, RequestCancelled
 
-from .world import COPIES, KEYED, READ, THROUGH, UNSAFE, World, answers, only_send, sends, warmed_up
+from .world import COPIES, IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, only_send, sends, warmed_up
 
 
 def test_what_stays_out_gets_one_second_copy_elsewhere_and_unsafe_work_none() -> None:
@@ -17,8 +18,8 @@
     assert first.server == owner and not sends(world.pass_time(324.0))
     second = only_send(world.pass_time(2.0))
     assert second.server != owner and not sends(world.pass_time(400.0))
-    world.end(second, Result.OK, attempt=1, elapsed=30.0)
-    only_send(world.ask(7, UNSAFE))
+    world.end(second, AttemptResult.OK, attempt=1, elapsed=30.0)
+    only_send(world.ask(7, NOT_IDEMPOTENT))
     assert not sends(world.pass_time(900.0))
 
 
@@ -27,7 +28,7 @@
     warmed_up(world)
     first = only_send(world.ask(7))
     world.pass_time(324.0)  # a copy is due 1 ms later
-    world.do(Withdrawn(first.id))
+    world.do(RequestCancelled(first.id))
     assert not sends(world.pass_time(700.0))
 
 
@@ -44,23 +45,23 @@
     """On rate+silent+leave 19 of 20 requests that were overtaken timed out: single connections had died."""
     world = World(COPIES)
 
-    def overtaken(result: Result, left: float) -> bool:
+    def overtaken(result: AttemptResult, left: float) -> bool:
         warmed_up(world)
         first, sent_at = only_send(world.ask(7)), world.now
         world.now += 100.0
         assert any(world.read(7) == first.server for _ in range(5))
         copies = sends(world.pass_time(400.0 + sent_at - world.now))
         for copy in copies:
-            world.end(copy, Result.OK, attempt=1)
-            world.end(first, Result.CANCELLED)
+            world.end(copy, AttemptResult.OK, attempt=1)
+            world.end(first, AttemptResult.CANCELLED)
         if not copies:
             world.now = sent_at + 1000.0 - left
             world.end(first, result, elapsed=1000.0 - left)
         return bool(copies)
 
-    assert [overtaken(Result.TIMEOUT, 0.0) for _ in range(40)].index(True) in range(10, 20)
-    assert sum(overtaken(Result.OK, 500.0) for _ in range(80)) in range(5, 60)  # some get none, and show it
-    assert not any(overtaken(Result.OK, 500.0) for _ in range(20))
+    assert [overtaken(AttemptResult.TIMEOUT, 0.0) for _ in range(40)].index(True) in range(10, 20)
+    assert sum(overtaken(AttemptResult.OK, 500.0) for _ in range(80)) in range(5, 60)  # some get none, and show it
+    assert not any(overtaken(AttemptResult.OK, 500.0) for _ in range(20))
 
 
 @pytest.mark.parametrize("dead", [0.0, 0.9])
@@ -69,9 +70,9 @@
     world = World(COPIES)
     warmed_up(world)
     hedging, fetches = world.balancer.retries.hedging, world.balancer.load.fetches
-    hedging.dead, world.balancer.affinity.prior = dead, [0.0, 0.0]
+    hedging.lost_share, world.balancer.affinity.prior = dead, [0.0, 0.0]
     for key in range(100, 140):
-        hedging.saved = 0.0
+        hedging.tokens = 0.0
         if not (sent := sends(world.ask(key))):
             break
         first = sent[0]
@@ -80,14 +81,16 @@
             world.now += 1.0
             world.balancer.affinity.keys[7].counts = {first.server: (50.0, world.now, 1.0)}
         world.now += 900.0
-        world.end(first, Result.TIMEOUT, elapsed=990.0)
-    assert fetches.limit.known == (dead == 0.0)
+        world.end(first, AttemptResult.TIMEOUT, elapsed=990.0)
+    assert fetches.limit.is_learned == (dead == 0.0)
     for _ in range(20):
-        hedging.sent(500.0, True)
-    assert (hedging.saved >= 2.0) == (dead > 0)
+        hedging.on_first_attempt(500.0, True)
+    assert (hedging.tokens >= 2.0) == (dead > 0)
     outliers = world.balancer.fleet.servers[first.server].outliers
-    assert hedging.pays(outliers.heard_at - 1.0, outliers, 0.0, 3.0, 0.5) == (dead > 0)  # a fetch out too long
-    assert not hedging.pays(outliers.heard_at - 1.0, outliers, 0.0, 1.0, 0.5)
+    assert hedging.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 3.0, 0.5) == (
+        dead > 0
+    )  # a fetch out too long
+    assert not hedging.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 1.0, 0.5)
 
 
 def test_second_copies_are_few_and_none_where_all_are_slow() -> None:
@@ -98,7 +101,7 @@
     assert 0 < copies <= 0.04 * (len(asked) + 41) + 1
     slow = World(COPIES)
     warmed_up(slow)
-    slow.balancer.load.views.mean_lag = 300.0
+    slow.balancer.load.views.mean_wait = 300.0
     slow.ask(7)
     assert not sends(slow.pass_time(400.0))
 
@@ -107,22 +110,22 @@
     world = World(THROUGH)
     owner = warmed_up(world)
     first = only_send(world.ask(7))
-    second = only_send(world.end(first, Result.RESET))
-    third = only_send(world.end(second, Result.RESET, attempt=1))
+    second = only_send(world.end(first, AttemptResult.RESET))
+    third = only_send(world.end(second, AttemptResult.RESET, attempt=1))
     assert first.server == second.server == owner != third.server
 
 
 def test_what_never_ran_clears_no_other_attempt_at_the_same_server_and_time() -> None:
     """Guards the rule on refusals where a broken keyed write goes to the same server again at once."""
-    keyed = THROUGH.classes[KEYED]._replace(group="zone")
+    keyed = THROUGH.classes[IDEMPOTENCY_KEY]._replace(deduplication_scope="zone")
     world = World(THROUGH._replace(classes=(THROUGH.classes[READ], keyed)))
-    first = only_send(world.ask(7, KEYED))
-    second = only_send(world.end(first, Result.RESET, elapsed=0.0))
+    first = only_send(world.ask(7, IDEMPOTENCY_KEY))
+    second = only_send(world.end(first, AttemptResult.RESET, elapsed=0.0))
     assert second.server == first.server
     world.balancer.fleet.servers[first.server].unavailable = True
     for server in world.balancer.fleet.servers.values():
         server.outliers.ejected_until = world.now + 9000.0
-    done = world.end(second, Result.CONNECT_FAILED, attempt=1, elapsed=0.0)
+    done = world.end(second, AttemptResult.CONNECT_FAILED, attempt=1, elapsed=0.0)
     assert [type(a) for a in answers(done)] == [Fail]
 
 
@@ -131,5 +134,5 @@
     world = World(THROUGH)
     world.balancer.affinity.prior = [0.1, 0.1]
     first = only_send(world.ask(9))
-    assert len(answers(world.end(first, Result.ERROR, elapsed=200.0))) == 1
+    assert len(answers(world.end(first, AttemptResult.ERROR, elapsed=200.0))) == 1
     assert world.balancer.affinity.keys[9].counts[first.server][0] < 0.1 and min(world.balancer.affinity.prior) < 0.1
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -10,7 +10,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread import interface as api
 from starlingthread.core.actors import Clock, Mailbox
 from starlingthread.core.counters import Counters
 from starlingthread.core.deadlines import Deadline, Deadlines
@@ -18,18 +17,20 @@
     Answer,
     Asked,
     Attempt,
-    Ended,
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsReceived,
     Failed,
-    Gone,
-    Listed,
     Message,
-    Refused,
+    PendingRequest,
+    Rejected,
     Router,
     Served,
-    Taken,
 )
+from starlingthread.events import AttemptResult, EndpointList, EndpointListKind
+from starlingthread.settings import Settings
 
-from .world import KEYED, READ, THROUGH, UNSAFE, members
+from .world import IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, members
 
 
 class HandClock(Clock):
@@ -44,20 +45,20 @@
 class Place:
     """A router whose clients, fleet and discovery only take notes."""
 
-    def __init__(self, settings: api.Settings = THROUGH) -> None:
+    def __init__(self, settings: Settings = THROUGH) -> None:
         self.clock = HandClock()
         self.router = Router(settings, 1, self.clock, Deadlines(), Counters())
         self.router.fleet = self.router.registry = self.router.peers = self  # type: ignore[assignment]
         self.started: list[Attempt] = []
         self.abandoned: list[Attempt] = []
-        self.answers: list[tuple[Taken, Answer]] = []
+        self.answers: list[tuple[PendingRequest, Answer]] = []
         fleet = tuple(m for m in members(4) if m.kind != 3)
-        self.give(Listed(api.MemberList(api.ListKind.CACHED, 1, fleet), {}))
+        self.give(EndpointsReceived(EndpointList(EndpointListKind.CACHED, 1, fleet), {}))
 
-    def answer(self, request: Taken, answer: Answer) -> None:
+    def answer(self, request: PendingRequest, answer: Answer) -> None:
         self.answers.append((request, answer))
 
-    def listed(self, listing: Listed, now: float) -> None:
+    def listed(self, listing: EndpointsReceived, now: float) -> None:
         pass
 
     def start(self, attempt: Attempt) -> None:
@@ -71,10 +72,12 @@
         while len(self.router.mailbox):
             self.router.turn()
 
-    def ask(self, cls: int = READ, wait: float = 900.0) -> Taken:
+    def ask(self, cls: int = READ, wait: float = 900.0) -> PendingRequest:
         now = self.clock.time
-        request = Taken(self, self.router.settings.classes[cls], 7, now + wait, b"payload", now, is_write=cls != READ)
-        self.router.take(request)
+        request = PendingRequest(
+            self, self.router.settings.classes[cls], 7, now + wait, b"payload", now, is_write=cls != READ
+        )
+        self.router.submit(request)
         while len(self.router.mailbox):
             self.router.turn()
         return request
@@ -92,7 +95,7 @@
 def test_an_answer_goes_to_the_client_and_all_is_forgotten() -> None:
     place = Place()
     request = place.ask()
-    place.give(Ended(place.started[0], api.Result.OK, payload=b"value"))
+    place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"value"))
     assert place.answers == [(request, Served(b"value"))]
     assert not place.router.requests and not place.router.attempts
 
@@ -101,9 +104,9 @@
     place = Place()
     request = place.ask()
     place.pass_time(900.0)
-    assert place.abandoned == place.started and not place.started[0].wanted
-    assert place.answers == [(request, Refused(place.answers[0][1].retry_after))]  # type: ignore[union-attr]
-    place.give(Ended(place.started[0], api.Result.OK, payload=b"late"))
+    assert place.abandoned == place.started and not place.started[0].pending
+    assert place.answers == [(request, Rejected(place.answers[0][1].retry_after))]  # type: ignore[union-attr]
+    place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"late"))
     assert len(place.answers) == 1
 
 
@@ -111,7 +114,7 @@
     """Guards the order of a turn: after a pause of the process both are due at once."""
     place = Place()
     request = place.ask()
-    place.router.mailbox.must_put(Ended(place.started[0], api.Result.OK, payload=b"v"))
+    place.router.mailbox.must_put(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"v"))
     place.clock.time += 2000.0
     place.router.turn()
     assert place.answers == [(request, Served(b"v"))]
@@ -120,16 +123,16 @@
 def test_a_client_that_left_gets_no_answer_and_its_attempt_is_given_up() -> None:
     place = Place()
     request = place.ask()
-    place.give(Gone(request))
+    place.give(ClientDisconnected(request))
     assert place.answers == [] and place.abandoned == place.started
     assert not place.router.requests
 
 
-@pytest.mark.parametrize("result", [api.Result.TIMEOUT, api.Result.RESET, api.Result.ERROR])
-def test_an_unsafe_request_that_may_have_run_is_never_sent_again(result: api.Result) -> None:
+@pytest.mark.parametrize("result", [AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.ERROR])
+def test_an_unsafe_request_that_may_have_run_is_never_sent_again(result: AttemptResult) -> None:
     place = Place()
-    place.ask(UNSAFE)
-    place.give(Ended(place.started[0], result))
+    place.ask(NOT_IDEMPOTENT)
+    place.give(AttemptEnded(place.started[0], result))
     place.pass_time(2000.0)
     assert len(place.started) == 1
     assert [type(a) for _, a in place.answers] == [Failed]
@@ -155,7 +158,7 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["ask", "end", "gone", "time"]), st.integers(0, 9), st.sampled_from(list(api.Result)[:7])
+        st.sampled_from(["ask", "end", "gone", "time"]), st.integers(0, 9), st.sampled_from(list(AttemptResult)[:7])
     ),
     min_size=20,
     max_size=120,
@@ -164,24 +167,24 @@
 
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(STEPS)
-def test_every_request_gets_one_answer_at_most_and_in_time(steps: list[tuple[str, int, api.Result]]) -> None:
+def test_every_request_gets_one_answer_at_most_and_in_time(steps: list[tuple[str, int, AttemptResult]]) -> None:
     place, asked, left = Place(), [], set()
     for what, pick, result in steps:
         place.clock.time += 1.0
         if what == "ask":
-            asked.append(place.ask((READ, KEYED, UNSAFE)[pick % 3], 100.0 + 200 * pick))
+            asked.append(place.ask((READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)[pick % 3], 100.0 + 200 * pick))
         elif what == "end" and place.started:
-            place.give(Ended(place.started[-1 - pick % len(place.started)], result, payload=b"v"))
+            place.give(AttemptEnded(place.started[-1 - pick % len(place.started)], result, payload=b"v"))
         elif what == "gone" and asked:
             request = asked[pick % len(asked)]
-            left |= set() if request.over else {request.id}
-            place.give(Gone(request))
+            left |= set() if request.finished else {request.id}
+            place.give(ClientDisconnected(request))
         else:
             place.pass_time(30.0 * pick)
     place.pass_time(5000.0)
     assert sorted([r.id for r, _ in place.answers] + list(left)) == [r.id for r in asked]
-    assert not place.router.requests and not any(a.wanted for a in place.started)
-    assert all(r.sends <= THROUGH.max_attempts for r in asked)
+    assert not place.router.requests and not any(a.pending for a in place.started)
+    assert all(r.attempts_started <= THROUGH.max_attempts for r in asked)
 
 
 @settings(derandomize=True, deadline=None)
@@ -247,7 +250,9 @@
     for share in (0.3, 0.39, 0.3):
         used += share * 0.25
         place.pass_time(250.0)
-        request = Taken(place, THROUGH.classes[READ], 7, place.clock.time + 900.0, b"p", place.clock.time - 30.0)
+        request = PendingRequest(
+            place, THROUGH.classes[READ], 7, place.clock.time + 900.0, b"p", place.clock.time - 30.0
+        )
         with patch.object(place.router.module, "handle", return_value=[]) as handle:
             place.give(Asked(request))
         told.append(handle.call_args.args[1].waited)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,31 +8,27 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread.interface import (
-    Fail,
+from starlingthread.actions import Fail, Reject, Send, SetTimer, WatchEndpoints
+from starlingthread.events import (
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
     FirstByte,
-    ListKind,
-    Member,
-    MemberList,
     Outcome,
-    Refuse,
-    Result,
-    Send,
+    RequestCancelled,
     ServerState,
-    SetTimer,
-    Settings,
-    Watch,
-    Withdrawn,
 )
+from starlingthread.settings import Settings
 
 from .world import (
     ASIDE,
     CLASSES,
-    KEYED,
+    IDEMPOTENCY_KEY,
+    NOT_IDEMPOTENT,
     ORIGIN,
     READ,
     THROUGH,
-    UNSAFE,
     World,
     answers,
     members,
@@ -45,40 +41,42 @@
     world = World()
     first = only_send(world.ask())
     assert first.server != ORIGIN
-    fetch = only_send(world.end(first, Result.MISS))
+    fetch = only_send(world.end(first, AttemptResult.MISS))
     assert fetch.server == ORIGIN
-    assert answers(world.end(fetch, Result.OK, 1)) == []
+    assert answers(world.end(fetch, AttemptResult.OK, 1)) == []
     world.checker.all_answered()
 
 
-@pytest.mark.parametrize("cls", [KEYED, UNSAFE])
+@pytest.mark.parametrize("cls", [IDEMPOTENCY_KEY, NOT_IDEMPOTENT])
 def test_writes_go_straight_to_the_origin_aside(cls: int) -> None:
     world = World()
     assert only_send(world.ask(cls=cls)).server == ORIGIN
 
 
-@pytest.mark.parametrize("result", [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED])
-def test_an_unsafe_request_that_may_have_run_fails(result: Result) -> None:
+@pytest.mark.parametrize(
+    "result", [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
+)
+def test_an_unsafe_request_that_may_have_run_fails(result: AttemptResult) -> None:
     world = World(THROUGH)
-    send = only_send(world.ask(cls=UNSAFE, budget=2000.0))
+    send = only_send(world.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
     done = world.end(send, result)
     assert sends(done) == []
     assert answers(done) == [Fail(send.id)]
 
 
-@pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED])
-def test_an_unsafe_request_that_never_ran_may_go_on(result: Result) -> None:
+@pytest.mark.parametrize("result", [AttemptResult.FULL, AttemptResult.CONNECT_FAILED])
+def test_an_unsafe_request_that_never_ran_may_go_on(result: AttemptResult) -> None:
     world = World(THROUGH)
-    send = only_send(world.ask(cls=UNSAFE, budget=2000.0))
+    send = only_send(world.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
     assert only_send(world.end(send, result)).server != send.server
 
 
 def test_a_keyed_request_stays_in_its_group_and_its_time() -> None:
-    zoned = (CLASSES[0], CLASSES[1]._replace(group="zone"), CLASSES[2])
+    zoned = (CLASSES[0], CLASSES[1]._replace(deduplication_scope="zone"), CLASSES[2])
     world = World(THROUGH._replace(classes=zoned), members(4, zones=2))
-    send = only_send(world.ask(cls=KEYED, budget=2000.0))
+    send = only_send(world.ask(cls=IDEMPOTENCY_KEY, budget=2000.0))
     world.now += 100
-    again = world.end(send, Result.ERROR)
+    again = world.end(send, AttemptResult.ERROR)
     for more in sends(again):
         assert more.server % 2 == send.server % 2
     assert all(isinstance(a, Fail) for a in answers(again))
@@ -86,25 +84,25 @@
 
 def test_a_keyed_request_is_not_sent_past_the_memory_of_repeats() -> None:
     world = World(THROUGH)
-    send = only_send(world.ask(cls=KEYED, budget=2000.0))
+    send = only_send(world.ask(cls=IDEMPOTENCY_KEY, budget=2000.0))
     world.now += 1600
-    assert answers(world.end(send, Result.ERROR)) == [Fail(send.id)]
+    assert answers(world.end(send, AttemptResult.ERROR)) == [Fail(send.id)]
 
 
 def test_a_timeout_at_the_deadline_is_answered() -> None:
     world = World()
     send = only_send(world.ask())
     world.now += 1000
-    done = world.end(send, Result.TIMEOUT)
+    done = world.end(send, AttemptResult.TIMEOUT)
     assert len(answers(done)) == 1 and sends(done) == []
 
 
 def test_nothing_goes_out_after_a_withdrawal() -> None:
     world = World()
     send = only_send(world.ask())
-    world.do(Withdrawn(send.id))
-    assert sends(world.end(send, Result.MISS)) == []
-    assert world.do(Withdrawn(send.id)) == []
+    world.do(RequestCancelled(send.id))
+    assert sends(world.end(send, AttemptResult.MISS)) == []
+    assert world.do(RequestCancelled(send.id)) == []
 
 
 def test_a_started_stream_is_left_alone() -> None:
@@ -113,17 +111,17 @@
     send = only_send(world.ask())
     world.do(FirstByte(send.id, 0, send.server, 10.0))
     world.now += 5000
-    assert world.do(Outcome(send.id, 0, send.server, Result.RESET, 5000.0, True)) == []
+    assert world.do(Outcome(send.id, 0, send.server, AttemptResult.RESET, 5000.0, True)) == []
 
 
 def test_no_server_and_no_origin_is_refused_at_once() -> None:
     world = World(ASIDE, ())
-    assert answers(world.ask()) == [Refuse(1)]
-    assert answers(world.ask(cls=UNSAFE)) == [Refuse(2)]
+    assert answers(world.ask()) == [Reject(1)]
+    assert answers(world.ask(cls=NOT_IDEMPOTENT)) == [Reject(2)]
 
 
 def test_no_cache_server_falls_back_to_the_origin() -> None:
-    world = World(ASIDE, (Member(ORIGIN, kind=3),))
+    world = World(ASIDE, (Endpoint(ORIGIN, kind=3),))
     assert only_send(world.ask()).server == ORIGIN
 
 
@@ -131,7 +129,7 @@
 def test_drains_are_kept_at_once(state: ServerState) -> None:
     world = World()
     owner = world.read()
-    world.do(MemberList(ListKind.DELTA, 2, (Member(owner, state=state),)))
+    world.do(EndpointList(EndpointListKind.DELTA, 2, (Endpoint(owner, state=state),)))
     for _ in range(20):
         assert world.read() != owner
 
@@ -139,7 +137,7 @@
 def test_a_server_missing_from_a_whole_list_is_gone() -> None:
     world = World()
     owner = world.read()
-    world.do(MemberList(ListKind.FULL, 2, tuple(m for m in members() if m.server != owner)))
+    world.do(EndpointList(EndpointListKind.FULL, 2, tuple(m for m in members() if m.server != owner)))
     assert world.read() != owner
 
 
@@ -147,11 +145,11 @@
     world = World()
     first = only_send(world.ask())
     second = only_send(world.ask())
-    fetch = only_send(world.end(first, Result.MISS))
-    assert sends(world.end(second, Result.MISS)) == []
-    again = only_send(world.end(fetch, Result.OK, 1))
+    fetch = only_send(world.end(first, AttemptResult.MISS))
+    assert sends(world.end(second, AttemptResult.MISS)) == []
+    again = only_send(world.end(fetch, AttemptResult.OK, 1))
     assert (again.id, again.server) == (second.id, second.server)
-    world.end(again, Result.OK, 1)
+    world.end(again, AttemptResult.OK, 1)
     world.checker.all_answered()
 
 
@@ -159,16 +157,16 @@
     world = World()
     first = only_send(world.ask(budget=1000.0))
     second = only_send(world.ask(budget=400.0))
-    world.end(first, Result.MISS)
-    world.end(second, Result.MISS)
-    assert answers(world.pass_time(400)) == [Refuse(second.id)]
+    world.end(first, AttemptResult.MISS)
+    world.end(second, AttemptResult.MISS)
+    assert answers(world.pass_time(400)) == [Reject(second.id)]
 
 
 def test_a_cold_server_gets_a_share_of_keys_that_grows() -> None:
     def share(age: float) -> float:
         taken = 0
         for key in range(1, 201):
-            world = World(ASIDE._replace(balancers=1), (Member(1, started=1000.0), Member(ORIGIN, kind=3)))
+            world = World(ASIDE._replace(router_count=1), (Endpoint(1, started=1000.0), Endpoint(ORIGIN, kind=3)))
             world.now = 1000.0 + age
             taken += only_send(world.ask(key)).server == 1
         return taken / 200
@@ -178,7 +176,7 @@
 
 
 def test_a_cold_server_gets_few_requests_in_a_window_from_one_balancer() -> None:
-    world = World(ASIDE._replace(balancers=1), (Member(1, started=1000.0), Member(ORIGIN, kind=3)))
+    world = World(ASIDE._replace(router_count=1), (Endpoint(1, started=1000.0), Endpoint(ORIGIN, kind=3)))
     world.now += 7000.0
     key = next(k for k in range(1, 50) if only_send(world.ask(k)).server == 1)
     assert [only_send(world.ask(key)).server for _ in range(10)] == [ORIGIN] * 10
@@ -186,7 +184,7 @@
 
 def test_unknown_ids_are_ignored() -> None:
     world = World()
-    for event in (Withdrawn(77), Outcome(77, 0, 1, Result.OK, 1.0, True), FirstByte(77, 0, 1, 1.0)):
+    for event in (RequestCancelled(77), Outcome(77, 0, 1, AttemptResult.OK, 1.0, True), FirstByte(77, 0, 1, 1.0)):
         assert world.balancer.handle(world.now, event) == []
 
 
@@ -210,30 +208,30 @@
             if world.now >= tracked.deadline:
                 del out[rid, number]
                 world.now, late = tracked.deadline, world.now
-                take([*world.do(Outcome(rid, number, send.server, Result.TIMEOUT, 0.0, tracked.over))])
+                take([*world.do(Outcome(rid, number, send.server, AttemptResult.TIMEOUT, 0.0, tracked.over))])
                 world.now = late
 
     for _ in range(150):
         dice = rng.random()
         if dice < 0.4:
-            cls = rng.choice((READ, READ, KEYED, UNSAFE))
+            cls = rng.choice((READ, READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT))
             take([*world.ask(rng.randrange(6), cls, rng.uniform(50, 2000))])
         elif dice < 0.75 and out:
             (rid, number), (send, at) = rng.choice(list(out.items()))
             del out[rid, number]
-            result = rng.choice(list(Result))
-            over = world.checker.seen[rid].over or result == Result.OK
+            result = rng.choice(list(AttemptResult))
+            over = world.checker.seen[rid].over or result == AttemptResult.OK
             take([*world.do(Outcome(rid, number, send.server, result, world.now - at, over))])
         elif dice < 0.8:
-            line = Member(
+            line = Endpoint(
                 rng.randrange(1, 7),
                 zone=rng.randrange(2),
                 state=rng.choice(list(ServerState)),
                 started=rng.choice((0.0, world.now)),
             )
-            take([*world.do(MemberList(ListKind.DELTA, 2, (line,)))])
+            take([*world.do(EndpointList(EndpointListKind.DELTA, 2, (line,)))])
         elif dice < 0.83 and world.checker.seen:
-            take([*world.do(Withdrawn(rng.choice(list(world.checker.seen))))])
+            take([*world.do(RequestCancelled(rng.choice(list(world.checker.seen))))])
         take([*world.pass_time(rng.choice((0, 0, 5, 40, 200)))])
         end_overdue()
     for _ in range(60):
@@ -252,8 +250,8 @@
 )
 def test_random_streams_keep_the_rules(seed: int, aside: bool, group: str, copies: bool) -> None:
     base = ASIDE if aside else THROUGH
-    classes = (CLASSES[0], CLASSES[1]._replace(group=group), CLASSES[2])
-    _stream(base._replace(classes=classes, second_copies=copies), seed)
+    classes = (CLASSES[0], CLASSES[1]._replace(deduplication_scope=group), CLASSES[2])
+    _stream(base._replace(classes=classes, hedging_allowed=copies), seed)
 
 
 def test_equal_events_give_equal_actions_and_instances_share_nothing() -> None:
@@ -267,8 +265,8 @@
 
     A call that waits in turn for 2 s and is refused, with a pause before it and behind it, leaves 1 s for the answer.
     """
-    world = World(THROUGH._replace(must_ask=True), members(4))
+    world = World(THROUGH._replace(must_poll=True), members(4))
     for _ in range(12):
-        (timer,) = world.do(MemberList(ListKind.FAILED, 1))
+        (timer,) = world.do(EndpointList(EndpointListKind.FAILED, 1))
         assert isinstance(timer, SetTimer) and timer.at - world.now <= 1500.0
-        assert Watch(True) in world.pass_time(1500.0)
+        assert WatchEndpoints(True) in world.pass_time(1500.0)
--- a/tests/test_service_time.py
+++ b/tests/test_service_time.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from starlingthread.interface import Request
+from starlingthread.events import Request
 from starlingthread.limits.service_time import ServiceTime
 
 from .world import READ, THROUGH, World, only_send
@@ -53,7 +53,7 @@
 def test_the_module_learns_a_time_whatever_the_hints_are(hint: float) -> None:
     world = World(THROUGH)
     for key in range(1, 300):
-        send = only_send(world.do(Request(key, READ, 1000.0, key=key, cost=hint)))
+        send = only_send(world.do(Request(key, READ, 1000.0, key=key, cost_hint=hint)))
         world.now += 80.0
         world.finish(send, 80.0)
     tracked_cost = world.balancer.load.work["read"].expected(hint)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from starlingthread.interface import ListKind, Member, MemberList, ServerState
+from starlingthread.events import Endpoint, EndpointList, EndpointListKind, ServerState
 
 from .world import THROUGH, World
 
@@ -12,7 +12,9 @@
     world = World(THROUGH)
     for turn in range(40):
         gone, new = turn + 1, turn + 5
-        world.do(MemberList(ListKind.DELTA, turn + 2, (Member(gone, state=ServerState.GONE), Member(new))))
+        world.do(
+            EndpointList(EndpointListKind.DELTA, turn + 2, (Endpoint(gone, state=ServerState.GONE), Endpoint(new)))
+        )
         for key in range(50):
             world.now += 100.0
             world.read(turn * 1000 + key)
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -11,14 +11,14 @@
 import numpy as np
 import pytest
 
+from starlingthread.baselines.policies import POLICIES
 from starlingthread.emulator import scenario
 from starlingthread.emulator.links import RESENT, Door, Lane
-from starlingthread.emulator.model import ServerModel, Chances, OriginModel
-from starlingthread.emulator.servers import CacheServer, LoopSchedule
+from starlingthread.emulator.model import Chances, OriginModel, ServerModel
 from starlingthread.emulator.ports import free_port
-from starlingthread.emulator.records import ServerEvent, ServerSample, Delivery, Ledger, Try
-from starlingthread.interface import ListKind, MemberList, Request
-from starlingthread.lab.policies import POLICIES
+from starlingthread.emulator.records import Delivery, Ledger, ServerEvent, ServerSample, Try
+from starlingthread.emulator.servers import CacheServer, LoopSchedule
+from starlingthread.events import EndpointList, EndpointListKind, Request
 from starlingthread.load import evenness, traffic
 
 from .world import THROUGH, World, members, sends
@@ -221,8 +221,8 @@
 def test_hash_with_bounded_loads_keeps_its_bound_and_always_has_a_server() -> None:
     world = World(THROUGH, members(6))
     bounded = POLICIES["bounded-hash"](world.set, 1)
-    bounded.handle(0.0, MemberList(ListKind.FULL, 1, members(6)[:6]))
+    bounded.handle(0.0, EndpointList(EndpointListKind.FULL, 1, members(6)[:6]))
     for asked in range(1, 61):
         assert sends(bounded.handle(1.0, Request(asked, 0, 1000.0, key=7)))
-        most = max(server.out for server in bounded.fleet.ready)
+        most = max(server.attempts_in_flight for server in bounded.fleet.ready)
         assert most <= math.ceil(1.25 * asked / 6)
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from starlingthread import interface as api
-from starlingthread.core.router import Ended
+from starlingthread.core.router import AttemptEnded
+from starlingthread.events import AttemptResult, CacheStatus
 from starlingthread.net.upstreams import messages, pool
 
 from .standins import ANSWER, Held
@@ -19,21 +19,21 @@
     assert held.take(messages.Start(job)) == [] and not held.actor.pool.idle
     assert held.writer.transport.sent == b"mg a v O1 Pc=read,d=400\r\n"
     (ended,) = held.hear(b"VA 1 O1 h0 Lutil=0.5,inflight=3\r\nx\r\n")
-    assert (ended.result, ended.note, ended.report) == (api.Result.OK, api.Note.MISS, (0.5, 3.0))
+    assert (ended.result, ended.note, ended.report) == (AttemptResult.OK, CacheStatus.MISS, (0.5, 3.0))
     assert held.actor.pool.idle == [held.connection] and not held.actor.pool.busy
 
 
 @pytest.mark.parametrize(
     ("line", "result", "kept"),
     [
-        (b"SERVER_ERROR busy\r\n", api.Result.FULL, True),
-        (b"SERVER_ERROR failed\r\n", api.Result.ERROR, True),
-        (b"HD O1 c5\r\n", api.Result.RESET, False),
-        (b"VA 1 O2\r\nx\r\n", api.Result.RESET, False),
-        (b"what\r\n", api.Result.RESET, False),
+        (b"SERVER_ERROR busy\r\n", AttemptResult.FULL, True),
+        (b"SERVER_ERROR failed\r\n", AttemptResult.ERROR, True),
+        (b"HD O1 c5\r\n", AttemptResult.RESET, False),
+        (b"VA 1 O2\r\nx\r\n", AttemptResult.RESET, False),
+        (b"what\r\n", AttemptResult.RESET, False),
     ],
 )
-def test_other_answers(line: bytes, result: api.Result, kept: bool) -> None:
+def test_other_answers(line: bytes, result: AttemptResult, kept: bool) -> None:
     held, job = (h := Held()), h.attempt()
     held.take(messages.Start(job))
     (ended,) = held.hear(line)
@@ -48,12 +48,12 @@
         held, job = (h := Held()), h.attempt()
         held.take(messages.Start(job))
         told = held.hear(ANSWER + behind) if together else held.hear(ANSWER) + held.hear(behind)
-        assert [m.result for m in told] == [api.Result.OK]
+        assert [m.result for m in told] == [AttemptResult.OK]
         assert held.writer.transport.gone and not held.actor.pool.idle and held.actor.pool.open == 0
 
 
 def test_a_busy_right_behind_an_answer_proves_nothing_for_a_write() -> None:
-    for pause, result in ((49.0, api.Result.RESET), (50.0, api.Result.FULL)):
+    for pause, result in ((49.0, AttemptResult.RESET), (50.0, AttemptResult.FULL)):
         held, job = (h := Held()), h.attempt()
         held.take(messages.Start(job))
         held.hear(ANSWER)
@@ -72,7 +72,7 @@
     assert list(held.place.router.mailbox.take()) == [] and not held.writer.transport.gone
     held.actor._stalled(held.connection, sure=True, due=now)
     (ended,) = held.place.router.mailbox.take()
-    assert isinstance(ended, Ended) and ended.result == api.Result.RESET and held.writer.transport.gone
+    assert isinstance(ended, AttemptEnded) and ended.result == AttemptResult.RESET and held.writer.transport.gone
 
 
 def test_a_connection_that_we_look_at_too_late_is_not_given_up() -> None:
@@ -81,7 +81,7 @@
     held.actor.opening.jobs[job] = (Mock(), held.actor.opening._limit(job))
     now = held.place.clock.time
     assert held.take(messages.ConnectLate(job, now - 20.0)) == [] and job in held.actor.opening.jobs
-    assert [m.result for m in held.take(messages.ConnectLate(job, now))] == [api.Result.CONNECT_FAILED]
+    assert [m.result for m in held.take(messages.ConnectLate(job, now))] == [AttemptResult.CONNECT_FAILED]
 
 
 def test_a_load_report_that_cannot_be_read_spoils_nothing_but_itself() -> None:
@@ -89,7 +89,7 @@
         held, job = (h := Held()), h.attempt()
         held.take(messages.Start(job))
         (ended,) = held.hear(b"VA 1 O1 h0 " + report + b"\r\nx\r\n")
-        assert (ended.result, ended.note, ended.report) == (api.Result.OK, api.Note.MISS, ())
+        assert (ended.result, ended.note, ended.report) == (AttemptResult.OK, CacheStatus.MISS, ())
 
 
 def test_connections_to_where_a_server_was_or_that_have_ended_are_not_used() -> None:
@@ -101,7 +101,7 @@
         else:
             held.reader.feed_eof()
         assert held.actor.pool.take(False) is None and held.writer.transport.gone
-        assert job.wanted and held.actor.pool.open == 0
+        assert job.pending and held.actor.pool.open == 0
 
 
 def test_connections_are_not_used_after_an_idle_time_at_which_they_break() -> None:
@@ -131,7 +131,7 @@
     held, job = (h := Held()), h.attempt(b"ms a 1 O1 Pc=put,d=500\r\nx\r\n")
     held.take(messages.Start(job))
     (ended,) = held.take(messages.Broken(held.connection))
-    assert ended.result == api.Result.RESET and held.actor.pool.open == 0
+    assert ended.result == AttemptResult.RESET and held.actor.pool.open == 0
     assert (idle := Held()).take(messages.Broken(idle.connection)) == [] and not idle.actor.pool.idle
 
 
@@ -140,18 +140,20 @@
     """Guards the moment before a write: time passed since the module decided."""
     held, job = (h := Held()), h.attempt()
     if spoil == "unwanted":
-        job.wanted = False
+        job.pending = False
     elif spoil == "over":
-        job.request.over = True
+        job.request.finished = True
     elif spoil == "withdrawn":
         job.request.withdrawn = True
     elif spoil == "repeat":
-        job.before = held.place.clock.time + 4.0  # it would come to the server when that has forgotten the first one
+        job.write_deadline = (
+            held.place.clock.time + 4.0
+        )  # it would come to the server when that has forgotten the first one
     elif spoil == "late":
         held.place.clock.time += 401.0
     else:
         held.actor.shut_at = held.place.clock.time - THROUGH.drain_grace + 50.0
-    assert [m.result for m in held.take(messages.Start(job))] == [api.Result.MOOT]
+    assert [m.result for m in held.take(messages.Start(job))] == [AttemptResult.NOT_SENT]
     assert not held.writer.transport.sent
 
 
@@ -177,4 +179,4 @@
     held, job = (h := Held()), h.attempt()
     held.take(messages.Start(job))
     told = held.hear(b"SERVER_ERROR busy\r\n") + held.take(messages.Abandon(job))
-    assert [type(m) for m in told] == [Ended]
+    assert [type(m) for m in told] == [AttemptEnded]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,8 +10,33 @@
 
 import pytest
 
-from starlingthread import Balancer, simhost
-from starlingthread import interface as api
+from starlingthread import Balancer, simulator_adapter
+from starlingthread.actions import (
+    Action,
+    Cancel,
+    CloseConnections,
+    Fail,
+    FetchEndpoints,
+    HealthCheck,
+    Log,
+    Reject,
+    Send,
+    SendToPeer,
+    SetTimer,
+    WatchEndpoints,
+)
+from starlingthread.events import (
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    Event,
+    Outcome,
+    Request,
+    RequestCancelled,
+    ServerState,
+    Timer,
+)
+from starlingthread.settings import Settings
 
 
 def frame(text: str) -> bytes:
@@ -48,20 +73,20 @@
 class Scripted(Balancer):
     """Notes what it hears and answers a request with the wire page's three actions."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.heard: list[api.Event] = []
+        self.heard: list[Event] = []
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         self.heard.append(event)
-        if isinstance(event, api.Request):
-            return [api.Send(event.id, 0x03124A07, 80.0), api.SetTimer(8912.25, 77), api.Log("two servers known")]
+        if isinstance(event, Request):
+            return [Send(event.id, 0x03124A07, 80.0), SetTimer(8912.25, 77), Log("two servers known")]
         return []
 
 
-def scripted(*instances: int) -> tuple[simhost.SimHost, dict[int, Scripted]]:
+def scripted(*instances: int) -> tuple[simulator_adapter.SimulatorAdapter, dict[int, Scripted]]:
     """Return an adapter with some scripted instances."""
-    host = simhost.SimHost(Scripted)
+    host = simulator_adapter.SimulatorAdapter(Scripted)
     for number in instances:
         host.answer(start(json.dumps(SETTINGS).encode(), number)[4:])
     return host, {n: b for n, b in host.instances.items() if isinstance(b, Scripted)}
@@ -83,8 +108,8 @@
     reply = host.answer(batch[4:])
     rid = int.from_bytes(frame("c4913a5de37b0900"), "little")
     key = int.from_bytes(frame("640ad2557c3bf091"), "little")
-    assert made[3].heard == [api.Request(rid, 0, 240.0, key, 0, 12.0, 1800.0), api.Timer(77)]
-    assert made[5].heard == [api.Withdrawn(int.from_bytes(frame("192b6f0e42550100"), "little"))]
+    assert made[3].heard == [Request(rid, 0, 240.0, key, 0, 12.0, 1800.0), Timer(77)]
+    assert made[5].heard == [RequestCancelled(int.from_bytes(frame("192b6f0e42550100"), "little"))]
     assert reply == frame(
         "61000000 03000000 0c000000"
         "01 0300 c4913a5de37b0900 074a1203 0000000000005440 00"
@@ -114,40 +139,40 @@
         )
     )
     listed, outcome = made[3].heard
-    assert listed == api.MemberList(
-        api.ListKind.CACHED,
+    assert listed == EndpointList(
+        EndpointListKind.CACHED,
         41,
         (
-            api.Member(0x03124A07, 0, 0, 0, api.ServerState.READY, 1.0, 0.0),
-            api.Member(0x2C9011F2, 1, 0, 0, api.ServerState.READY, 1.5, 6100.0),
+            Endpoint(0x03124A07, 0, 0, 0, ServerState.READY, 1.0, 0.0),
+            Endpoint(0x2C9011F2, 1, 0, 0, ServerState.READY, 1.5, 6100.0),
         ),
     )
-    assert isinstance(outcome, api.Outcome)
-    assert (outcome.server, outcome.result, outcome.elapsed, outcome.ended) == (0x03124A07, 1, 18.5, True)
-    assert outcome.report == pytest.approx((0.62, 7.0))
+    assert isinstance(outcome, Outcome)
+    assert (outcome.server, outcome.result, outcome.elapsed, outcome.request_finished) == (0x03124A07, 1, 18.5, True)
+    assert outcome.load_report == pytest.approx((0.62, 7.0))
 
 
 @pytest.mark.parametrize(
     ("action", "text"),
     [
-        (api.Refuse(5, 100.0), "02 0300 0500000000000000 0000000000005940"),
-        (api.Fail(5), "03 0300 0500000000000000"),
-        (api.Cancel(5, 1), "04 0300 0500000000000000 0100"),
-        (api.Probe(9), "06 0300 09000000"),
-        (api.CloseConnections(9), "07 0300 09000000"),
-        (api.Watch(True), "0b 0300 01"),
-        (api.FetchList(), "0c 0300"),
+        (Reject(5, 100.0), "02 0300 0500000000000000 0000000000005940"),
+        (Fail(5), "03 0300 0500000000000000"),
+        (Cancel(5, 1), "04 0300 0500000000000000 0100"),
+        (HealthCheck(9), "06 0300 09000000"),
+        (CloseConnections(9), "07 0300 09000000"),
+        (WatchEndpoints(True), "0b 0300 01"),
+        (FetchEndpoints(), "0c 0300"),
     ],
 )
-def test_other_actions(action: api.Action, text: str) -> None:
-    reply = simhost.Reply()
+def test_other_actions(action: Action, text: str) -> None:
+    reply = simulator_adapter.Reply()
     reply.add(3, action)
     assert reply.frame(1)[12:] == frame(text).ljust(24, b"\0")
 
 
 def test_the_worked_message() -> None:
-    reply = simhost.Reply()
-    reply.add(3, api.Tell(None, b"hi 7"))
+    reply = simulator_adapter.Reply()
+    reply.add(3, SendToPeer(None, b"hi 7"))
     assert reply.frame(1)[12:] == frame("08 0300 ffff 00000000 04000000" + "00" * 11 + "68692037")
 
 
@@ -170,7 +195,7 @@
         (start(b"{nope"), "not valid JSON"),
         (start(b"[]"), "not a JSON object"),
         (start(b'{"permissions": {}, "rules": {"drainGraceMs": 1}}'), "lack 'grades'"),
-        (start(GOOD.replace(b"1000.0", b"-1.0")), "aim and deadline"),
+        (start(GOOD.replace(b"1000.0", b"-1.0")), "latency_objective and deadline"),
     ],
 )
 def test_bad_input_ends_with_one_plain_line(data: bytes, said: str) -> None:
@@ -181,10 +206,10 @@
 
 def test_a_failed_decision_is_told_on_the_wire() -> None:
     class Broken(Balancer):
-        def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        def handle(self, now: float, event: Event) -> list[Action]:
             raise RuntimeError("no idea")
 
-    host = simhost.SimHost(Broken)
+    host = simulator_adapter.SimulatorAdapter(Broken)
     host.answer(start(GOOD)[4:])
     reply = host.answer(batch_of(frame("02 0300 4d")))
     assert reply[12] == 10 and b"RuntimeError: no idea" in reply
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -8,36 +8,31 @@
 from typing import NamedTuple
 
 from starlingthread import Balancer
-from starlingthread.interface import (
-    Action,
-    Effect,
-    ListKind,
-    Member,
-    MemberList,
-    Note,
+from starlingthread.actions import Action, Reject, Send, SetTimer
+from starlingthread.events import (
+    AttemptResult,
+    CacheStatus,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
     Outcome,
-    Refuse,
     Request,
-    RequestClass,
-    Result,
-    Send,
-    Settings,
-    SetTimer,
     Timer,
 )
+from starlingthread.settings import Idempotency, RequestClass, Settings
 
-READ = RequestClass("read", Effect.REPEATABLE, aim=1000.0, deadline=2000.0)
+READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective=1000.0, deadline=2000.0)
 SETTINGS = Settings(
     classes=(READ,),
-    balancers=3,
+    router_count=3,
     max_attempts=5,
-    second_copies=True,
+    hedging_allowed=True,
     max_retry_after=800.0,
     drain_grace=2500.0,
-    cold_from=0.13,
-    cold_time=23000.0,
+    initial_capacity_share=0.13,
+    slow_start_duration=23000.0,
     overload_factor=3.0,
-    tip_after=1000.0,
+    overload_window=1000.0,
 )
 HOP = 1.0  # ms to a server that turns a request away, and back
 
@@ -56,8 +51,11 @@
         age = max(0.0, now - self.started)
         return (
             1.0
-            if not self.started or age > SETTINGS.cold_time
-            else (SETTINGS.cold_from + (1 - SETTINGS.cold_from) * age / SETTINGS.cold_time)
+            if not self.started or age > SETTINGS.slow_start_duration
+            else (
+                SETTINGS.initial_capacity_share
+                + (1 - SETTINGS.initial_capacity_share) * age / SETTINGS.slow_start_duration
+            )
         )
 
     def take(self, now: float, size: float) -> float | None:
@@ -98,8 +96,10 @@
 
     def __init__(self, servers: list[Server], settings: Settings = SETTINGS, seed: int = 1, kinds: int = 1) -> None:
         self.servers, self.rng, self.now, self.ids = dict(enumerate(servers, 1)), Random(seed), 1e6, count(1)
-        self.routers = [Balancer(settings._replace(me=n), seed * 100 + n) for n in range(settings.balancers)]
-        self.members = [Member(n, kind=n % kinds) for n in self.servers]
+        self.routers = [
+            Balancer(settings._replace(router_index=n), seed * 100 + n) for n in range(settings.router_count)
+        ]
+        self.members = [Endpoint(n, kind=n % kinds) for n in self.servers]
         self.due: list[tuple[float, int, object]] = []
         self.asked: dict[int, Asked] = {}
         self.open: set[int] = set()
@@ -112,7 +112,9 @@
 
     def tell(self) -> None:
         for router in self.routers:
-            self._carry_out(router, router.handle(self.now, MemberList(ListKind.FULL, 1, tuple(self.members))))
+            self._carry_out(
+                router, router.handle(self.now, EndpointList(EndpointListKind.FULL, 1, tuple(self.members)))
+            )
 
     def restart(self, number: int) -> None:
         """Let a server start anew, cold; all are told at once."""
@@ -130,26 +132,28 @@
         self._carry_out(
             router,
             router.handle(
-                self.now, Request(number, 0, 1300.0, key=asked.key * 0x9E3779B97F4A7C15 % 2**64, cost=asked.size)
+                self.now, Request(number, 0, 1300.0, key=asked.key * 0x9E3779B97F4A7C15 % 2**64, cost_hint=asked.size)
             ),
         )
 
     def _carry_out(self, router: Balancer, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                attempt = len(router.fleet.live[action.id].tries) - 1
+                attempt = len(router.fleet.requests[action.id].attempts) - 1
                 server = self.servers[action.server]
                 done = server.take(self.now, self.asked[action.id].size)
                 self.turned += done is None
                 late = done is not None and done - self.now > 1300.0
                 if done is None or late:
-                    result, at = (Result.TIMEOUT, self.now + 1300.0) if late else (Result.FULL, self.now + HOP)
+                    result, at = (
+                        (AttemptResult.TIMEOUT, self.now + 1300.0) if late else (AttemptResult.FULL, self.now + HOP)
+                    )
                 else:
-                    result, at = Result.OK, done + HOP
+                    result, at = AttemptResult.OK, done + HOP
                 if done is not None:
                     self._later(done, server)
                 self._later(at, (router, action, attempt, result, self.now))
-            elif isinstance(action, Refuse):
+            elif isinstance(action, Reject):
                 self._over(action.id, "refused", action.retry_after)
             elif isinstance(action, SetTimer):
                 self._later(action.at, (router, action.label))
@@ -161,7 +165,7 @@
         asked = self.asked[number]
         if how != "served" and asked.tries < 2 and self.now + pause - asked.began < READ.deadline:
             self._later(self.now + max(pause, 84.0), asked._replace(tries=asked.tries + 1))
-        elif how == "served" and self.now - asked.began > READ.aim:
+        elif how == "served" and self.now - asked.began > READ.latency_objective:
             self.ends.append((self.now, "late"))
         else:
             self.ends.append((self.now, how))
@@ -187,9 +191,9 @@
         ends = [how for _, how in self.ends[first:]]
         return {how: ends.count(how) for how in ("served", "late", "refused")}
 
-    def _answer(self, router: Balancer, send: Send, attempt: int, result: Result, sent_at: float) -> None:
-        served = result == Result.OK
-        ended = served or result == Result.TIMEOUT or send.id not in self.open
+    def _answer(self, router: Balancer, send: Send, attempt: int, result: AttemptResult, sent_at: float) -> None:
+        served = result == AttemptResult.OK
+        ended = served or result == AttemptResult.TIMEOUT or send.id not in self.open
         if ended:
             self._over(send.id, "served" if served else "late")
         self._carry_out(
@@ -197,7 +201,13 @@
             router.handle(
                 self.now,
                 Outcome(
-                    send.id, attempt, send.server, result, self.now - sent_at, ended, Note.HIT if served else Note.NONE
+                    send.id,
+                    attempt,
+                    send.server,
+                    result,
+                    self.now - sent_at,
+                    ended,
+                    CacheStatus.HIT if served else CacheStatus.NONE,
                 ),
             ),
         )
--- a/tests/world.py
+++ b/tests/world.py
@@ -3,63 +3,64 @@
 from __future__ import annotations
 
 from starlingthread import Balancer
-from starlingthread.interface import (
-    Action,
-    Effect,
+from starlingthread.actions import Action, Fail, Reject, Send, SetTimer
+from starlingthread.events import (
+    AttemptResult,
+    CacheStatus,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
     Event,
-    Fail,
-    ListKind,
-    Member,
-    MemberList,
-    Note,
     Outcome,
-    Refuse,
     Request,
-    RequestClass,
-    Result,
-    Send,
-    SetTimer,
-    Settings,
     Timer,
 )
+from starlingthread.settings import Idempotency, RequestClass, Settings
 
 from .checker import Checker
 
-READ, KEYED, UNSAFE = 0, 1, 2
+READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT = 0, 1, 2
 ORIGIN = 99
 CLASSES = (
-    RequestClass("read", Effect.REPEATABLE, aim=500.0, deadline=1000.0),
-    RequestClass("keyed", Effect.KEYED, aim=500.0, deadline=2000.0, worth=5.0, memory_span=1500.0),
-    RequestClass("unsafe", Effect.UNSAFE, aim=500.0, deadline=2000.0, worth=5.0),
+    RequestClass("read", Idempotency.IDEMPOTENT, latency_objective=500.0, deadline=1000.0),
+    RequestClass(
+        "keyed",
+        Idempotency.IDEMPOTENCY_KEY,
+        latency_objective=500.0,
+        deadline=2000.0,
+        priority_weight=5.0,
+        idempotency_window=1500.0,
+    ),
+    RequestClass("unsafe", Idempotency.NOT_IDEMPOTENT, latency_objective=500.0, deadline=2000.0, priority_weight=5.0),
 )
 ASIDE = Settings(
     classes=CLASSES,
     mode="aside",
     origin_kind=3,
-    balancers=4,
+    router_count=4,
     max_attempts=4,
     can_cancel=True,
     drain_grace=500.0,
     answer_slack=20.0,
-    cold_from=0.3,
-    cold_time=8000.0,
-    report_fields=("util", "inflight"),
-    report_how="piggyback",
+    initial_capacity_share=0.3,
+    slow_start_duration=8000.0,
+    load_report_fields=("util", "inflight"),
+    load_report_delivery="piggyback",
 )
 THROUGH = ASIDE._replace(mode="through", origin_kind=-1)
-COPIES = THROUGH._replace(second_copies=True)
+COPIES = THROUGH._replace(hedging_allowed=True)
 
 
-def members(count: int = 4, *, zones: int = 1, started: float = 0.0) -> tuple[Member, ...]:
+def members(count: int = 4, *, zones: int = 1, started: float = 0.0) -> tuple[Endpoint, ...]:
     """Return some cache servers and the origin."""
-    caches = tuple(Member(n, zone=n % zones, started=started) for n in range(1, count + 1))
-    return (*caches, Member(ORIGIN, kind=3))
+    caches = tuple(Endpoint(n, zone=n % zones, started=started) for n in range(1, count + 1))
+    return (*caches, Endpoint(ORIGIN, kind=3))
 
 
 class World:
     """One balancer under test, and the clock."""
 
-    def __init__(self, settings: Settings = ASIDE, fleet: tuple[Member, ...] | None = None, seed: int = 1):
+    def __init__(self, settings: Settings = ASIDE, fleet: tuple[Endpoint, ...] | None = None, seed: int = 1):
         self.set = settings
         self.checker = Checker(settings)
         self.balancer = Balancer(settings, seed)
@@ -70,7 +71,7 @@
         lines = members() if fleet is None else fleet
         if settings.mode == "through":
             lines = tuple(m for m in lines if m.server != ORIGIN)
-        self.do(MemberList(ListKind.FULL, 1, lines))
+        self.do(EndpointList(EndpointListKind.FULL, 1, lines))
 
     def _note(self, actions: list[Action]) -> list[Action]:
         self.checker.actions(self.now, actions)
@@ -86,25 +87,31 @@
         """Let a client ask; its id is next_id - 1 afterwards."""
         self.next_id += 1
         write = cls != READ
-        return self.do(Request(self.next_id - 1, cls, budget, key=key, cost=cost, is_write=write))
+        return self.do(Request(self.next_id - 1, cls, budget, key=key, cost_hint=cost, is_write=write))
 
     def end(
-        self, send: Send, result: Result, attempt: int = 0, *, elapsed: float = 30.0, report: tuple[float, ...] = ()
+        self,
+        send: Send,
+        result: AttemptResult,
+        attempt: int = 0,
+        *,
+        elapsed: float = 30.0,
+        report: tuple[float, ...] = (),
     ) -> list[Action]:
         """End an attempt."""
         seen = self.checker.seen[send.id]
-        ended = seen.over or result == Result.OK
-        return self.do(Outcome(send.id, attempt, send.server, result, elapsed, ended, report=report))
+        ended = seen.over or result == AttemptResult.OK
+        return self.do(Outcome(send.id, attempt, send.server, result, elapsed, ended, load_report=report))
 
     def finish(self, send: Send, elapsed: float) -> None:
         """Let an attempt be served as a hit in so many ms."""
-        self.do(Outcome(send.id, 0, send.server, Result.OK, elapsed, True, Note.HIT))
+        self.do(Outcome(send.id, 0, send.server, AttemptResult.OK, elapsed, True, CacheStatus.HIT))
 
     def read(self, key: int = 7) -> int:
         """Let a read be asked for and served; return the server."""
         send = only_send(self.ask(key))
         self.now += 30
-        self.end(send, Result.OK)
+        self.end(send, AttemptResult.OK)
         return send.server
 
     def pass_time(self, span: float) -> list[Action]:
@@ -130,9 +137,9 @@
     return send
 
 
-def answers(actions: list[Action]) -> list[Refuse | Fail]:
+def answers(actions: list[Action]) -> list[Reject | Fail]:
     """Return the final answers among some actions."""
-    return [a for a in actions if isinstance(a, Refuse | Fail)]
+    return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
 def late_reads(world: World, count: int, elapsed: float) -> None:
@@ -140,7 +147,7 @@
     for key in range(count):
         world.now += 20.0
         for send in sends(world.ask(1000 + key, cost=0.0)):
-            world.end(send, Result.OK, elapsed=elapsed)
+            world.end(send, AttemptResult.OK, elapsed=elapsed)
 
 
 def warmed_up(world: World) -> int:
@@ -148,7 +155,7 @@
     return [world.read(7) for _ in range(40)][-1]
 
 
-def fetch_many(world: World, count: int, result: Result, took: float = 60.0) -> None:
+def fetch_many(world: World, count: int, result: AttemptResult, took: float = 60.0) -> None:
     """Let reads of keys that are cached nowhere end in some way."""
     for _ in range(count):
         world.now += 20.0
@@ -160,7 +167,7 @@
                     send.server,
                     result,
                     took,
-                    result == Result.OK,
-                    note=Note.MISS if result == Result.OK else Note.NONE,
+                    result == AttemptResult.OK,
+                    cache_status=CacheStatus.MISS if result == AttemptResult.OK else CacheStatus.NONE,
                 )
             )
