--- a/starlingthread/__main__.py
+++ b/starlingthread/__main__.py
@@ -24,12 +24,12 @@
 from .handover.channel import Inheritance, inherit
 from .limits.budgets import split_budgets
 from .logs import LogWriter, log
-from .net.clients import Front
+from .net.clients import ClientListener
+from .net.discovery import DiscoveryActor, EndpointListError, EndpointListParser
 from .net.failover import FailoverActor
 from .net.management import Management
 from .net.members import MemberActor
 from .net.peers import PeerActor
-from .net.registry import ListError, ListReader, RegistryActor
 from .net.upstreams import ServerFleet
 
 STILL_ACCEPTING = 0.5  # s after SIGTERM in which new connections are still welcome
@@ -66,7 +66,7 @@
         own: options.Options | None = None,
     ) -> None:
         self.own = own or options.Options()
-        config = config._replace(settings=self.own.over(config.settings))
+        config = config._replace(settings=self.own.apply_to(config.settings))
         self.config, self.writer, self.counters, self.watcher = config, writer, Counters(), Watcher()
         self.stop = asyncio.Event()
         self.serving = False  # the clients' listener is bound
@@ -80,9 +80,9 @@
         self.handover = Handover(self, self.watcher, self.counters, shared, inheritance)
         self.maintenance = MaintenanceSet(shared, self._on_maintenance)
         self.fleet = ServerFleet(config.settings, self.router, self.watcher, 0, config.idle_close)
-        self.registry = RegistryActor(
+        self.discovery = DiscoveryActor(
             self.router,
-            ListReader(config.zones, config.kinds),
+            EndpointListParser(config.zones, config.kinds),
             config.discovery,
             self.watcher,
             pushed=not config.settings.must_poll,
@@ -90,12 +90,12 @@
         self.peers = PeerActor(self.router, config.peers, config.peers_all, config.settings.router_index)
         self.members = MemberActor(self.router, self.peers, config.settings.router_index)
         self.failover = FailoverActor(self.router, self.peers, self.members, config.settings.router_index)
-        self.front = Front(config.settings, self.router, self.watcher, 0, 0, 0, self.listed)
+        self.front = ClientListener(config.settings, self.router, self.watcher, 0, 0, 0, self.listed)
         self.fleet.budget = self.front.budget
         self.management = Management(self, self.watcher, self.router.clock, self.counters, self.router.deadlines, 0)
         self.size = resident()  # MB at rest
-        self.share(self.handover.part)
-        self.router.fleet, self.router.registry, self.router.peers = self.fleet, self.registry, self.peers
+        self.apply_resource_share(self.handover.resource_share)
+        self.router.fleet, self.router.discovery, self.router.peers = self.fleet, self.discovery, self.peers
 
     # what is shared with another process during an upgrade
 
@@ -104,31 +104,31 @@
         ours = {CLIENTS: self.front.socket, PEERS: self.peers.socket}
         return {f"{use} {s.getsockname()}": s for use, s in ours.items() if s is not None}
 
-    def share(self, part: float) -> None:
+    def apply_resource_share(self, part: float) -> None:
         """Hold no more than this part of what the limits give."""
         config = self.config
         budgets = split_budgets(config.sockets, config.memory, self.size, part, config.management is not None)
-        self.front.most, self.front.comfortable = budgets.clients, budgets.comfortable
-        self.front.most_held, self.front.budget.limit = budgets.whole, budgets.pieces
-        self.management.most = budgets.calls
-        self.fleet.limit(budgets.servers)
+        self.front.max_clients, self.front.idle_client_threshold = budgets.max_clients, budgets.idle_client_threshold
+        self.front.max_buffered, self.front.budget.limit = budgets.buffered_values, budgets.streamed_values
+        self.management.max_connections = budgets.management_connections
+        self.fleet.set_connection_limit(budgets.server_connections)
 
-    def give_way(self) -> None:
+    def pause_accepting(self) -> None:
         """A new process takes the connections from now on."""
-        self.front.give_way()
+        self.front.pause_accepting()
         self.members.pause()
         self.failover.stop()
-        self.peers.give_way()
+        self.peers.pause_receiving()
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """The new process has gone before its time: accept again."""
         if not self.stop.is_set():
             self.watcher.start(self._resume(), "resume", self._fatal)
 
     async def _resume(self) -> None:
-        await self.front.resume()
-        await self.peers.resume()
-        self.members.retune(self.own.membership, self.config.settings.can_message_peers)
+        await self.front.resume_accepting()
+        await self.peers.resume_receiving()
+        self.members.apply_settings(self.own.membership, self.config.settings.can_message_peers)
         self._retune_failover()
 
     def _inherited(self, use: str, address: tuple[str, int]) -> socket.socket | None:
@@ -143,37 +143,37 @@
         """Tell whether this process is ready to serve."""
         return self.router.listed and self.serving and not self.stop.is_set()
 
-    def figures(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """Return the figures that operators read."""
-        down = len(self.router.module.avoided(self.router.clock.now()))
+        down = len(self.router.balancer.avoided(self.router.clock.now()))
         return {
-            **self.router.telemetry.snapshot(self.registry.listed, down),
-            **self.members.figures(),
-            **self.failover.figures(),
+            **self.router.telemetry.snapshot(self.discovery.endpoint_count, down),
+            **self.members.snapshot(),
+            **self.failover.snapshot(),
         }
 
     def exclude(self, name: str) -> bool:
         """Leave a cache server out; False if the list has none of that name."""
-        if self.registry.number(name) is None and name not in self.maintenance.names:
+        if self.discovery.server_id(name) is None and name not in self.maintenance.names:
             return False
-        self.maintenance.change(name, True)
+        self.maintenance.set_maintenance(name, True)
         return True
 
     def include(self, name: str) -> bool:
         """Let a cache server serve again; False if there is none of that name, listed or excluded."""
-        if self.registry.number(name) is None and name not in self.maintenance.names:
+        if self.discovery.server_id(name) is None and name not in self.maintenance.names:
             return False
-        self.maintenance.change(name, False)
+        self.maintenance.set_maintenance(name, False)
         return True
 
     def _on_maintenance(self, name: str, out: bool) -> None:
         """Have it hold: the server's actor writes nothing more, and the module chooses another one."""
-        number = self.registry.reader.ids.of(name)
+        number = self.discovery.reader.ids.assign(name)
         self.fleet.set_maintenance(number, out)
         self.router.mailbox.must_put(Maintenance(number, out))
 
     def _look_at_maintenance(self) -> None:
-        self.maintenance.look()
+        self.maintenance.reload_if_changed()
         self.router.deadlines.set(self.router.clock.now() + LOOK_EVERY, self._look_at_maintenance)
 
     def _fatal(self, error: BaseException) -> None:
@@ -181,16 +181,16 @@
         self.stop.set()
 
     def _registry_died(self, error: BaseException) -> None:
-        self.registry._failed(repr(error))
+        self.discovery._failed(repr(error))
         self._run_registry()
 
     def _run_registry(self) -> None:
-        self.watcher.start(self.registry.run(), "registry", self._registry_died)
+        self.watcher.start(self.discovery.run(), "registry", self._registry_died)
 
     def summary(self) -> None:
         """Log the counters, and what is out right now."""
         now = {
-            "clients.open": len(self.front.actors),
+            "clients.open": len(self.front.connections),
             "requests.open": len(self.router.requests),
             "connections.open": sum(a.pool.open for a in self.fleet.actors.values()),
         }
@@ -206,22 +206,22 @@
         try:
             new = read_config(self.config.path, self.config.shape)
         except ConfigError as error:
-            self.counters.note("reloads.failed")
+            self.counters.increment("reloads.failed")
             self.router.telemetry.reconfig_failed += 1
             log.error("reload-failed", why=" ".join(str(error).split()))
             self._follow_own()
             return
-        new = new._replace(settings=self.own.over(new.settings))
-        self.counters.note("reloads.done")
+        new = new._replace(settings=self.own.apply_to(new.settings))
+        self.counters.increment("reloads.done")
         self.router.telemetry.reconfig_ok += 1
         self.router.apply_settings(new.settings)
         self.front.apply_settings(new.settings)
         self.fleet.apply_settings(new.settings, new.idle_close)
-        self.registry.retune(new.zones, new.kinds, pushed=not new.settings.must_poll)
+        self.discovery.apply_settings(new.zones, new.kinds, pushed=not new.settings.must_poll)
         # Always asked anew: whatever discovery has to tell counts as told soon, wherever it is now.
-        self.registry.move(new.discovery)
+        self.discovery.set_address(new.discovery)
         self.peers.set_addresses(new.peers, new.peers_all)
-        self.members.retune(self.own.membership, new.settings.can_message_peers)
+        self.members.apply_settings(self.own.membership, new.settings.can_message_peers)
         self._retune_failover(new)
         kept = [name for name in NEEDS_RESTART if getattr(new, name) != getattr(self.config, name)]
         self.config = new._replace(**{name: getattr(self.config, name) for name in kept})
@@ -236,7 +236,7 @@
         try:
             new = options.read(options.where())
         except options.OptionsError as error:
-            self.counters.note("reloads.options_failed")
+            self.counters.increment("reloads.options_failed")
             log.error("options-failed", why=" ".join(str(error).split()))
             return
         self.own = new
@@ -244,13 +244,15 @@
 
     def _retune_failover(self, config: Config | None = None) -> None:
         config = config or self.config
-        self.failover.retune(self.own.failover, self.own.membership, config.zones, config.settings.can_message_peers)
+        self.failover.apply_settings(
+            self.own.failover, self.own.membership, config.zones, config.settings.can_message_peers
+        )
 
     def _follow_own(self) -> None:
         """Do what the operator's file says under the platform's settings that stand."""
-        self.config = self.config._replace(settings=self.own.over(self.config.settings))
+        self.config = self.config._replace(settings=self.own.apply_to(self.config.settings))
         self.router.apply_settings(self.config.settings)
-        self.members.retune(self.own.membership, self.config.settings.can_message_peers)
+        self.members.apply_settings(self.own.membership, self.config.settings.can_message_peers)
         self._retune_failover()
 
     def _collect(self) -> None:
@@ -284,22 +286,22 @@
         if signal.SIGHUP in self.early:
             loop.call_soon(self.reload)
         if self.config.known is not None:
-            self.registry.known(self.config.known)
+            self.discovery.load_cached_list(self.config.known)
         self._look_at_maintenance()
         self.router.begin()
         self._run_registry()
         self.watcher.start(self.router.run(), "router", self._fatal)
         if self.config.management is not None:
             await self.management.listen(*self.config.management)
-        await self.handover.begin()
-        if self.handover.inheritance is not None or self.registry.pushed:
+        await self.handover.start()
+        if self.handover.inheritance is not None or self.discovery.pushed:
             # What discovery tells binds soon after our yes (where lists are pushed, at once), so we hear it first.
-            self.registry.watch(True)
+            self.discovery.watch(True)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.router.discovery_reached.wait(), HEAR)
         if (peers := self.config.peer_listen) is not None:
             await self.peers.listen(*peers, self._inherited(PEERS, peers))
-            self.members.retune(self.own.membership, self.config.settings.can_message_peers)
+            self.members.apply_settings(self.own.membership, self.config.settings.can_message_peers)
         self._retune_failover()
         listen = self.config.listen
         await self.front.listen(*listen, self._inherited(CLIENTS, listen))
@@ -307,9 +309,9 @@
             # Guards against connections that wait for good in a queue that nobody empties once the old one is gone.
             for unused in self.handover.inheritance.sockets.values():
                 unused.close()
-        self.handover.serving()
+        self.handover.on_serving()
         self.serving = True
-        log.info("started", name=self.config.name, servers=len(self.router.module.fleet.servers))
+        log.info("started", name=self.config.name, servers=len(self.router.balancer.fleet.servers))
         # What lives as long as the program is never looked at again; the young are collected in small bites,
         # and all of it at times of our own: connections leave cycles behind, which would pile up all day.
         gc.collect()
@@ -370,7 +372,7 @@
 
     try:
         return asyncio.run(serve())
-    except (OSError, ListError) as error:
+    except (OSError, EndpointListError) as error:
         print(f"starlingthread: {error}", file=sys.stderr)
         return 1
     finally:
--- a/starlingthread/balance/load.py
+++ b/starlingthread/balance/load.py
@@ -28,7 +28,7 @@
         self.wait, self.wait_at = 0.0, -math.inf  # ms of waiting that our last attempt met, and when
 
 
-class LoadEstimates:
+class WaitEstimates:
     """What is made of it, beside the means over all servers."""
 
     __slots__ = ("_fields", "mean_wait", "mean_report")
--- a/starlingthread/baselines/policies.py
+++ b/starlingthread/baselines/policies.py
@@ -12,7 +12,7 @@
 
 from ..balance.rendezvous import mix
 from ..emulator.truth import CELL, VARIABLE, server_name
-from ..net.registry import Ids
+from ..net.discovery import ServerIds
 from ..policy import Balancer
 from ..policy.affinity import Affinity
 from ..policy.attempts import Attempts
@@ -113,8 +113,8 @@
         path = Path(os.environ[VARIABLE])
         with path.open("rb") as file:
             self.cells = mmap.mmap(file.fileno(), 0, access=mmap.ACCESS_READ)
-        ids = Ids()
-        self.cell_of = {ids.of(server_name(n)): n for n in range(len(self.cells) // CELL.size)}
+        ids = ServerIds()
+        self.cell_of = {ids.assign(server_name(n)): n for n in range(len(self.cells) // CELL.size)}
 
     def _waiting(self, server: Server) -> float:
         at = self.cell_of.get(server.endpoint.server)
--- a/starlingthread/config.py
+++ b/starlingthread/config.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from .net.registry import parse_address
+from .net.discovery import parse_address
 from .settings import Settings
 from .settings_json import SettingsError, settings_of
 
--- a/starlingthread/core/counters.py
+++ b/starlingthread/core/counters.py
@@ -8,6 +8,6 @@
 class Counters(Counter[str]):
     """Counts by name; a name starts with what it is about, so the printed list sorts by topic."""
 
-    def note(self, name: str, by: int = 1) -> None:
+    def increment(self, name: str, by: int = 1) -> None:
         """Count something."""
         self[name] += by
--- a/starlingthread/core/maintenance.py
+++ b/starlingthread/core/maintenance.py
@@ -38,12 +38,12 @@
         self._on_change = on_change
         self._seen: tuple[int, int, int] | None = None  # what the file looked like when it was read last
 
-    def look(self) -> None:
+    def reload_if_changed(self) -> None:
         """Take in what another process has written, or one before us."""
         if self._path is not None and self._looks() != self._seen:
             self._take(self._read())
 
-    def change(self, name: str, out: bool) -> None:
+    def set_maintenance(self, name: str, out: bool) -> None:
         """Leave a server out, or let it serve again. It holds when this returns."""
         with self._locked():
             names = self._read() if self._path is not None and self._looks() != self._seen else set(self.names)
--- a/starlingthread/core/pipe.py
+++ b/starlingthread/core/pipe.py
@@ -43,7 +43,7 @@
         self._hold(len(piece))
         self._wake(self._waiter)
 
-    def end(self, whole: bool) -> None:
+    def finish(self, whole: bool) -> None:
         """Tell that all of it was put, or that the rest will not come. Only the first word counts."""
         if self.complete is not None:
             return
@@ -107,7 +107,7 @@
 
     # both
 
-    def when_settled(self, then: Callable[[], None]) -> None:
+    def on_settled(self, then: Callable[[], None]) -> None:
         """Have something done once it has ended or is abandoned, at once if that is so."""
         if self.complete is not None or self.abandoned:
             then()
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -99,7 +99,7 @@
     is_write: bool = False
     id: int = 0
     finished: bool = False
-    withdrawn: bool = False  # whoever asked has left, and the message that says so is on its way: begin nothing more
+    cancelled: bool = False  # whoever asked has left, and the message that says so is on its way: begin nothing more
     attempts_started: int = 0
     attempts_in_flight: int = 0
     deadline_timer: Deadline | None = None
@@ -120,7 +120,7 @@
     timeout_timer: Deadline | None = None
 
 
-class Asked(NamedTuple):
+class RequestReceived(NamedTuple):
     """Message: a request has come in."""
 
     request: PendingRequest
@@ -158,7 +158,7 @@
 
 
 Message: TypeAlias = (
-    Asked
+    RequestReceived
     | BodyReceived
     | ClientDisconnected
     | AttemptEnded
@@ -170,7 +170,7 @@
 )
 
 
-class Fleet(Protocol):
+class CacheServers(Protocol):
     """The cache servers, as the module's actor sees them."""
 
     def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
@@ -189,7 +189,7 @@
         """Close the idle connections to a server."""
 
 
-class Registry(Protocol):
+class Discovery(Protocol):
     """Discovery, as the module's actor sees it."""
 
     def watch(self, active: bool) -> None:
@@ -211,7 +211,7 @@
 
     def __init__(self, settings: Settings, seed: int, clock: Clock, deadlines: Deadlines, counters: Counters) -> None:
         self.settings, self.clock, self.deadlines, self.counters = settings, clock, deadlines, counters
-        self.module = Balancer(settings, seed)
+        self.balancer = Balancer(settings, seed)
         self.telemetry = Telemetry(cls.name for cls in settings.classes)
         self._numbers = {cls.name: number for number, cls in enumerate(settings.classes)}
         self.mailbox: Mailbox[Message] = Mailbox(MAILBOX)
@@ -219,8 +219,8 @@
         self.attempts: dict[int, list[Attempt]] = {}
         self.discovery_reached = asyncio.Event()  # discovery itself has told a list, not the configuration alone
         self.listed = False  # a list with at least one line has reached the module
-        self.fleet: Fleet
-        self.registry: Registry
+        self.fleet: CacheServers
+        self.discovery: Discovery
         self.peers: Peers
         self._last_id = 0
         self._timer: asyncio.TimerHandle | None = None
@@ -233,7 +233,7 @@
 
     def begin(self) -> None:
         """Start the module."""
-        self._carry_out(self.module.start(self.clock.now()))
+        self._carry_out(self.balancer.start(self.clock.now()))
         self._weigh()
 
     def _weigh(self) -> None:
@@ -274,7 +274,7 @@
 
     def _take_in(self, message: Message) -> None:
         now = self.clock.now()
-        if isinstance(message, Asked):
+        if isinstance(message, RequestReceived):
             self._asked(now, message.request)
         elif isinstance(message, AttemptEnded):
             self._ended(message)
@@ -298,9 +298,9 @@
     def _handle(self, event: Event, now: float | None = None) -> None:
         """Let the module take in an event. Its failure must cost one request, never the router."""
         try:
-            actions = self.module.handle(self.clock.now() if now is None else now, event)
+            actions = self.balancer.handle(self.clock.now() if now is None else now, event)
         except Exception:
-            self.counters.note("module.errors")
+            self.counters.increment("module.errors")
             if self.counters["module.errors"] <= MAX_ERRORS_LOGGED:
                 log.exception("module-error", input=repr(event))
             actions = []
@@ -318,8 +318,8 @@
     def submit(self, request: PendingRequest) -> None:
         """Take a request: the one way in. What finds no place is refused, by the one way out."""
         self.telemetry.on_received()
-        if not self.mailbox.put(Asked(request)):
-            self.counters.note("requests.mailbox_full")
+        if not self.mailbox.put(RequestReceived(request)):
+            self.counters.increment("requests.mailbox_full")
             self._finish(request, Rejected())
 
     def fail_all(self) -> None:
@@ -334,13 +334,13 @@
         self._finish(request, Rejected())
 
     def _asked(self, now: float, request: PendingRequest) -> None:
-        if request.finished or request.withdrawn:  # its client left while the message lay in the mailbox
+        if request.finished or request.cancelled:  # its client left while the message lay in the mailbox
             return
         self._last_id += 1
         request.id = self._last_id
         self.requests[request.id] = request
         self.attempts[request.id] = []
-        self.counters.note("requests.taken")
+        self.counters.increment("requests.taken")
         number = self._numbers.get(request.request_class.name)
         if request.deadline <= now or number is None:
             # It came too late, or its class is gone since: a value in pieces is asked for some time after its head.
@@ -378,7 +378,7 @@
     def _overdue(self, request: PendingRequest) -> None:
         """Guards against a module that forgets a request: it is owed an answer all the same."""
         if not request.finished:
-            self.counters.note("requests.overdue")
+            self.counters.increment("requests.overdue")
             log.warning(
                 "overdue", request=request.id, sends=request.attempts_started, **{"class": request.request_class.name}
             )
@@ -388,7 +388,7 @@
     def _withdraw(self, request: PendingRequest) -> None:
         if request.finished:
             return
-        self.counters.note("requests.withdrawn")
+        self.counters.increment("requests.withdrawn")
         self.telemetry.on_finished(request.request_class.name, End.ABANDONED)
         request.finished = True
         if request.body is not None:
@@ -405,7 +405,7 @@
         request.finished = True
         self.deadlines.clear(request.deadline_timer)
         kind = type(answer).__name__.lower()
-        self.counters.note(f"answers.{kind}")
+        self.counters.increment(f"answers.{kind}")
         if request.body is not None:
             request.body.abandon()
         self._count_end(request.request_class.name, answer)
@@ -423,7 +423,7 @@
                 cls, End.SUCCESS if pipe.complete else End.FAILURE if pipe.complete is False else End.ABANDONED
             )
 
-        pipe.when_settled(settled)
+        pipe.on_settled(settled)
 
     def _forget(self, request: PendingRequest) -> None:
         if request.finished and request.attempts_in_flight == 0:
@@ -436,17 +436,17 @@
         now = self.clock.now()
         request = self.requests.get(action.id)
         if request is None:
-            self.counters.note("attempts.unknown_request")
+            self.counters.increment("attempts.unknown_request")
             return
         until = min(now + action.timeout, request.deadline) if action.timeout else request.deadline
         attempt = Attempt(request, request.attempts_started, action.server, now, until, action.write_deadline)
         self.attempts[request.id].append(attempt)
         request.attempts_started += 1
         request.attempts_in_flight += 1
-        if request.finished or request.withdrawn or request.attempts_started > self.settings.max_attempts:
+        if request.finished or request.cancelled or request.attempts_started > self.settings.max_attempts:
             self.mailbox.must_put(AttemptEnded(attempt, AttemptResult.NOT_SENT))
             return
-        self.counters.note("attempts.started")
+        self.counters.increment("attempts.started")
         self._limit(attempt, until)
         self.fleet.start(attempt)
 
@@ -462,7 +462,7 @@
         """The one place where an attempt gets its outcome; later ones are dropped."""
         attempt, result = message.attempt, message.result
         if not attempt.pending:
-            self.counters.note("attempts.late_outcomes")
+            self.counters.increment("attempts.late_outcomes")
             if message.pipe is not None:
                 message.pipe.abandon()
             return
@@ -470,7 +470,7 @@
         self.deadlines.clear(attempt.timeout_timer)
         if abandon:
             self.fleet.abandon(attempt)
-        self.counters.note(f"attempts.{result.name.lower()}")
+        self.counters.increment(f"attempts.{result.name.lower()}")
         request = attempt.request
         request.attempts_in_flight -= 1
         if result == AttemptResult.OK:
@@ -513,15 +513,15 @@
                 event = Timer(action.label)
                 self.deadlines.set(action.at, lambda event=event: self._handle(event))  # type: ignore[misc]
             elif isinstance(action, HealthCheck):
-                self.counters.note("probes.sent")
+                self.counters.increment("probes.sent")
                 self.fleet.check_health(action.server)
             elif isinstance(action, CloseConnections):
                 self.fleet.close_idle(action.server)
             elif isinstance(action, SendToPeer):
                 self.peers.send(action.peer, action.payload)
             elif isinstance(action, WatchEndpoints):
-                self.registry.watch(action.active)
+                self.discovery.watch(action.active)
             elif isinstance(action, FetchEndpoints):
-                self.registry.fetch()
+                self.discovery.fetch()
             else:
                 log.info("module", text=action.text)
--- a/starlingthread/handover/actor.py
+++ b/starlingthread/handover/actor.py
@@ -15,19 +15,19 @@
 from .channel import MAX_LINE, Door, Inheritance, Word, bequeath
 
 
-class Estate(Protocol):
+class ServingProcess(Protocol):
     """What is shared while two processes are one router."""
 
     def sockets(self) -> dict[str, socket.socket]:
         """Return the sockets that a new process goes on with, by address."""
 
-    def share(self, part: float) -> None:
+    def apply_resource_share(self, part: float) -> None:
         """Hold no more than this part of what the limits give."""
 
-    def give_way(self) -> None:
+    def pause_accepting(self) -> None:
         """A new process takes the connections from now on: accept no more."""
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """The new process has gone before its time: accept again."""
 
 
@@ -35,11 +35,16 @@
     """One per process. It is the heir of the process before it, and bequeaths to the one after it."""
 
     def __init__(
-        self, estate: Estate, watcher: Watcher, counters: Counters, folder: Path | None, inheritance: Inheritance | None
+        self,
+        estate: ServingProcess,
+        watcher: Watcher,
+        counters: Counters,
+        folder: Path | None,
+        inheritance: Inheritance | None,
     ) -> None:
         self.estate, self.watcher, self.counters, self.folder = estate, watcher, counters, folder
         self.inheritance = inheritance
-        self.part = inheritance.share if inheritance is not None else 1.0
+        self.resource_share = inheritance.share if inheritance is not None else 1.0
         self.given_way = False  # a new process serves in our place
         self._elder: asyncio.StreamWriter | None = None
         self._heir: asyncio.StreamWriter | None = None
@@ -48,7 +53,7 @@
 
     # as the new process
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Listen for the old process's end, where there is one."""
         if self.inheritance is not None:
             reader, self._elder = await asyncio.open_connection(sock=self.inheritance.channel, limit=MAX_LINE)
@@ -69,11 +74,11 @@
             self._grow("elder-gone")
 
     def _grow(self, event: str) -> None:
-        self.part = min(1.0, self.part * 2)
-        log.info(event, share=self.part)
-        self.estate.share(self.part)
+        self.resource_share = min(1.0, self.resource_share * 2)
+        log.info(event, share=self.resource_share)
+        self.estate.apply_resource_share(self.resource_share)
 
-    def serving(self) -> None:
+    def on_serving(self) -> None:
         """Tell the old process that we take connections from now on, and be there for the next new one."""
         if self._elder is not None:
             self._elder.write(msgspec.json.encode(Word(serving=True)) + b"\n")
@@ -104,16 +109,16 @@
             return
         channel.setblocking(False)
         try:
-            bequeath(channel, self.part / 2, self.estate.sockets())
+            bequeath(channel, self.resource_share / 2, self.estate.sockets())
         except OSError as error:
             channel.close()
             log.warning("handover-failed", why=repr(error))
             return
         self._has_heir = True
-        self.counters.note("handovers.begun")
-        self.part /= 2
-        log.info("heir-came", share=self.part)
-        self.estate.share(self.part)
+        self.counters.increment("handovers.begun")
+        self.resource_share /= 2
+        log.info("heir-came", share=self.resource_share)
+        self.estate.apply_resource_share(self.resource_share)
         self.watcher.start(self._hear(channel), "handover-heir", lambda _: self._heirless())
 
     async def _hear(self, channel: socket.socket) -> None:
@@ -124,7 +129,7 @@
                 if msgspec.json.decode(line, type=Word).serving and not self.given_way:
                     self.given_way = True
                     log.info("gave-way")
-                    self.estate.give_way()
+                    self.estate.pause_accepting()
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             log.warning("handover-failed", why=repr(error))
         self._heirless()
@@ -143,7 +148,7 @@
             # The name is the dead process's by now: the next new one would find nobody behind it.
             self._shut_door()
             self._open_door()
-            self.estate.resume()
+            self.estate.resume_accepting()
 
     def close(self) -> None:
         """Give back what we hold. The channels end with the process, as its descriptors count until then."""
--- a/starlingthread/limits/budgets.py
+++ b/starlingthread/limits/budgets.py
@@ -19,18 +19,18 @@
 LEAST_LEFT = 2.0  # MB that are taken to be left in any case: a router that holds nothing serves nothing
 
 
-class Budgets(NamedTuple):
+class ResourceBudgets(NamedTuple):
     """What each may hold: connections by their number, values by their bytes."""
 
-    clients: int
-    comfortable: int  # of clients, beyond which those that ask for nothing are closed sooner
-    servers: int
-    calls: int
-    whole: int
-    pieces: int
+    max_clients: int
+    idle_client_threshold: int  # of clients, beyond which those that ask for nothing are closed sooner
+    server_connections: int
+    management_connections: int
+    buffered_values: int
+    streamed_values: int
 
 
-def split_budgets(sockets: int, memory: float, own: float, part: float, called: bool) -> Budgets:
+def split_budgets(sockets: int, memory: float, own: float, part: float, called: bool) -> ResourceBudgets:
     """Share out a part of the limits: descriptors, and memory in MB of which the program takes 'own' at rest.
 
     'called' tells whether operators may call; if not, nothing is kept for them.
@@ -40,6 +40,6 @@
     left = max(16, ours - OWN_SOCKETS - calls)
     clients = int(left * CLIENT_SHARE)
     spare = max(LEAST_LEFT, memory * part - own * GROWTH) * MB
-    return Budgets(
+    return ResourceBudgets(
         clients, int(ours * COMFORTABLE), left - clients, calls, int(spare * WHOLE_SHARE), int(spare * PIECES_SHARE)
     )
--- a/starlingthread/net/clients.py
+++ b/starlingthread/net/clients.py
@@ -78,11 +78,11 @@
         self.held_back: Answer | None = None  # a final answer to a request whose value is still coming
 
 
-class ClientActor:
+class ClientConnectionActor:
     """One client's connection. It reads on while requests are out, and answers in order."""
 
-    def __init__(self, front: Front, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.front, self.reader, self.writer = front, reader, writer
+    def __init__(self, front: ClientListener, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.listener, self.reader, self.writer = front, reader, writer
         self.mailbox: Mailbox[tuple[Slot, tuple[bytes, ...]]] = Mailbox(4 * MAX_PIPELINED)
         self.slots: deque[Slot] = deque()
         self.by_request: dict[PendingRequest, Slot] = {}
@@ -96,9 +96,9 @@
         self.used_at = front.clock.now()
         self.began_at: float | None = None  # when the command that is not whole yet began
         self.body: tuple[Slot, PendingRequest, Pipe] | None = None  # of the request whose value is coming in pieces
-        self.unasked: PendingRequest | None = None  # that request, as long as too little of its value is here
+        self.unsubmitted: PendingRequest | None = None  # that request, as long as too little of its value is here
         self.delivering: Pipe | None = None  # the value that is going out in pieces
-        self.asked = self.malformed = 0  # whole commands so far, and those that made no sense
+        self.commands = self.malformed = 0  # whole commands so far, and those that made no sense
 
     # reading
 
@@ -116,7 +116,7 @@
                     # Guards memory against a client that sends on and on without reading its answers.
                     while len(self.slots) >= MAX_PIPELINED and not self.ended:
                         self.may_read.clear()
-                        self.front.look_for_end(self)
+                        self.listener.watch_for_disconnect(self)
                         await self.may_read.wait()
                     if self.ended and len(self.slots) >= MAX_PIPELINED:
                         return
@@ -127,18 +127,18 @@
                 if not self.parser.is_midway():
                     self.began_at = None
                 elif self.began_at is None or self.body is not None:
-                    self.began_at = self.front.clock.now()
+                    self.began_at = self.listener.clock.now()
                 if self.body is not None and self.body[2].is_full():
-                    self.front.look_for_end(self)
+                    self.listener.watch_for_disconnect(self)
                     await self.body[2].until_not_full()
-                    self.began_at = self.front.clock.now()
+                    self.began_at = self.listener.clock.now()
         except OSError:
-            self.front.counters.note("clients.reset")
+            self.listener.counters.increment("clients.reset")
         if not self.lost:
-            self.left()
+            self.on_disconnect()
         self.mailbox.wake()
 
-    def left(self) -> None:
+    def on_disconnect(self) -> None:
         """The client has closed: withdraw at once what it has asked, whatever reader and writer wait for just now."""
         if self.ended:
             return
@@ -150,13 +150,13 @@
         self.may_read.set()
         self.mailbox.wake()
 
-    def look_for_end(self) -> bool:
+    def check_for_disconnect(self) -> bool:
         """See whether the client has closed while its reader waits; False once that is no question any more."""
         transport = self.writer.transport
         if self.ended or transport.is_closing():
             return False
         if not transport.is_reading() and polled(self.writer, ENDED):  # type: ignore[attr-defined]
-            self.left()
+            self.on_disconnect()
         return not self.ended and (len(self.slots) >= MAX_PIPELINED or self.body is not None)
 
     def _part(self, part: meta.Part) -> None:
@@ -165,27 +165,27 @@
             return
         slot, request, pipe = self.body
         pipe.put(part.data)
-        if self.unasked is not None and (pipe.buffered > meta.MAX_WHOLE or pipe.is_full() or part.last):
+        if self.unsubmitted is not None and (pipe.buffered > meta.MAX_WHOLE or pipe.is_full() or part.last):
             # Guards a server's connection against a client that sends a head and then nothing.
-            self.unasked = None
+            self.unsubmitted = None
             self._ask(request)
         if not part.last:
             return
-        pipe.end(True)
+        pipe.finish(True)
         self.body, self.began_at = None, None
-        now = self.used_at = request.received_at = self.front.clock.now()
+        now = self.used_at = request.received_at = self.listener.clock.now()
         if slot.held_back is not None:
             self._answer(slot, slot.held_back)
         elif not request.finished and isinstance(request.payload, meta.Command):
-            wait = min(request.payload.wait, request.request_class.deadline, self.front.answer_by - now)
-            self.front.router.mailbox.must_put(BodyReceived(request, now + wait - ANSWER_EARLY))
+            wait = min(request.payload.wait, request.request_class.deadline, self.listener.answer_by - now)
+            self.listener.router.mailbox.must_put(BodyReceived(request, now + wait - ANSWER_EARLY))
 
     def _spoil_body(self, item: meta.Bad) -> None:
         """The value that was coming in pieces will never be whole: nothing of it counts."""
         assert self.body is not None
         slot, request, pipe = self.body
         self.body = None
-        pipe.end(False)
+        pipe.finish(False)
         self._leave(request)
         self._malformed(slot, item)
 
@@ -193,43 +193,43 @@
         """Have a request withdrawn that nobody waits for any more."""
         if self.by_request.pop(request, None) is None:
             return
-        request.withdrawn = True  # at once: the message that says so has others before it
+        request.cancelled = True  # at once: the message that says so has others before it
         self._give_back_id(request)
-        if request is not self.unasked:
-            self.front.router.mailbox.must_put(ClientDisconnected(request))
+        if request is not self.unsubmitted:
+            self.listener.router.mailbox.must_put(ClientDisconnected(request))
         elif request.body is not None:
             request.body.abandon()
-            self.unasked = None
+            self.unsubmitted = None
 
     def _ask(self, request: PendingRequest) -> None:
-        if self.front.held > self.front.most_held:
-            self.front.counters.note("requests.memory_full")
-            self.front.router.reject(request)
+        if self.listener.buffered > self.listener.max_buffered:
+            self.listener.counters.increment("requests.memory_full")
+            self.listener.router.reject(request)
         else:
-            self.front.router.submit(request)
+            self.listener.router.submit(request)
 
     def _take(self, item: meta.Command | meta.Ask | meta.Bad) -> None:
-        front = self.front
+        front = self.listener
         if isinstance(item, meta.Bad) and self.body is not None:
-            front.counters.note("clients.malformed")
+            front.counters.increment("clients.malformed")
             self._spoil_body(item)
             return
         if self.ended and isinstance(item, meta.Command):
-            front.counters.note("clients.left_unread")  # its client has closed: nobody waits for it
+            front.counters.increment("clients.left_unread")  # its client has closed: nobody waits for it
             return
         slot = Slot()
         self.slots.append(slot)
         self.used_at = front.clock.now()
-        self.asked += 1
+        self.commands += 1
         if isinstance(item, meta.Command):
             cls = front.classes.get(item.fields.get("c", ""))
             if cls is None:
-                front.counters.note("clients.unknown_class")
+                front.counters.increment("clients.unknown_class")
                 self._malformed(slot, meta.bad("unknown class"))
                 return
             if item.id in front.open_ids:
                 # Guards the request that is open: two of one id could not be told apart, here or at a server.
-                front.counters.note("clients.id_taken")
+                front.counters.increment("clients.id_taken")
                 self._malformed(slot, meta.bad("id in use"))
                 return
             front.open_ids.add(item.id)
@@ -257,9 +257,9 @@
             if body is None:
                 self._ask(request)
             else:
-                self.unasked = request
+                self.unsubmitted = request
         elif isinstance(item, meta.Bad):
-            front.counters.note("clients.malformed")
+            front.counters.increment("clients.malformed")
             self._malformed(slot, item)
         elif item is meta.Ask.READY:
             self._put(slot, meta.READY_LINE if front.ready() else meta.STARTING_LINE)
@@ -272,22 +272,22 @@
         slot.last = self.lost = item.framing_lost or self.malformed >= MAX_MALFORMED
         self._put(slot, item.line)
 
-    def look(self, now: float, crowded: bool) -> None:
+    def check_idle(self, now: float, crowded: bool) -> None:
         """Close what is silent, midway or idle for too long: it holds a descriptor and memory for nothing."""
         if self.lost or self.ended or self.lingering:
             return
         if self.began_at is not None:
             waits_for_us = len(self.slots) >= MAX_PIPELINED or (self.body is not None and self.body[2].is_full())
             if now - self.began_at >= MIDWAY and not waits_for_us:
-                self.front.counters.note("clients.midway")
+                self.listener.counters.increment("clients.midway")
                 self._unfinished()
             return
-        allowed = SILENT if crowded or not self.asked else IDLE
+        allowed = SILENT if crowded or not self.commands else IDLE
         if not self.closing and not self.slots and now - self.used_at >= allowed:
-            self.front.counters.note("clients.idle_closed" if self.asked else "clients.silent_closed")
-            self.shut_when_idle()
+            self.listener.counters.increment("clients.idle_closed" if self.commands else "clients.silent_closed")
+            self.close_when_idle()
 
-    def spare(self, now: float) -> tuple[int, float] | None:
+    def eviction_rank(self, now: float) -> tuple[int, float] | None:
         """Return its rank among those that may go when descriptors are out, least first; None if it stays."""
         if self.lingering:
             return (-1, self.used_at)
@@ -298,7 +298,7 @@
             idle = now - self.began_at
             return (0 if idle >= SLOW else 2 if idle >= MUTE else 5, self.began_at)
         idle = now - self.used_at
-        if not self.asked:
+        if not self.commands:
             return (0 if idle >= MUTE else 4, self.used_at)
         return (1 if idle >= SILENT else 3, self.used_at)
 
@@ -308,7 +308,7 @@
         if self.lingering:
             self.writer.transport.abort()
         elif self.began_at is None:
-            self.shut_when_idle()
+            self.close_when_idle()
         else:
             self._unfinished()
 
@@ -348,10 +348,10 @@
 
     def _give_back_id(self, request: PendingRequest) -> None:
         if isinstance(request.payload, meta.Command):
-            self.front.open_ids.discard(request.payload.id)
+            self.listener.open_ids.discard(request.payload.id)
 
     def _hold(self, slot: Slot, size: int) -> None:
-        self.front.held += size - slot.size
+        self.listener.buffered += size - slot.size
         slot.size = size
 
     def _put(self, slot: Slot, *parts: bytes) -> None:
@@ -361,7 +361,7 @@
 
     async def run(self) -> None:
         """Write answers in order until the client has closed, or until we have and nothing is owed."""
-        reading = self.front.watcher.start(self.read(), "client-reader", lambda _: self._reader_died())
+        reading = self.listener.watcher.start(self.read(), "client-reader", lambda _: self._reader_died())
         try:
             await self._answer_all()
             reading.cancel()
@@ -373,7 +373,7 @@
                     # would count as taken off the socket, and a turn is long on a core that is too small.
                     self.writer.write_eof()
         except OSError:
-            self.front.counters.note("clients.reset")
+            self.listener.counters.increment("clients.reset")
         finally:
             reading.cancel()
             self.close()
@@ -391,7 +391,7 @@
                 if slot.last:
                     return
                 # Right behind an answer no request can be on its way yet, unless the client sends several at once.
-                self.closing = self.closing or self.front.leaving
+                self.closing = self.closing or self.listener.draining
             if self.ended or (self._is_over() and await self._has_nothing_unread()):
                 return
             await self.mailbox.wait()
@@ -403,10 +403,10 @@
         is lost with it. A request that comes now crossed our end of file, so its client sends it again elsewhere.
         """
         self.lingering = True
-        self.used_at = self.front.clock.now()
+        self.used_at = self.listener.clock.now()
         transport = self.writer.transport
         span = STUCK if transport.get_write_buffer_size() else LINGER  # what is unsent goes out before it
-        limit = self.front.deadlines.set(self.used_at + span, transport.abort)
+        limit = self.listener.deadlines.set(self.used_at + span, transport.abort)
         try:
             # With bytes unsent asyncio would send the end of file from a callback of its own, and a reset between the
             # last byte and that would be an exception that nobody takes. With none this does not wait: it is the step
@@ -420,11 +420,11 @@
             while left > 0 and (data := await self.reader.read(READ)):
                 left -= len(data)
         finally:
-            self.front.deadlines.clear(limit)
+            self.listener.deadlines.clear(limit)
 
     async def _write(self, slot: Slot, parts: tuple[bytes, ...]) -> None:
         """Write one answer; a large one part by part, so that a client has little unsent at any time."""
-        self.used_at = self.front.clock.now()
+        self.used_at = self.listener.clock.now()
         for some in (parts,) if slot.size <= MAX_UNSENT else tuple((part,) for part in parts):
             self.writer.writelines(some)
             if self.writer.transport.get_write_buffer_size() > MAX_UNSENT:
@@ -444,9 +444,9 @@
                     await self._drain()
             await pipe.until_more()
         self.delivering = None
-        self.used_at = self.front.clock.now()
+        self.used_at = self.listener.clock.now()
         if not pipe.complete or pipe.abandoned:
-            self.front.counters.note("clients.value_broke_off")
+            self.listener.counters.increment("clients.value_broke_off")
             self.writer.transport.abort()
             raise ConnectionAbortedError
 
@@ -476,19 +476,19 @@
 
     async def _drain(self) -> None:
         """Wait for a slow reader, for a while: its answers take memory, and its connection a descriptor."""
-        limit = self.front.deadlines.set(self.front.clock.now() + STUCK, self._cut_off)
+        limit = self.listener.deadlines.set(self.listener.clock.now() + STUCK, self._cut_off)
         try:
             await self.writer.drain()
         finally:
-            self.front.deadlines.clear(limit)
+            self.listener.deadlines.clear(limit)
 
     def _cut_off(self) -> None:
         if not self.writer.transport.is_closing() or self.writer.transport.get_write_buffer_size():
-            self.front.counters.note("clients.cut_off")
+            self.listener.counters.increment("clients.cut_off")
             self.writer.transport.abort()
 
     def _reader_died(self) -> None:
-        self.left()
+        self.on_disconnect()
 
     def close(self) -> None:
         """The one place where a client's connection is given back; what is still out is withdrawn."""
@@ -500,20 +500,20 @@
                 slot.pipe.abandon()
         self.slots.clear()
         if self.body is not None:
-            self.body[2].end(False)
+            self.body[2].finish(False)
             self.body = None
-        self.front.actors.discard(self)
+        self.listener.connections.discard(self)
         self.writer.close()
         if self.writer.transport.get_write_buffer_size():  # what is written still goes out, within a time
-            self.front.deadlines.set(self.front.clock.now() + STUCK, self._cut_off)
+            self.listener.deadlines.set(self.listener.clock.now() + STUCK, self._cut_off)
 
-    def shut_when_idle(self) -> None:
+    def close_when_idle(self) -> None:
         """Close once nothing is owed."""
         self.closing = True
         self.mailbox.wake()
 
 
-class Front:
+class ClientListener:
     """Accepts clients and owns their actors."""
 
     def __init__(
@@ -528,14 +528,19 @@
     ) -> None:
         self.router, self.watcher = router, watcher
         self.clock, self.counters, self.deadlines = router.clock, router.counters, router.deadlines
-        self.held = 0  # bytes of values that all slots hold
+        self.buffered = 0  # bytes of values that all slots hold
         self.budget = ByteBudget(0)  # for values that go through in pieces, either way
-        self.most, self.comfortable, self.most_held, self.ready = most, comfortable, most_held, ready
+        self.max_clients, self.idle_client_threshold, self.max_buffered, self.ready = (
+            most,
+            comfortable,
+            most_held,
+            ready,
+        )
         self.apply_settings(settings)
         self.open_ids: set[bytes] = set()  # of the requests that are owed an answer
-        self.actors: set[ClientActor] = set()
-        self.unread: set[ClientActor] = set()  # whose readers wait, so that their connections may not be read
-        self.leaving = False  # connections are closed behind their answers, as another process takes new ones
+        self.connections: set[ClientConnectionActor] = set()
+        self.unread: set[ClientConnectionActor] = set()  # whose readers wait, so that their connections may not be read
+        self.draining = False  # connections are closed behind their answers, as another process takes new ones
         self.answer_by = math.inf  # clock time by which requests that come from now on are answered
         self.socket: socket.socket | None = None  # ours for good, whether we accept or not
         self._server: asyncio.Server | None = None
@@ -547,27 +552,27 @@
     async def listen(self, host: str, port: int, inherited: socket.socket | None = None) -> None:
         """Begin to accept, at a socket of our own or at one that an old process goes on holding too."""
         self.socket = inherited or bind(host, port)
-        await self.resume()
+        await self.resume_accepting()
         self._look()
 
-    async def resume(self) -> None:
+    async def resume_accepting(self) -> None:
         """Accept, as at first or again."""
         assert self.socket is not None
-        self.leaving = False
+        self.draining = False
         self._server = await asyncio.get_running_loop().create_server(
             lambda: EndAwareProtocol(self._accept, READ), sock=self.socket.dup(), backlog=ACCEPT
         )
         # asyncio has one figure for both what the system holds and what is taken at once.
         self.socket.listen(BACKLOG)
 
-    def give_way(self) -> None:
+    def pause_accepting(self) -> None:
         """Accept no more, as another process does at the same socket: what waits there is in its hands."""
-        self.leaving = True
+        self.draining = True
         if self._server is not None:
             self._server.close()
             self._server = None
 
-    def look_for_end(self, actor: ClientActor) -> None:
+    def watch_for_disconnect(self, actor: ClientConnectionActor) -> None:
         """Have the system asked now and then whether a client has left whose reader waits.
 
         Guards against requests that are begun for such clients: their connections may not be read at all.
@@ -577,39 +582,40 @@
         self.unread.add(actor)
 
     def _look_for_ends(self) -> None:
-        self.unread = {actor for actor in self.unread if actor.look_for_end()}
+        self.unread = {actor for actor in self.unread if actor.check_for_disconnect()}
         if self.unread:
             self.deadlines.set(self.clock.now() + LOOK_FOR_ENDS, self._look_for_ends)
 
     def _look(self) -> None:
         now = self.clock.now()
-        crowded = len(self.actors) > self.comfortable * CROWDED
-        for actor in list(self.actors):
-            actor.look(now, crowded)
+        crowded = len(self.connections) > self.idle_client_threshold * CROWDED
+        for actor in list(self.connections):
+            actor.check_idle(now, crowded)
         # Guards against clients that keep a connection each for good: those who ask would find none left, and
         # we would hear nothing of it. So what is idle longest goes before clients hold all they may.
         ranked = sorted(
-            ((rank, actor) for actor in self.actors if (rank := actor.spare(now)) is not None), key=lambda pair: pair[0]
+            ((rank, actor) for actor in self.connections if (rank := actor.eviction_rank(now)) is not None),
+            key=lambda pair: pair[0],
         )
-        for (_, since), actor in ranked[: max(0, len(self.actors) - self.comfortable)]:
+        for (_, since), actor in ranked[: max(0, len(self.connections) - self.idle_client_threshold)]:
             if now - since >= SPARE:
-                self.counters.note("clients.shed")
+                self.counters.increment("clients.shed")
                 actor.close_idle()
         self.deadlines.set(now + LOOK_EVERY, self._look)
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.counters.note("clients.accepted")
-        if len(self.actors) >= self.most and not self._close_spare():
-            self.counters.note("clients.turned_away")
+        self.counters.increment("clients.accepted")
+        if len(self.connections) >= self.max_clients and not self._close_spare():
+            self.counters.increment("clients.turned_away")
             writer.transport.abort()
             return
         read_at_most(writer, READ)
         send_at_once(writer)
-        actor = ClientActor(self, reader, writer)
-        self.actors.add(actor)
+        actor = ClientConnectionActor(self, reader, writer)
+        self.connections.add(actor)
         protocol = writer.transport.get_protocol()
         if isinstance(protocol, EndAwareProtocol):
-            protocol.on_end = actor.left
+            protocol.on_end = actor.on_disconnect
         self.watcher.start(actor.run(), "client", lambda _: actor.close())
 
     def _close_spare(self) -> bool:
@@ -618,11 +624,11 @@
         Whoever opens connections and says nothing loses them to those who ask.
         """
         now = self.clock.now()
-        ranked = [(rank, actor) for actor in self.actors if (rank := actor.spare(now)) is not None]
+        ranked = [(rank, actor) for actor in self.connections if (rank := actor.eviction_rank(now)) is not None]
         if not ranked:
             return False
         actor = min(ranked, key=lambda pair: pair[0])[1]
-        self.counters.note("clients.shed")
+        self.counters.increment("clients.shed")
         actor.close_idle()
         return True
 
@@ -655,7 +661,7 @@
             self._server = None
         if self.socket is not None:
             self.socket.close()
-        while self.actors:
-            for actor in list(self.actors):
-                actor.shut_when_idle()
+        while self.connections:
+            for actor in list(self.connections):
+                actor.close_when_idle()
             await asyncio.sleep(IDLE_ROUNDS)
--- a/starlingthread/net/registry.py
+++ b/starlingthread/net/discovery.py
@@ -35,11 +35,11 @@
 LIST_PATH = "/registry/instances"
 
 
-class ListError(Exception):
+class EndpointListError(Exception):
     """Discovery said something that is no list."""
 
 
-class Objects:
+class JsonObjectSplitter:
     """Splits what comes on a watch into JSON objects by their braces, in whatever cuts it comes.
 
     A list may be written over many lines, and the last one before a break may lack its end of line. Raises ListError
@@ -79,10 +79,10 @@
             yield from self._whole_lines()
         while (token := self.TOKEN.search(self._bytes, self._at)) is not None:
             if self._depth == 0 and (token[0] != b"{" or self._bytes[: token.start()].strip()):
-                raise ListError("not an object")
+                raise EndpointListError("not an object")
             if token[0] == b'"':  # a string that is not closed yet, nor ever if its line has ended
                 if b"\n" in self._bytes[token.end() :]:
-                    raise ListError("a string that does not end")
+                    raise EndpointListError("a string that does not end")
                 break
             self._at = token.end()
             self._depth += (token[0] == b"{") - (token[0] == b"}")
@@ -93,27 +93,27 @@
                 yield whole
         if self._depth == 0:
             if self._bytes.strip():
-                raise ListError("not an object")
+                raise EndpointListError("not an object")
             self._bytes.clear()
 
 
-class Ids:
+class ServerIds:
     """Server ids: from the name alone, so the same at every router and after every restart."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, int] = {}
         self._taken: set[int] = set()
 
-    def keep(self, numbers: Collection[int]) -> None:
+    def retain(self, numbers: Collection[int]) -> None:
         """Forget all names but those of these servers. Guards memory where servers come and go all day."""
         self._by_name = {name: number for name, number in self._by_name.items() if number in numbers}
         self._taken = set(self._by_name.values())
 
-    def known(self, name: str) -> int | None:
+    def lookup(self, name: str) -> int | None:
         """Return the id of a name that a list has told lately."""
         return self._by_name.get(name)
 
-    def of(self, name: str) -> int:
+    def assign(self, name: str) -> int:
         """Return the id of a name. On a collision of 32 bits the name that came later is hashed again."""
         number = self._by_name.get(name)
         turn = 0
@@ -134,26 +134,26 @@
     return host.strip("[]"), int(port)
 
 
-class ListReader:
+class EndpointListParser:
     """Turns discovery's objects into the module's lists."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
-        self.ids = Ids()
+        self.ids = ServerIds()
 
-    def read(self, raw: object, kind: EndpointListKind | None = None) -> EndpointsReceived:
+    def parse(self, raw: object, kind: EndpointListKind | None = None) -> EndpointsReceived:
         """Read one object; its kind is told by 'snapshot' unless given. Raise ListError if it is no list."""
         try:
             return self._read(raw, kind)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            raise ListError(f"not a list: {error!r}") from None
+            raise EndpointListError(f"not a list: {error!r}") from None
 
     def _read(self, raw: Any, kind: EndpointListKind | None) -> EndpointsReceived:
         members, addresses = [], {}
         # In the order of names, so that even ids that collide within one list come out the same everywhere.
         for line in sorted(raw["endpoints"], key=lambda line: str(line["name"])):
-            number = self.ids.of(str(line["name"]))
+            number = self.ids.assign(str(line["name"]))
             if line.get("address"):
                 addresses[number] = parse_address(line["address"])
             # An unknown zone or kind gets a place behind the known ones: it is then nobody's own.
@@ -182,11 +182,16 @@
 Message: TypeAlias = str | Move  # "watch", "stop" and "fetch" are what the module asks for
 
 
-class RegistryActor:
+class DiscoveryActor:
     """Asks discovery when the module says so, and tells the module what came of it."""
 
     def __init__(
-        self, router: Router, reader: ListReader, address: tuple[str, int], watcher: Watcher, pushed: bool = False
+        self,
+        router: Router,
+        reader: EndpointListParser,
+        address: tuple[str, int],
+        watcher: Watcher,
+        pushed: bool = False,
     ) -> None:
         self.router, self.reader, self.address, self.watcher = router, reader, address, watcher
         self.pushed = pushed  # lists come without the module's asking, so it never asks: the watch is ours to keep open
@@ -200,26 +205,26 @@
         self._fetching: set[asyncio.Task[None]] = set()
 
     @property
-    def listed(self) -> int:
+    def endpoint_count(self) -> int:
         """How many servers the list that the module has names, those that drain among them."""
         return len(self._listed)
 
-    def retune(self, zones: tuple[str, ...], kinds: tuple[str, ...], pushed: bool = False) -> None:
+    def apply_settings(self, zones: tuple[str, ...], kinds: tuple[str, ...], pushed: bool = False) -> None:
         """Number zones and kinds anew, where they have changed: the next call asks for the whole list."""
         self.pushed = pushed
         self.wanted = self.wanted or pushed
-        reader = ListReader(zones, kinds)
+        reader = EndpointListParser(zones, kinds)
         if (reader.zones, reader.kinds) != (self.reader.zones, self.reader.kinds):
             self.reader.zones, self.reader.kinds, self.index = reader.zones, reader.kinds, 0
 
-    def number(self, name: str) -> int | None:
+    def server_id(self, name: str) -> int | None:
         """Return the id of a listed server, None if the list has none of that name."""
-        number = self.reader.ids.known(name)
+        number = self.reader.ids.lookup(name)
         return number if number in self._listed else None
 
-    def known(self, raw: object) -> None:
+    def load_cached_list(self, raw: object) -> None:
         """Tell the module the list from the configuration."""
-        listing = self.reader.read(raw, EndpointListKind.CACHED)
+        listing = self.reader.parse(raw, EndpointListKind.CACHED)
         self.index = listing.event.version
         self._listed = {m.server for m in listing.event.endpoints}
         self.router.mailbox.must_put(listing)
@@ -235,7 +240,7 @@
         if not self.mailbox.put("fetch"):
             self._failed("mailbox full")
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Discovery has another address: leave the old one and ask there, at once."""
         self.mailbox.must_put(Move(address))
 
@@ -276,11 +281,11 @@
             self._watching = None
 
     def _call(self, path: str, watch: bool) -> asyncio.Task[None]:
-        self.counters.note("registry.watches" if watch else "registry.fetches")
+        self.counters.increment("registry.watches" if watch else "registry.fetches")
         return self.watcher.start(self._speak(path, watch), "registry-call", lambda error: self._failed(repr(error)))
 
     def _failed(self, why: str) -> None:
-        self.counters.note("registry.failures")
+        self.counters.increment("registry.failures")
         log.info("registry-failed", why=why)
         self.router.mailbox.must_put(EndpointsReceived(EndpointList(EndpointListKind.FAILED, self.index), {}))
         if self.pushed:
@@ -325,7 +330,7 @@
             host = f"{address[0]}:{address[1]}"
             writer.write(http.send(h11.Request(method="GET", target=path, headers=[("Host", host)])) or b"")
             writer.write(http.send(h11.EndOfMessage()) or b"")
-            rest, objects, began_at = bytearray(), Objects(), 0.0
+            rest, objects, began_at = bytearray(), JsonObjectSplitter(), 0.0
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
@@ -357,7 +362,7 @@
             if not silent:
                 raise
             self._failed("silent")
-        except (OSError, h11.RemoteProtocolError, ListError) as error:
+        except (OSError, h11.RemoteProtocolError, EndpointListError) as error:
             self._failed(repr(error))
         finally:
             self.deadlines.clear(silence)
@@ -368,18 +373,18 @@
         try:
             raw = json.loads(text)
         except (ValueError, RecursionError) as error:
-            self.counters.note("registry.bad_json")
-            raise ListError(f"bad JSON: {error}") from None
-        listing = self.reader.read(raw)
+            self.counters.increment("registry.bad_json")
+            raise EndpointListError(f"bad JSON: {error}") from None
+        listing = self.reader.parse(raw)
         if listing.event.kind == EndpointListKind.DELTA and listing.event.version < self.index:
             known, self.index = self.index, 0  # it counts anew: the next call asks for the whole list
-            raise ListError(f"changes for version {listing.event.version}, we have {known}")
+            raise EndpointListError(f"changes for version {listing.event.version}, we have {known}")
         self.index = listing.event.version
         event = listing.event
         gone = {m.server for m in event.endpoints if m.state == ServerState.GONE}
         told = {m.server for m in event.endpoints} - gone
         self._listed = told if event.kind != EndpointListKind.DELTA else (self._listed | told) - gone
-        self.reader.ids.keep(self._listed)
+        self.reader.ids.retain(self._listed)
         self._failures = 0
-        self.counters.note("registry.lists")
+        self.counters.increment("registry.lists")
         self.router.mailbox.must_put(listing)
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -30,7 +30,7 @@
         self._tells = False
         self._due: Deadline | None = None
 
-    def retune(self, own: Failover, members: Members, names: tuple[str, ...], allowed: bool) -> None:
+    def apply_settings(self, own: Failover, members: Members, names: tuple[str, ...], allowed: bool) -> None:
         """Turn it on or off, or go over to other regions or keys; what is no good leaves all as it was.
 
         names: all zones that the configuration names; allowed: whether routers may send messages to one another.
@@ -55,25 +55,25 @@
             log.warning("failover-alone", why="messages between routers are not allowed, or there are no others")
         if self.zones is None:
             self.zones = Zones(self.me, self.members.alive())
-            self.zones.listed((s.endpoint.zone, s.endpoint.server) for s in self.router.module.fleet.ready)
+            self.zones.listed((s.endpoint.zone, s.endpoint.server) for s in self.router.balancer.fleet.ready)
             self.members.on_change = self._know
-            self.router.module.fleet.zones = self.zones
+            self.router.balancer.fleet.zones = self.zones
             self._set()
         self.zones.know(self.members.alive())
         self.zones.topology, self.zones.far = topology, own.region_round_trip_ms
         self.zones.drained = frozenset(names.index(zone) for zone in own.drained_zones)
         if self._tells:
-            self.peers.takers[VERSION] = self._received
+            self.peers.handlers[VERSION] = self._received
         else:
-            self.peers.takers.pop(VERSION, None)
+            self.peers.handlers.pop(VERSION, None)
 
     def stop(self) -> None:
         """Say and hear no more; the module goes on without."""
         self.router.deadlines.clear(self._due)
-        self.peers.takers.pop(VERSION, None)
-        self.zones, self.router.module.fleet.zones, self._due = None, None, None
+        self.peers.handlers.pop(VERSION, None)
+        self.zones, self.router.balancer.fleet.zones, self._due = None, None, None
 
-    def figures(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """Return what operators read; nothing while it is off."""
         if self.zones is None:
             return {}
--- a/starlingthread/net/management.py
+++ b/starlingthread/net/management.py
@@ -36,13 +36,13 @@
     body: object
 
 
-class Desk(Protocol):
+class RouterControl(Protocol):
     """What calls are carried out by."""
 
     def ready(self) -> bool:
         """Tell whether this process is ready to serve."""
 
-    def figures(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """Return the figures."""
 
     def exclude(self, name: str) -> bool:
@@ -52,7 +52,7 @@
         """Let a cache server serve again; False if there is none of that id."""
 
 
-def reply(desk: Desk, method: str, target: str) -> Reply:
+def reply(desk: RouterControl, method: str, target: str) -> Reply:
     """Carry out one call."""
     parts = urlsplit(target)
     path = parts.path
@@ -65,7 +65,7 @@
         yes = desk.ready()
         return Reply(HTTPStatus.OK if yes else HTTPStatus.SERVICE_UNAVAILABLE, {"ready": yes})
     if path == "/api/telemetry":
-        return Reply(HTTPStatus.OK, desk.figures())
+        return Reply(HTTPStatus.OK, desk.snapshot())
     named = [value for name, value in parse_qsl(parts.query, keep_blank_values=True) if name == MEMBER]
     if len(named) != 1 or not named[0]:
         return _no(HTTPStatus.BAD_REQUEST, "one member is needed")
@@ -96,7 +96,7 @@
             if said is not None:
                 await self._say(said)
         except OSError:
-            self.management.counters.note("management.reset")
+            self.management.counters.increment("management.reset")
         finally:
             self.management.deadlines.clear(limit)
             self.management.calls.pop(self, None)
@@ -133,7 +133,7 @@
     async def _say(self, said: Reply) -> None:
         self.answered = True
         counters = self.management.counters
-        counters.note("management.yes" if said.status < HTTPStatus.BAD_REQUEST else "management.no")
+        counters.increment("management.yes" if said.status < HTTPStatus.BAD_REQUEST else "management.no")
         body = msgspec.json.encode(said.body) + b"\n"
         head = (
             f"HTTP/1.1 {int(said.status)} {said.status.phrase}\r\nContent-Type: application/json\r\n"
@@ -155,7 +155,7 @@
 
     def cut(self) -> None:
         """Close at once."""
-        self.management.counters.note("management.cut")
+        self.management.counters.increment("management.cut")
         self.writer.transport.abort()
 
 
@@ -163,23 +163,23 @@
     """Listens for callers and owns their connections."""
 
     def __init__(
-        self, desk: Desk, watcher: Watcher, clock: Clock, counters: Counters, deadlines: Deadlines, most: int
+        self, desk: RouterControl, watcher: Watcher, clock: Clock, counters: Counters, deadlines: Deadlines, most: int
     ) -> None:
         self.desk, self.watcher, self.clock, self.counters = desk, watcher, clock, counters
-        self.deadlines, self.most = deadlines, most
+        self.deadlines, self.max_connections = deadlines, most
         self.calls: dict[Call, None] = {}  # in the order in which they came
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
         """Begin to accept."""
         listening = socket.create_server((host, port), backlog=BACKLOG)
-        self._server = await asyncio.start_server(self.accept, sock=listening, limit=READ, backlog=self.most)
+        self._server = await asyncio.start_server(self.accept, sock=listening, limit=READ, backlog=self.max_connections)
         listening.listen(BACKLOG)
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Take in a caller; when places are out, the one who has held his longest without a call goes."""
-        if len(self.calls) >= self.most:
-            self.counters.note("management.crowded")
+        if len(self.calls) >= self.max_connections:
+            self.counters.increment("management.crowded")
             oldest = min(self.calls, key=lambda call: call.answered)  # the first of those not answered yet
             del self.calls[oldest]
             oldest.cut()
--- a/starlingthread/net/members.py
+++ b/starlingthread/net/members.py
@@ -53,7 +53,7 @@
         """Return the routers that live, as far as we know; all, while the membership is off."""
         return self.membership.alive() if self.membership is not None else list(range(len(self.peers.peers)))
 
-    def retune(self, own: Members, allowed: bool) -> None:
+    def apply_settings(self, own: Members, allowed: bool) -> None:
         """Turn it on or off, or go over to other keys; a key that is no good leaves all as it was."""
         count, wanted = len(self.peers.peers), own.enabled
         if wanted and (not allowed or count < 2):
@@ -78,10 +78,10 @@
         if self.membership is None or self.membership.members != count or old.period_ms != own.period_ms:
             self.stop()
             self.membership = Membership(
-                self.me, count, keys, self.router.module.fleet.rng.randrange(1 << 30), self.peers.send, own.period_ms
+                self.me, count, keys, self.router.balancer.fleet.rng.randrange(1 << 30), self.peers.send, own.period_ms
             )
             self.membership.start(self.router.clock.now())
-            self.peers.takers[VERSION] = self._received
+            self.peers.handlers[VERSION] = self._received
             self._set()
         else:
             self.membership.keys = keys
@@ -95,10 +95,10 @@
     def pause(self) -> None:
         """Say and hear no more: another process of ours does."""
         self.router.deadlines.clear(self._due)
-        self.peers.takers.pop(VERSION, None)
+        self.peers.handlers.pop(VERSION, None)
         self.membership, self._due = None, None
 
-    def figures(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         """Return what operators read; nothing while it is off."""
         if self.membership is None:
             return {}
--- a/starlingthread/net/peers.py
+++ b/starlingthread/net/peers.py
@@ -21,7 +21,7 @@
         self.set_addresses(peers, everyone)
         self.transport: asyncio.DatagramTransport | None = None
         self.socket: socket.socket | None = None  # ours for good, whether we hear or not
-        self.takers: dict[int, Callable[[int, bytes], None]] = {}  # by the first byte; the rest is the module's
+        self.handlers: dict[int, Callable[[int, bytes], None]] = {}  # by the first byte; the rest is the module's
 
     def set_addresses(self, peers: list[tuple[str, int]], everyone: tuple[str, int] | None) -> None:
         """Take over the addresses of the others."""
@@ -37,15 +37,15 @@
                     inherited.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             inherited.bind((host, port))
         self.socket = inherited
-        await self.resume()
+        await self.resume_receiving()
 
-    async def resume(self) -> None:
+    async def resume_receiving(self) -> None:
         """Hear the others, as at first or again."""
         if self.socket is not None and self.transport is None:
             loop = asyncio.get_running_loop()
             self.transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=self.socket.dup())
 
-    def give_way(self) -> None:
+    def pause_receiving(self) -> None:
         """Hear no more, as another process does at the same socket."""
         if self.transport is not None:
             self.transport.close()
@@ -55,21 +55,21 @@
         """Take in a message; one from a stranger, or too long to be a peer's, is counted and dropped."""
         sender = self.number.get((addr[0], addr[1]))
         if sender is None or len(data) > MAX_MESSAGE or sender == self.me:
-            self.counters.note("peers.stray")
-        elif data and (take := self.takers.get(data[0])) is not None:
-            self.counters.note("peers.taken")
+            self.counters.increment("peers.stray")
+        elif data and (take := self.handlers.get(data[0])) is not None:
+            self.counters.increment("peers.taken")
             take(sender, data)
         elif self.router.mailbox.put(PeerMessage(sender, data)):
-            self.counters.note("peers.received")
+            self.counters.increment("peers.received")
 
     def error_received(self, exc: Exception) -> None:
         """Count what the network gave back; messages may be lost anyway."""
-        self.counters.note("peers.errors")
+        self.counters.increment("peers.errors")
 
     def send(self, peer: int | None, payload: bytes) -> None:
         """Send a message to one router, or to all (None)."""
         if self.transport is None or len(payload) > MAX_MESSAGE:
-            self.counters.note("peers.unsent")
+            self.counters.increment("peers.unsent")
             return
         if peer is None:
             targets = [self.everyone] if self.everyone else [a for n, a in enumerate(self.peers) if n != self.me]
@@ -77,10 +77,10 @@
             targets = [self.peers[peer]] if peer < len(self.peers) else []
         for address in targets:
             self.transport.sendto(payload, address)
-            self.counters.note("peers.sent")
+            self.counters.increment("peers.sent")
 
     def close(self) -> None:
         """Close the socket."""
-        self.give_way()
+        self.pause_receiving()
         if self.socket is not None:
             self.socket.close()
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -76,7 +76,7 @@
             if message.job in self.opening.jobs and self._is_ours(message.due):
                 self.opening.wait_on(message.job)
             elif self.opening.stop(message.job):
-                self.fleet.counters.note("connections.late")
+                self.fleet.counters.increment("connections.late")
                 self.report(message.job, AttemptResult.CONNECT_FAILED)
         else:
             self.pool.retire(message.idle)
@@ -91,7 +91,7 @@
             return True
         now = self.fleet.clock.now()
         # A request that ended meanwhile must not run, and one past the drain grace would break the drain.
-        if not job.pending or job.request.finished or job.request.withdrawn or now >= job.deadline:
+        if not job.pending or job.request.finished or job.request.cancelled or now >= job.deadline:
             return False
         # The window in which a server drops repeats runs on while a connection comes up.
         if now + ON_ITS_WAY >= job.write_deadline:
@@ -104,7 +104,7 @@
         elif (connection := self.pool.take(isinstance(job, Attempt) and job.request.is_write)) is not None:
             self._write(connection, job)
         elif not self.fleet.allow_connection():
-            self.fleet.counters.note("connections.pool_exhausted")
+            self.fleet.counters.increment("connections.pool_exhausted")
             self.report(job, AttemptResult.CONNECT_FAILED)
         else:
             self.opening.start(job)
@@ -125,10 +125,10 @@
         if not self.opening.ended(job, connection):
             return
         if connection is None:
-            self.fleet.counters.note("connections.refused")
+            self.fleet.counters.increment("connections.refused")
             self.report(job, AttemptResult.CONNECT_FAILED)
             return
-        self.fleet.counters.note("connections.opened")
+        self.fleet.counters.increment("connections.opened")
         self.fleet.watcher.start(self.reader.run(connection), "server-reader", lambda _: self.tell(Broken(connection)))
         if not self._is_wanted(job):
             self.report(job, AttemptResult.NOT_SENT)
@@ -205,7 +205,7 @@
         if not sure or self._is_ours(due):
             self.reader.await_rest(connection, connection.parser.is_midway(), sure=True)
         elif not connection.closed and connection.parser.is_midway():
-            self.fleet.counters.note("servers.stalled")
+            self.fleet.counters.increment("servers.stalled")
             if connection.busy is not None:
                 self.report(connection.busy, AttemptResult.RESET)
             self.pool.discard(connection)
@@ -214,7 +214,7 @@
         job = connection.busy
         if connection.closed:
             if pipe is not None:
-                pipe.end(False)
+                pipe.finish(False)
             return
         if isinstance(job, Probing):
             self._probed(connection, job, answer)
@@ -237,7 +237,7 @@
                 result = AttemptResult.OK
         if result == AttemptResult.RESET and kind != meta.Kind.BUSY:
             # Not an answer to what was asked: nobody knows what the next one on this connection would answer.
-            self.fleet.counters.note("servers.bad_answers")
+            self.fleet.counters.increment("servers.bad_answers")
             if self.fleet.counters["servers.bad_answers"] <= MAX_LOGGED:
                 log.info(
                     "bad-answer",
@@ -274,7 +274,7 @@
             # It was handed to the system whole or nearly so; as nobody can tell, it may have run.
             self.fleet.risk.note(self.fleet.clock.now(), connection.idle_before, True)
             if connection.idle_before is not None:
-                self.fleet.counters.note("connections.reset_reused")
+                self.fleet.counters.increment("connections.reset_reused")
             # A value that has not gone out whole has not begun to run.
             never = connection.body is not None
             self.report(job, AttemptResult.CONNECT_FAILED if never else AttemptResult.RESET)
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -91,7 +91,7 @@
     def _run(self, actor: ServerActor) -> None:
         def died(_: BaseException) -> None:
             # Guards against attempts that nobody would end: each gets its outcome, then all starts anew.
-            self.counters.note("servers.actor_died")
+            self.counters.increment("servers.actor_died")
             for job in [*actor.opening.jobs, *actor.pool.busy]:
                 actor.report(job, AttemptResult.RESET)
             actor.close()
@@ -141,7 +141,7 @@
         pool.discard(pool.idle[0])
         return True
 
-    def limit(self, most: int) -> None:
+    def set_connection_limit(self, most: int) -> None:
         """Hold so many connections at most; close those idle longest that are too many."""
         self.most = most
         over = sum(a.pool.open for a in self.actors.values()) - most
--- a/starlingthread/net/upstreams/pool.py
+++ b/starlingthread/net/upstreams/pool.py
@@ -110,7 +110,7 @@
         connection.closed = True
         self.fleet.deadlines.clear(connection.stall)
         if connection.pipe is not None:
-            connection.pipe.end(False)
+            connection.pipe.finish(False)
         if connection.body is not None:
             connection.body.abandon()
         self._release(connection)
@@ -118,7 +118,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
         self.open -= 1
-        self.fleet.counters.note("connections.closed")
+        self.fleet.counters.increment("connections.closed")
         connection.writer.transport.abort()
 
     def retire(self, idle: float) -> None:
--- a/starlingthread/net/upstreams/reader.py
+++ b/starlingthread/net/upstreams/reader.py
@@ -63,7 +63,7 @@
             if connection.pipe is not None:
                 # What came instead of the value's end is no answer: the value has broken off.
                 connection.spoilt = True
-                connection.pipe.end(False)
+                connection.pipe.finish(False)
                 break
             connection.pipe = Pipe(self.fleet.budget) if item.in_pieces else None
             self.tell(Answered(connection, item, connection.pipe))
@@ -71,7 +71,7 @@
         if midway and not connection.owed:
             connection.spoilt = True
         if connection.spoilt:
-            self.fleet.counters.note("servers.stray_answers")
+            self.fleet.counters.increment("servers.stray_answers")
             return False
         if midway or connection.stall is not None:
             self.await_rest(connection, midway, sure=False)
@@ -83,7 +83,7 @@
         connection.pipe.put(part.data)
         if part.last:
             connection.owed = False
-            connection.pipe.end(True)
+            connection.pipe.finish(True)
             connection.pipe = None
             self.tell(Delivered(connection))
 
--- a/starlingthread/options.py
+++ b/starlingthread/options.py
@@ -63,7 +63,7 @@
     membership: Members = Members()
     failover: Failover = Failover()
 
-    def over(self, settings: Settings) -> Settings:
+    def apply_to(self, settings: Settings) -> Settings:
         """Return the platform's settings with what this file turns on in the module."""
         return settings._replace(hot_keys=self.hot_keys.enabled)
 
--- a/starlingthread/policy/load.py
+++ b/starlingthread/policy/load.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..balance.load import CORES, LoadEstimates
+from ..balance.load import CORES, WaitEstimates
 from ..events import AttemptResult, CacheStatus, Outcome
 from ..limits.machine_speed import MachineSpeeds
 from ..limits.origin_limit import OriginLimit
@@ -21,7 +21,7 @@
     """What our own attempts, answers and reports tell; times are ms."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.views, self.speeds, self.fetches = fleet, LoadEstimates(), MachineSpeeds(), OriginLimit()
+        self.fleet, self.views, self.speeds, self.fetches = fleet, WaitEstimates(), MachineSpeeds(), OriginLimit()
         self.throttle = OriginThrottle(min(c.latency_objective for c in fleet.settings.classes) * FETCH_SHARE)
         self.work: dict[str, ServiceTime] = {}  # learned times of each class
         self.tune()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -19,6 +19,9 @@
 
 from starlingthread import __main__ as program
 from starlingthread.config import read_config
+from starlingthread.core.counters import Counters
+from starlingthread.core.router import Router
+from starlingthread.net.clients import ClientConnectionActor
 
 LIMIT = 20.0  # s of real time in which anything that a script waits for must happen
 
@@ -205,12 +208,12 @@
         return self.servers[0]
 
     @property
-    def router(self) -> Any:
+    def router(self) -> Router:
         """The module's actor."""
         return self.program.router
 
     @property
-    def counters(self) -> Any:
+    def counters(self) -> Counters:
         """The router's counters."""
         return self.program.counters
 
@@ -218,13 +221,19 @@
         """Connect as a client; return once the router has taken it in. 'buffer' is what its system takes for it."""
         self.clients.append(await connect(self.port, buffer))
         if taken:
-            await until(lambda: self.actor_of(self.clients[-1]) is not None)
+            await until(lambda: self.find_actor(self.clients[-1]) is not None)
         return self.clients[-1]
 
-    def actor_of(self, client: Peer) -> Any:
+    def actor_of(self, client: Peer) -> ClientConnectionActor:
+        """Return the router's actor of a client."""
+        actor = self.find_actor(client)
+        assert actor is not None
+        return actor
+
+    def find_actor(self, client: Peer) -> ClientConnectionActor | None:
         """Return the router's actor of a client, None if there is none."""
         name = client.socket.getsockname()
-        return next((a for a in self.program.front.actors if a.writer.get_extra_info("peername") == name), None)
+        return next((a for a in self.program.front.connections if a.writer.get_extra_info("peername") == name), None)
 
     def reload(self, classes: list[dict[str, Any]]) -> None:
         """Have the program read its file anew with other classes."""
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -11,7 +11,7 @@
 from starlingthread.core.actors import Watcher
 from starlingthread.core.router import Attempt, PendingRequest
 from starlingthread.net import meta
-from starlingthread.net.clients import ClientActor, Front
+from starlingthread.net.clients import ClientConnectionActor, ClientListener
 from starlingthread.net.upstreams import ServerFleet, messages
 from starlingthread.net.upstreams.actor import ServerActor
 from starlingthread.net.upstreams.connection import Connection
@@ -84,11 +84,11 @@
     def __init__(self) -> None:
         place = Place()
         self.router, self.watcher = place.router, Watcher()
-        self.front = Front(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
+        self.front = ClientListener(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.writer.on_eof = self.reader.feed_eof  # it closes in turn
-        self.actor = ClientActor(self.front, self.reader, self.writer)  # type: ignore[arg-type]
-        self.front.actors.add(self.actor)
+        self.actor = ClientConnectionActor(self.front, self.reader, self.writer)  # type: ignore[arg-type]
+        self.front.connections.add(self.actor)
         self.watcher.start(self.actor.run(), "client", lambda _: None)
 
     async def settle(self) -> list[Any]:
@@ -105,7 +105,7 @@
         await script(now)
         await now.settle()
         await now.watcher.stop()
-        assert now.front.held == 0
+        assert now.front.buffered == 0
         return bytes(now.writer.transport.sent)
 
     return asyncio.run(play())
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -132,12 +132,12 @@
 
 
 def test_the_operators_file_turns_it_on_and_a_reload_off_again() -> None:
-    assert not options.parse("", "f").over(THROUGH).hot_keys
+    assert not options.parse("", "f").apply_to(THROUGH).hot_keys
     own = options.parse("[hot_keys]\nenabled = true\n", "f")
-    assert own.over(THROUGH).hot_keys
+    assert own.apply_to(THROUGH).hot_keys
     with pytest.raises(options.OptionsError, match=r"hot_keys\.enabled"):
         options.parse('[hot_keys]\nenabled = "yes"\n', "f")
-    world = World(own.over(THROUGH)._replace(router_count=100, router_index=3), members(24))
+    world = World(own.apply_to(THROUGH)._replace(router_count=100, router_index=3), members(24))
     before = [world.read(7) for _ in range(40)]
     world.do(SettingsChanged(world.set._replace(hot_keys=False)))
     away = {world.read(7) for _ in range(60)}
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from starlingthread.core.router import Asked, ClientDisconnected, Failed, Rejected, Served
+from starlingthread.core.router import ClientDisconnected, Failed, Rejected, RequestReceived, Served
 from starlingthread.net import meta
-from starlingthread.net.clients import ClientActor, key_number
+from starlingthread.net.clients import ClientConnectionActor, key_number
 
 from .standins import READS, Talk, Writer, talk
 
@@ -63,9 +63,9 @@
     async def script(now: Talk) -> None:
         now.reader.feed_data(READS[:25])
         (message,) = await now.settle()
-        now.actor.shut_when_idle()
+        now.actor.close_when_idle()
         await now.settle()
-        assert isinstance(message, Asked) and not now.writer.transport.gone
+        assert isinstance(message, RequestReceived) and not now.writer.transport.gone
         now.actor.answer(message.request, Failed())
         await now.settle()
         assert now.writer.transport.gone
@@ -103,11 +103,11 @@
         now.reader.feed_data(sent)
         await now.settle()
         now.router.clock.time += after - 1.0  # type: ignore[attr-defined]
-        now.actor.look(now.front.clock.now(), crowded=False)
+        now.actor.check_idle(now.front.clock.now(), crowded=False)
         await now.settle()
         assert not now.writer.transport.gone
         now.router.clock.time += 1.0  # type: ignore[attr-defined]
-        now.actor.look(now.front.clock.now(), crowded=False)
+        now.actor.check_idle(now.front.clock.now(), crowded=False)
         await now.settle()
         assert now.writer.transport.gone
 
@@ -116,26 +116,26 @@
 
 def test_when_descriptors_are_out_those_who_said_nothing_go_first() -> None:
     async def script(now: Talk) -> None:
-        def join(sent: bytes) -> ClientActor:
+        def join(sent: bytes) -> ClientConnectionActor:
             reader = asyncio.StreamReader()
             now.front._accept(reader, Writer())  # type: ignore[arg-type]
             reader.feed_data(sent)
-            return next(a for a in now.front.actors if a.reader is reader)
+            return next(a for a in now.front.connections if a.reader is reader)
 
-        now.front.most = 4
+        now.front.max_clients = 4
         now.reader.feed_data(READS[:25])
         half, mute, idle = join(b"mg "), join(b""), join(b"mn\r\n")
         await now.settle()
         now.router.clock.time += 200.0  # type: ignore[attr-defined]
         fresh = [join(READS[25:50]), join(b"mg c v O3 Pc=read,d=5\r\n")]
         await now.settle()
-        assert mute not in now.front.actors and half not in now.front.actors
-        assert {now.actor, idle, *fresh} == now.front.actors
+        assert mute not in now.front.connections and half not in now.front.connections
+        assert {now.actor, idle, *fresh} == now.front.connections
         told = half.writer.transport.sent  # type: ignore[attr-defined]
         assert bytes(told) == b"CLIENT_ERROR command not finished\r\n"
         fresh.append(join(b"mg d v O4 Pc=read,d=5\r\n"))
         await now.settle()
-        assert {now.actor, *fresh} == now.front.actors
+        assert {now.actor, *fresh} == now.front.connections
         now.front._accept(asyncio.StreamReader(), (last := Writer()))  # type: ignore[arg-type]
         assert last.transport.gone and now.front.counters["clients.turned_away"] == 1
 
@@ -146,7 +146,7 @@
     """Guards against clients that find no connection left, of which a router hears nothing."""
 
     async def script(now: Talk) -> None:
-        now.front.comfortable = 2
+        now.front.idle_client_threshold = 2
         now.reader.feed_data(READS[:25])
         readers = [asyncio.StreamReader() for _ in range(3)]
         for reader in readers:
@@ -156,11 +156,11 @@
             now.router.clock.time += 10.0  # type: ignore[attr-defined]
         now.front._look()
         await now.settle()
-        assert len(now.front.actors) == 4
+        assert len(now.front.connections) == 4
         now.router.clock.time += 85.0  # type: ignore[attr-defined]
         now.front._look()  # two have been idle for long enough, and there are two too many
         await now.settle()
-        assert {a.reader for a in now.front.actors} == {now.reader, readers[2]}
+        assert {a.reader for a in now.front.connections} == {now.reader, readers[2]}
 
     talk(script)
 
@@ -168,7 +168,7 @@
 def test_a_connection_is_not_closed_while_bytes_lie_unread_in_its_socket() -> None:
     async def script(now: Talk) -> None:
         now.writer.other.send(b"mg a v O1 Pc=read,d=500")  # the system has them, the reader has not
-        now.actor.shut_when_idle()
+        now.actor.close_when_idle()
         await now.settle()
         assert not now.writer.transport.gone
         now.writer.mine.recv(100)
@@ -184,7 +184,7 @@
 
     async def script(now: Talk) -> None:
         await now.settle()
-        now.actor.shut_when_idle()  # the actor's turn to close comes before the reader's
+        now.actor.close_when_idle()  # the actor's turn to close comes before the reader's
         now.reader.feed_data(READS[:25])
         (asked,) = await now.settle()
         assert not now.writer.transport.gone and not now.writer.transport.paused
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -83,7 +83,7 @@
             now.router.clock._base += clients.LOOK_FOR_ENDS
             now.router.mailbox.wake()
             await until(lambda: now.counters["requests.withdrawn"] == MAX_PIPELINED)
-            await until(lambda: not now.program.front.actors)
+            await until(lambda: not now.program.front.connections)
             assert now.counters["attempts.started"] == MAX_PIPELINED and not now.router.requests
 
     asyncio.run(play())
@@ -95,7 +95,7 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             client = await now.client(buffer=4096)
-            (actor,) = now.program.front.actors
+            (actor,) = now.program.front.connections
             actor.writer.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             actor.writer.transport.set_write_buffer_limits(0)
             await client.send(read(1) + read(2))
@@ -113,7 +113,7 @@
             await step()
             client.half_close()  # it reads nothing, so the writer goes on waiting
             await until(lambda: now.counters["requests.withdrawn"] == 1)
-            assert not now.router.requests and actor in now.program.front.actors
+            assert not now.router.requests and actor in now.program.front.connections
 
     asyncio.run(play())
 
@@ -126,9 +126,9 @@
             client, _ = await asked_any(now)
             (request,) = now.router.requests.values()
             (attempt,) = now.router.attempts[request.id]
-            (actor,) = now.program.front.actors
+            (actor,) = now.program.front.connections
             now.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.RESET))
-            actor.left()
+            actor.on_disconnect()
             began = now.counters["attempts.started"]
             now.router.turn()
             await until(lambda: not now.router.requests)
@@ -164,9 +164,9 @@
             client = await now.client()
             await client.send(read(1))
             await until(lambda: bool(held))
-            (actor,) = now.program.front.actors
+            (actor,) = now.program.front.connections
             request = next(iter(actor.by_request))
-            request.withdrawn = True  # the client has left; the router has not taken that in
+            request.cancelled = True  # the client has left; the router has not taken that in
             tell(held[0])
             await until(lambda: now.counters["attempts.not_sent"] == 1)
             peer = await now.server.accept()
@@ -182,10 +182,10 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             client = await now.client()
-            (actor,) = now.program.front.actors
-            actor.left()
+            (actor,) = now.program.front.connections
+            actor.on_disconnect()
             await client.send(read(1))
-            await until(lambda: not now.program.front.actors)
+            await until(lambda: not now.program.front.connections)
             await step()
             assert now.counters["attempts.started"] == 0 and not now.router.requests
 
@@ -223,7 +223,7 @@
             await client.send(b"x" * 60000)
             assert await client.rest() == b"MN\r\nCLIENT_ERROR bad data length\r\n"
             client.half_close()
-            await until(lambda: not now.program.front.actors)
+            await until(lambda: not now.program.front.connections)
 
     asyncio.run(play())
 
@@ -242,13 +242,13 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             client = await resting(now)
-            now.actor_of(client).shut_when_idle()
+            now.actor_of(client).close_when_idle()
             assert await client.receive() == b""  # our end of file
             await client.send(read(1))
             await step()
-            assert now.counters["requests.taken"] == 0 and len(now.program.front.actors) == 1
+            assert now.counters["requests.taken"] == 0 and len(now.program.front.connections) == 1
             client.half_close()
-            await until(lambda: not now.program.front.actors)
+            await until(lambda: not now.program.front.connections)
             assert await client.receive() == b"" and now.counters["attempts.started"] == 0
 
     asyncio.run(play())
@@ -258,13 +258,13 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             client = await resting(now)
-            now.actor_of(client).shut_when_idle()
+            now.actor_of(client).close_when_idle()
             assert await client.receive() == b""
             await step()
-            assert now.program.front.actors
+            assert now.program.front.connections
             now.router.clock._base += clients.LINGER
             now.router.mailbox.wake()
-            await until(lambda: not now.program.front.actors)
+            await until(lambda: not now.program.front.connections)
 
     asyncio.run(play())
 
@@ -287,7 +287,7 @@
     await server.send(b"VA 60000 O1 h1\r\n" + b"x" * 60000 + b"\r\n")
     await until(lambda: now.counters["attempts.ok"] == 1 and not actor.slots)
     assert actor.writer.transport.get_write_buffer_size()
-    actor.shut_when_idle()
+    actor.close_when_idle()
     await step()
     return client, actor.writer.transport
 
@@ -302,7 +302,7 @@
             client, _ = await closing_with_bytes_unsent(now)
             await client.receive()
             getattr(client, how)()
-            await until(lambda: not now.program.front.actors)
+            await until(lambda: not now.program.front.connections)
             await step()
         assert not raised
 
@@ -338,7 +338,7 @@
                 with contextlib.suppress(BlockingIOError):
                     client.socket.recv(65536)
                 await step()
-            await until(lambda: not now.program.front.actors)
+            await until(lambda: not now.program.front.connections)
             await step()
         assert not raised
 
@@ -360,7 +360,7 @@
                 told.append(bool(ended.poll(0)))
                 close()
 
-            actor.writer.close = closes
+            actor.writer.close = closes  # type: ignore[method-assign]
             actor.close_idle()
             await until(lambda: bool(told))
             assert told == [True]
@@ -372,12 +372,12 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             first, other = await resting(now), await resting(now)
-            now.actor_of(first).shut_when_idle()
+            now.actor_of(first).close_when_idle()
             assert await first.receive() == b""
-            now.program.front.most = 2
+            now.program.front.max_clients = 2
             await now.client()
-            await until(lambda: now.actor_of(first) is None)
-            assert now.actor_of(other) is not None
+            await until(lambda: now.find_actor(first) is None)
+            assert now.find_actor(other) is not None
 
     asyncio.run(play())
 
@@ -510,7 +510,7 @@
             client = await now.client()
             await client.send(b"ms k 100000 O1 Pc=keyed,d=5000\r\n")
             actor = now.actor_of(client)
-            await until(lambda: actor.unasked is not None)
+            await until(lambda: actor.unsubmitted is not None)
             now.reload(CLASSES[:1])
             await client.send(b"x" * 100000 + b"\r\n")
             assert await client.until(b"\r\n") == b"SERVER_ERROR failed\r\n"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,16 +13,16 @@
 
 from starlingthread.core.deadlines import Deadline
 from starlingthread.events import ServerState
-from starlingthread.net import registry
-from starlingthread.net.registry import LIST_PATH, ListError, Objects
+from starlingthread.net import discovery
+from starlingthread.net.discovery import LIST_PATH, EndpointListError, JsonObjectSplitter
 
 from .peers import WATCHED, Peer, Stand, chunk, entry, listing, stand, step, until
 
 
 def states(now: Stand) -> dict[str, ServerState]:
     """Return what the module believes of each server, by name."""
-    known = {now.program.registry.reader.ids.of(e["name"]): e["name"] for e in now.entries()}
-    return {known[n]: s.line.state for n, s in now.router.module.fleet.servers.items() if n in known}
+    known = {now.program.discovery.reader.ids.assign(e["name"]): e["name"] for e in now.entries()}
+    return {known[n]: s.endpoint.state for n, s in now.router.balancer.fleet.servers.items() if n in known}
 
 
 async def watched(now: Stand) -> Peer:
@@ -35,7 +35,7 @@
 
 def ask(now: Stand) -> None:
     """Have the module ask for changes now, not at its random moment."""
-    now.program.registry.watch(True)
+    now.program.discovery.watch(True)
 
 
 async def watching(now: Stand) -> Peer:
@@ -76,11 +76,11 @@
             later: Callable[[float, Callable[[], None]], Deadline] = now.router.deadlines.set
 
             def note(at: float, then: Callable[[], None]) -> Deadline:
-                if then == now.program.registry._watch_again:
+                if then == now.program.discovery._watch_again:
                     pauses.append(at - now.router.clock.now())
                 return later(at, then)
 
-            now.router.deadlines.set = note
+            now.router.deadlines.set = note  # type: ignore[method-assign]
             watch.reset()
             again = await watched(now)
             one, _ = now.entries()
@@ -172,10 +172,10 @@
             watch = await watched(now)
             await watch.send(chunk(b'{"index": 1,'))
             await step()
-            now.router.clock._base += registry.UNFINISHED / 2  # no silence is that long
+            now.router.clock._base += discovery.UNFINISHED / 2  # no silence is that long
             await watch.send(chunk(b" "))
             await step()
-            now.router.clock._base += registry.UNFINISHED / 2 + 1.0
+            now.router.clock._base += discovery.UNFINISHED / 2 + 1.0
             await watch.send(chunk(b" "))
             await until(lambda: now.counters["registry.failures"] == 1)
 
@@ -206,7 +206,7 @@
     written: list[tuple[dict[str, object], int | None, bytes]], size: int
 ) -> None:
     text = b"".join(json.dumps(o, indent=indent).encode() + end for o, indent, end in written)
-    objects = Objects()
+    objects = JsonObjectSplitter()
     found = [json.loads(o) for at in range(0, len(text), size) for o in objects.feed(text[at : at + size])]
     assert found == [o for o, _, _ in written] and not objects.is_midway() and not len(objects)
 
@@ -214,11 +214,11 @@
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.lists(st.binary(max_size=12) | st.sampled_from([b"{", b"}", b'"', b"\\", b"\n", b'{"a":1}']), max_size=12))
 def test_no_bytes_raise_anything_but_a_list_error(parts: list[bytes]) -> None:
-    objects = Objects()
+    objects = JsonObjectSplitter()
     try:
         for part in parts:
             list(objects.feed(part))
-    except ListError:
+    except EndpointListError:
         return
     assert len(objects) <= len(b"".join(parts))
 
@@ -287,12 +287,12 @@
             old = await watching(now)
             await step()
             await old.send(chunk(listing(9, entry("s-1", "127.0.0.1:1", "terminating"), full=False)))
-            now.program.registry.move(("127.0.0.1", now.discovery.port))  # before the loop has read that
+            now.program.discovery.set_address(("127.0.0.1", now.discovery.port))  # before the loop has read that
             new = await watched(now)
             await new.send(chunk(listing(2, *now.entries())))
             await until(lambda: now.counters["registry.lists"] >= 1)
             await step()
-            assert states(now)["s-1"] == ServerState.READY and now.program.registry.index == 2
+            assert states(now)["s-1"] == ServerState.READY and now.program.discovery.index == 2
             assert now.counters["registry.failures"] == 0
 
     asyncio.run(play())
--- a/tests/test_registry.py
+++ b/tests/test_discovery_lists.py
@@ -10,7 +10,7 @@
 
 from starlingthread.core.actors import Watcher
 from starlingthread.events import Endpoint, EndpointListKind, ServerState
-from starlingthread.net.registry import LIST_PATH, Ids, ListError, ListReader, RegistryActor
+from starlingthread.net.discovery import LIST_PATH, DiscoveryActor, EndpointListError, EndpointListParser, ServerIds
 
 from .test_router import Place
 
@@ -27,11 +27,11 @@
 
 
 def test_a_list_is_read_and_unknown_places_lie_behind_the_known() -> None:
-    reader = ListReader(("a", "b"), ("m1", "m2"))
+    reader = EndpointListParser(("a", "b"), ("m1", "m2"))
     odd = {**LINE, "name": "s-2", "zone": "x", "type": None, "status": "terminating"}
-    told = reader.read({"index": 4, "snapshot": False, "endpoints": [odd, LINE]})
+    told = reader.parse({"index": 4, "snapshot": False, "endpoints": [odd, LINE]})
     one, two = told.event.endpoints
-    assert one == Endpoint(Ids().of("s-1"), 1, 1, 3, ServerState.READY, 1.5, 17.0)
+    assert one == Endpoint(ServerIds().assign("s-1"), 1, 1, 3, ServerState.READY, 1.5, 17.0)
     assert (two.zone, two.kind, two.state) == (2, 2, ServerState.DRAINING)
     assert told.event.kind == EndpointListKind.DELTA and told.addresses[one.server] == ("127.0.0.1", 11211)
 
@@ -48,17 +48,19 @@
 )
 def test_any_json_is_a_list_or_a_list_error(raw: object) -> None:
     for text in (raw, {"index": 1, "snapshot": True, "endpoints": [raw, {**LINE, "zone": raw}]}):
-        with contextlib.suppress(ListError):
-            assert ListReader(("a",), ("m1",)).read(text).event.kind in EndpointListKind
+        with contextlib.suppress(EndpointListError):
+            assert EndpointListParser(("a",), ("m1",)).parse(text).event.kind in EndpointListKind
 
 
 def test_ids_come_from_the_name_and_collisions_are_told_apart() -> None:
     names = [f"s-{n}" for n in range(300)]
-    one, other = Ids(), Ids()
-    assert [one.of(n) for n in names] == [other.of(n) for n in reversed(names)][::-1]
-    crowded = Ids()
-    crowded._taken.add(Ids().of("s-1"))
-    assert crowded.of("s-1") != Ids().of("s-1") and crowded.of("s-1") == crowded.of("s-1") < 1 << 32
+    one, other = ServerIds(), ServerIds()
+    assert [one.assign(n) for n in names] == [other.assign(n) for n in reversed(names)][::-1]
+    crowded = ServerIds()
+    crowded._taken.add(ServerIds().assign("s-1"))
+    assert (
+        crowded.assign("s-1") != ServerIds().assign("s-1") and crowded.assign("s-1") == crowded.assign("s-1") < 1 << 32
+    )
 
 
 def test_discovery_that_moves_is_asked_anew_and_its_old_watch_is_no_failure() -> None:
@@ -66,7 +68,7 @@
 
     async def play() -> None:
         place, spoken = Place(), []
-        registry = RegistryActor(place.router, ListReader((), ()), ("127.0.0.1", 1), Watcher())
+        registry = DiscoveryActor(place.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
 
         async def speak(path: str, watch: bool) -> None:
             spoken.append((registry.address[1], path))
@@ -79,7 +81,7 @@
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
         old, fetch = registry._watching, next(iter(registry._fetching))
-        registry.move(("127.0.0.1", 2))
+        registry.set_address(("127.0.0.1", 2))
         for _ in range(4):
             await asyncio.sleep(0.0)
         paths = [f"{LIST_PATH}?watch=1&after=0", LIST_PATH]
@@ -93,7 +95,7 @@
 
 
 def test_names_that_are_gone_are_forgotten_and_come_back_with_the_same_id() -> None:
-    ids = Ids()
-    one, two = ids.of("s-1"), ids.of("s-2")
-    ids.keep({two})
-    assert ids._taken == {two} and ids.of("s-1") == one
+    ids = ServerIds()
+    one, two = ids.assign("s-1"), ids.assign("s-2")
+    ids.retain({two})
+    assert ids._taken == {two} and ids.assign("s-1") == one
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,7 @@
 from starlingthread.handover.actor import Handover
 from starlingthread.handover.channel import NAME, Door, bequeath, inherit
 from starlingthread.net import clients, meta
-from starlingthread.net.clients import ClientActor, Front
+from starlingthread.net.clients import ClientConnectionActor, ClientListener
 from starlingthread.net.peers import PeerActor
 
 from .standins import READS, Talk, talk
@@ -37,13 +37,13 @@
     def sockets(self) -> dict[str, socket.socket]:
         return {"clients": self.listening}
 
-    def share(self, part: float) -> None:
+    def apply_resource_share(self, part: float) -> None:
         self.told.append(part)
 
-    def give_way(self) -> None:
+    def pause_accepting(self) -> None:
         self.told.append("give way")
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         self.told.append("resume")
 
     async def close(self) -> None:
@@ -64,9 +64,9 @@
 async def meet(folder: Path) -> tuple[Home, Home]:
     """Return an old process and a new one that has inherited from it."""
     old = Home(folder)
-    old.handover.serving()
+    old.handover.on_serving()
     new = Home(folder, await asyncio.to_thread(inherit, folder))
-    await new.handover.begin()
+    await new.handover.start()
     return old, new
 
 
@@ -76,8 +76,8 @@
         assert new.handover.inheritance is not None
         taken = new.handover.inheritance.sockets["clients"]
         assert taken.getsockname() == old.listening.getsockname()
-        assert old.told == [0.5] and new.handover.part == 0.5
-        new.handover.serving()
+        assert old.told == [0.5] and new.handover.resource_share == 0.5
+        new.handover.on_serving()
         await until(lambda: "give way" in old.told)
         # What waits to be accepted when the old one closes is not reset: the queue is the new one's too.
         with socket.create_connection(taken.getsockname()) as client:
@@ -101,7 +101,7 @@
     async def play() -> None:
         old, new = await meet(tmp_path)
         if serves:
-            new.handover.serving()
+            new.handover.on_serving()
             await until(lambda: "give way" in old.told)
         assert new.handover._elder is not None
         if (door := new.handover._door) is not None:  # as by a crash: the name stays, with nobody behind it
@@ -111,7 +111,7 @@
         new.handover._elder.transport.abort()
         await until(lambda: not old.handover._has_heir)
         assert old.told == ([0.5, "give way", 1.0, "resume"] if serves else [0.5, 1.0])
-        assert old.handover.part == 1.0 and not old.handover.given_way
+        assert old.handover.resource_share == 1.0 and not old.handover.given_way
         # Another one may come: the old process is behind the name again, as the dead one was.
         again = await asyncio.to_thread(inherit, tmp_path)
         assert again is not None and again.share == 0.5
@@ -211,7 +211,7 @@
     async def script(now: Talk) -> None:
         now.reader.feed_data(READS.split(b"\r\n")[0] + b"\r\n")
         (asked,) = await now.settle()
-        now.front.give_way()
+        now.front.pause_accepting()
         await now.settle()
         assert not now.writer.transport.gone
         now.actor.answer(asked.request, Rejected(0.0))
@@ -223,7 +223,7 @@
 
 def test_what_lies_unread_is_answered_before_the_close() -> None:
     async def script(now: Talk) -> None:
-        now.front.give_way()
+        now.front.pause_accepting()
         now.reader.feed_data(b"mn\r\n")
         now.writer.other.send(b"x")  # the next command is on its way already
         await now.settle()
@@ -239,18 +239,18 @@
 def test_a_front_that_gave_way_accepts_again_when_the_new_process_has_died() -> None:
     async def play() -> None:
         place = Place()
-        front = Front(THROUGH, place.router, Watcher(), 4, 4, 1 << 20, lambda: True)
+        front = ClientListener(THROUGH, place.router, Watcher(), 4, 4, 1 << 20, lambda: True)
         await front.listen("127.0.0.1", 0)
         assert front.socket is not None
         address = front.socket.getsockname()
-        front.give_way()
+        front.pause_accepting()
         with socket.create_connection(address):  # it waits in the queue, for whoever accepts
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert not front.actors
-            await front.resume()
-            await until(lambda: len(front.actors) == 1)
-        actor: ClientActor = next(iter(front.actors))
+            assert not front.connections
+            await front.resume_accepting()
+            await until(lambda: len(front.connections) == 1)
+        actor: ClientConnectionActor = next(iter(front.connections))
         actor.close()
         await front.drain()
         await front.watcher.stop()
@@ -264,7 +264,7 @@
         await old.listen("127.0.0.1", 0)
         assert old.socket is not None
         await new.listen("127.0.0.1", 0, old.socket.dup())
-        old.give_way()
+        old.pause_receiving()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             sender.sendto(b"x", old.socket.getsockname())
             await until(lambda: new.counters["peers.stray"] == 1)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -115,11 +115,14 @@
 ) -> None:
     for part in (1.0, 0.5):
         budgets = split_budgets(sockets, memory, own, part, called)
-        held = budgets.clients + budgets.servers + budgets.calls + OWN_SOCKETS
-        assert held <= max(sockets * part, 16 + OWN_SOCKETS + budgets.calls)
-        assert budgets.comfortable <= budgets.clients or sockets < 256
+        held = budgets.max_clients + budgets.server_connections + budgets.management_connections + OWN_SOCKETS
+        assert held <= max(sockets * part, 16 + OWN_SOCKETS + budgets.management_connections)
+        assert budgets.idle_client_threshold <= budgets.max_clients or sockets < 256
         # Where half the memory holds a process at all, both together stay within it.
         if memory * part > own * GROWTH + LEAST_LEFT:
-            assert own * GROWTH * MB + budgets.whole + budgets.pieces <= memory * part * MB
-        assert budgets.calls >= LEAST_CALLS if called else budgets.calls == 0
-        assert min(budgets.clients, budgets.servers) >= 8 and min(budgets.whole, budgets.pieces) > 0
+            assert own * GROWTH * MB + budgets.buffered_values + budgets.streamed_values <= memory * part * MB
+        assert budgets.management_connections >= LEAST_CALLS if called else budgets.management_connections == 0
+        assert (
+            min(budgets.max_clients, budgets.server_connections) >= 8
+            and min(budgets.buffered_values, budgets.streamed_values) > 0
+        )
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from starlingthread.core.actors import Watcher
-from starlingthread.core.router import Asked, AttemptEnded, ClientDisconnected, PendingRequest
+from starlingthread.core.router import AttemptEnded, ClientDisconnected, PendingRequest, RequestReceived
 from starlingthread.core.telemetry import End
 from starlingthread.events import AttemptResult
 from starlingthread.net.management import MAX_HEAD, WHOLE, Management
@@ -21,7 +21,7 @@
 from .world import THROUGH
 
 
-class Desk:
+class RouterControl:
     """Carries out calls by taking notes."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
     def ready(self) -> bool:
         return self.is_ready
 
-    def figures(self) -> dict[str, object]:
+    def snapshot(self) -> dict[str, object]:
         return {"inflight": 3}
 
     def exclude(self, name: str) -> bool:
@@ -62,7 +62,7 @@
     """A management front whose callers are hand-fed."""
 
     def __init__(self, most: int = 4) -> None:
-        self.place, self.desk, self.watcher = Place(), Desk(), Watcher()
+        self.place, self.desk, self.watcher = Place(), RouterControl(), Watcher()
         router = self.place.router
         self.management = Management(self.desk, self.watcher, self.place.clock, router.counters, router.deadlines, most)
 
@@ -77,7 +77,7 @@
             await asyncio.sleep(0)
 
 
-def ask(said: bytes, desk: Desk | None = None) -> tuple[int, Any]:
+def ask(said: bytes, desk: RouterControl | None = None) -> tuple[int, Any]:
     """Make one call; return its status and what was told."""
 
     async def play() -> bytes:
@@ -124,7 +124,7 @@
 
 
 def test_not_ready_is_a_no() -> None:
-    desk = Desk()
+    desk = RouterControl()
     desk.is_ready = False
     assert ask(line("GET", "/api/ready"), desk) == (503, {"ready": False})
 
@@ -191,4 +191,4 @@
         now = place.clock.time
         place.router.submit(PendingRequest(place, THROUGH.classes[0], number + 1, now + 900.0, b"p", now))
     assert len(place.answers) == 1 and place.router.telemetry.finished_count("read", End.BUSY) == 1
-    assert isinstance(place.router.mailbox.take()[0], Asked)
+    assert isinstance(place.router.mailbox.take()[0], RequestReceived)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -24,11 +24,11 @@
     Maintenance,
     SettingsChanged,
 )
-from starlingthread.net.registry import ListReader, RegistryActor
+from starlingthread.net.discovery import DiscoveryActor, EndpointListParser
 from starlingthread.net.upstreams import messages
 from starlingthread.settings import Idempotency
 
-from .standins import Held, talk
+from .standins import Held, Talk, talk
 from .test_router import Place
 from .world import IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, members, only_send, sends
 
@@ -144,17 +144,17 @@
 
 def test_both_processes_of_an_upgrade_hold_what_either_was_called_for(tmp_path: Path) -> None:
     old, new = Party(tmp_path), Party(tmp_path)
-    old.maintenance.change("a", True)
-    new.maintenance.change("b", True)  # without having looked: nothing of the other's is lost
-    old.maintenance.look()
+    old.maintenance.set_maintenance("a", True)
+    new.maintenance.set_maintenance("b", True)  # without having looked: nothing of the other's is lost
+    old.maintenance.reload_if_changed()
     assert old.maintenance.names == new.maintenance.names == {"a", "b"}
     assert old.told == [("a", True), ("b", True)] and new.told == [("a", True), ("b", True)]
-    new.maintenance.change("a", True)
-    new.maintenance.change("a", False)
-    old.maintenance.look()
+    new.maintenance.set_maintenance("a", True)
+    new.maintenance.set_maintenance("a", False)
+    old.maintenance.reload_if_changed()
     assert old.told[2:] == [("a", False)] and old.maintenance.names == {"b"}
     later = Party(tmp_path)
-    later.maintenance.look()
+    later.maintenance.reload_if_changed()
     assert later.told == [("b", True)]
     assert {p.name for p in tmp_path.iterdir()} == {NAME, f"{NAME}.lock"}
 
@@ -173,23 +173,23 @@
 )
 def test_a_file_that_is_torn_or_not_ours_changes_nothing(text: str, tmp_path: Path) -> None:
     party = Party(tmp_path)
-    party.maintenance.change("a", True)
+    party.maintenance.set_maintenance("a", True)
     (tmp_path / NAME).write_text(text)
-    party.maintenance.look()
-    party.maintenance.look()
+    party.maintenance.reload_if_changed()
+    party.maintenance.reload_if_changed()
     assert party.maintenance.names == {"a"} and party.told == [("a", True)]
-    party.maintenance.change("b", True)  # and the next call writes it whole again
+    party.maintenance.set_maintenance("b", True)  # and the next call writes it whole again
     later = Party(tmp_path)
-    later.maintenance.look()
+    later.maintenance.reload_if_changed()
     assert later.maintenance.names == {"a", "b"}
 
 
 def test_without_a_folder_or_with_one_that_fails_memory_holds(tmp_path: Path) -> None:
     for folder in (None, tmp_path / "nowhere"):
         party = Party(folder)
-        party.maintenance.look()
-        party.maintenance.change("a", True)
-        party.maintenance.look()
+        party.maintenance.reload_if_changed()
+        party.maintenance.set_maintenance("a", True)
+        party.maintenance.reload_if_changed()
         assert party.maintenance.names == {"a"}
 
 
@@ -197,18 +197,18 @@
     handle = os.open(tmp_path / f"{NAME}.lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(handle, fcntl.LOCK_EX)
     party = Party(tmp_path)
-    party.maintenance.change("a", True)
+    party.maintenance.set_maintenance("a", True)
     os.close(handle)
     assert party.maintenance.names == {"a"} and (tmp_path / NAME).exists()
 
 
 def test_only_listed_names_are_known() -> None:
     place = Place()
-    registry = RegistryActor(place.router, ListReader((), ()), ("127.0.0.1", 1), None)  # type: ignore[arg-type]
+    registry = DiscoveryActor(place.router, EndpointListParser((), ()), ("127.0.0.1", 1), None)  # type: ignore[arg-type]
     line = {"name": "s-1", "address": "127.0.0.1:1", "status": "in_service"}
-    registry.known({"index": 1, "snapshot": True, "endpoints": [line]})
-    assert registry.number("s-1") is not None and registry.listed == 1
-    assert registry.number("s-2") is None
+    registry.load_cached_list({"index": 1, "snapshot": True, "endpoints": [line]})
+    assert registry.server_id("s-1") is not None and registry.endpoint_count == 1
+    assert registry.server_id("s-2") is None
 
 
 # new settings
@@ -248,7 +248,7 @@
     (attempt,) = place.started
     place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
     assert place.router.telemetry.finished_count("read", End.SUCCESS) == 1
-    assert place.router.module.fleet.settings is FEWER and place.router.settings is FEWER
+    assert place.router.balancer.fleet.settings is FEWER and place.router.settings is FEWER
 
 
 def test_what_was_learned_of_a_class_that_stays_is_kept() -> None:
@@ -259,12 +259,12 @@
 
 
 def test_a_class_that_vanished_is_an_error_and_a_new_one_is_served() -> None:
-    async def script(now: Any) -> None:
-        now.front.retune(FEWER)
-        now.router.retune(FEWER)
+    async def script(now: Talk) -> None:
+        now.front.apply_settings(FEWER)
+        now.router.apply_settings(FEWER)
         now.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmg a v O2 Pc=read-2,d=500\r\n")
         asked = [m for m in await now.settle() if hasattr(m, "request")]
-        assert [m.request.cls.name for m in asked] == ["read-2"]
+        assert [m.request.request_class.name for m in asked] == ["read-2"]
 
     assert talk(script) == b"CLIENT_ERROR unknown class\r\n"
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from starlingthread.core.pipe import WINDOW, ByteBudget, Pipe
 from starlingthread.core.router import (
+    Attempt,
     AttemptEnded,
     BodyReceived,
     ClientDisconnected,
@@ -54,7 +54,7 @@
     put, got = [b"", b"", b""], [b"", b"", b""]
     settled = [0, 0, 0]
     for number, pipe in enumerate(pipes):
-        pipe.when_settled(lambda number=number: settled.__setitem__(number, settled[number] + 1))  # type: ignore[misc]
+        pipe.on_settled(lambda number=number: settled.__setitem__(number, settled[number] + 1))  # type: ignore[misc]
     for which, what, size in steps:
         pipe = pipes[which]
         if what == "put" and not pipe.is_full():
@@ -67,7 +67,7 @@
             got[which] += b"".join(pipe.take())
             assert not pipe.is_full()  # so that none ever waits for another one's writer
         elif what in ("end", "break"):
-            pipe.end(what == "end")
+            pipe.finish(what == "end")
         elif what == "abandon":
             pipe.abandon()
         assert budget.used == sum(p.buffered for p in pipes) >= 0
@@ -93,7 +93,7 @@
         taking = asyncio.ensure_future(quick.until_more())
         await asyncio.sleep(0)
         assert not taking.done()
-        quick.end(False)
+        quick.finish(False)
         await taking
         waiting = asyncio.ensure_future(slow.until_not_full())
         await asyncio.sleep(0)
@@ -112,7 +112,7 @@
         await asyncio.sleep(0)
 
 
-async def started(held: Held, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Any:
+async def started(held: Held, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
     job = held.attempt(text)
     held.take(messages.Start(job))
     return job
@@ -122,10 +122,14 @@
     held = Held()
     asyncio.run(started(held))
     (ended,) = held.hear(GOT + VALUE[:100])
-    assert ended.result == AttemptResult.OK and ended.note == CacheStatus.HIT and ended.pipe.take() == [VALUE[:100]]
+    assert (
+        ended.result == AttemptResult.OK
+        and ended.cache_status == CacheStatus.HIT
+        and ended.pipe.take() == [VALUE[:100]]
+    )
     assert not held.actor.pool.busy and not held.actor.pool.idle and held.actor.pool.delivering == {held.connection}
-    assert held.hear(VALUE[100:] + b"\r") == [] and ended.pipe.whole is None
-    assert held.hear(b"\n") == [] and ended.pipe.whole and held.actor.pool.idle == [held.connection]
+    assert held.hear(VALUE[100:] + b"\r") == [] and ended.pipe.complete is None
+    assert held.hear(b"\n") == [] and ended.pipe.complete and held.actor.pool.idle == [held.connection]
     assert b"".join(ended.pipe.take()) == VALUE[100:] + b"\r\n" and not held.actor.pool.delivering
 
 
@@ -147,7 +151,7 @@
             assert not asyncio.run(held.actor.reader.until_not_full(held.connection, ended.pipe))
             held.take(messages.Broken(held.connection))
         assert held.writer.transport.gone and held.actor.pool.open == 0 and not held.actor.pool.delivering
-        assert ended.pipe.whole is False or how == "nobody waits"
+        assert ended.pipe.complete is False or how == "nobody waits"
         assert not held.actor.pool.busy and job not in held.actor.pool.busy
 
 
@@ -176,39 +180,37 @@
         assert place.answers == [(request, Served(b"x", pipe))] and place.router.telemetry.inflight == 1
         place.pass_time(5000.0)  # long past its deadline: what the server still gives is not cut off
         assert not pipe.abandoned and len(place.answers) == 1
-        pipe.abandon() if whole is None else pipe.end(whole)
+        pipe.abandon() if whole is None else pipe.finish(whole)
         assert place.router.telemetry.finished_count("read", end) == 1 and place.router.telemetry.inflight == 0
 
 
-class Reader(Talk):
-    """A client that has asked for a large value, whose head has come."""
-
-    async def begin(self, piece: bytes = VALUE[:9]) -> Pipe:
-        self.writer.write = self.writer.transport.sent.extend  # type: ignore[attr-defined]
-        self.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmn\r\n")
-        (asked,) = await self.settle()
-        pipe = Pipe(self.front.budget)
-        pipe.put(piece)
-        answer = meta.ServerAnswer(meta.Kind.VALUE, b"1", (GOT,), length=LONG)
-        self.actor.answer(asked.request, Served(answer, pipe))
-        await self.settle()
-        assert bytes(self.writer.transport.sent) == GOT + piece
-        return pipe
+async def begin_large_answer(now: Talk, piece: bytes = VALUE[:9]) -> Pipe:
+    """Have a client ask for a large value, and its head and a first piece come."""
+    now.writer.write = now.writer.transport.sent.extend  # type: ignore[attr-defined]
+    now.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmn\r\n")
+    (asked,) = await now.settle()
+    pipe = Pipe(now.front.budget)
+    pipe.put(piece)
+    answer = meta.ServerAnswer(meta.Kind.VALUE, b"1", (GOT,), length=LONG)
+    now.actor.answer(asked.request, Served(answer, pipe))
+    await now.settle()
+    assert bytes(now.writer.transport.sent) == GOT + piece
+    return pipe
 
 
 def test_a_value_goes_out_as_it_comes_and_the_next_answer_behind_it() -> None:
-    async def script(now: Any) -> None:
-        pipe = await Reader.begin(now)
+    async def script(now: Talk) -> None:
+        pipe = await begin_large_answer(now)
         pipe.put(VALUE[9:] + b"\r\n")
-        pipe.end(True)
+        pipe.finish(True)
 
     assert talk(script) == GOT + VALUE + b"\r\n" + meta.READY_LINE
 
 
 def test_a_client_sees_that_a_value_broke_off() -> None:
-    async def script(now: Any) -> None:
-        pipe = await Reader.begin(now)
-        pipe.end(False)
+    async def script(now: Talk) -> None:
+        pipe = await begin_large_answer(now)
+        pipe.finish(False)
         await now.settle()
         assert now.writer.transport.gone and pipe.is_finished()
 
@@ -216,18 +218,18 @@
 
 
 def test_a_client_that_leaves_midway_abandons_its_value() -> None:
-    async def script(now: Any) -> None:
-        pipe = await Reader.begin(now)
+    async def script(now: Talk) -> None:
+        pipe = await begin_large_answer(now)
         now.reader.feed_eof()
         await now.settle()
-        assert pipe.abandoned and now.writer.transport.gone and now.front.budget.held == 0
+        assert pipe.abandoned and now.writer.transport.gone and now.front.budget.used == 0
 
     talk(script)
 
 
 def test_a_slow_reader_holds_up_its_own_value() -> None:
-    async def script(now: Any) -> None:
-        pipe = await Reader.begin(now)
+    async def script(now: Talk) -> None:
+        pipe = await begin_large_answer(now)
         now.writer.transport.unsent = 1 << 20
         pipe.put(VALUE[9:20])
         await now.settle()
@@ -238,7 +240,7 @@
         await now.settle()
         assert not pipe.is_full()
         pipe.put(b"\r\n")
-        pipe.end(True)
+        pipe.finish(True)
 
     assert talk(script) == GOT + VALUE + b"\r\n" + meta.READY_LINE
 
@@ -254,12 +256,12 @@
         now.reader.feed_data(VALUE[7:-9])
         (asked,) = await now.settle()
         request, pipe = asked.request, asked.request.body
-        assert request.is_write and b"".join(pipe.take()) == VALUE[:-9] and pipe.whole is None
+        assert request.is_write and b"".join(pipe.take()) == VALUE[:-9] and pipe.complete is None
         now.router.clock.time += 2000.0  # type: ignore[attr-defined]
         now.reader.feed_data(VALUE[-9:] + b"\r\nmn\r\n")
         (whole,) = await now.settle()
         assert isinstance(whole, BodyReceived) and whole.deadline == now.front.clock.now() + 500.0 - 4.0
-        assert b"".join(pipe.take()) == VALUE[-9:] + b"\r\n" and pipe.whole
+        assert b"".join(pipe.take()) == VALUE[-9:] + b"\r\n" and pipe.complete
         now.actor.answer(request, Failed())
 
     assert talk(script) == meta.FAILED_LINE + meta.READY_LINE
@@ -293,9 +295,9 @@
             else:
                 asked.request.body.take()
                 now.router.clock.time += MIDWAY  # type: ignore[attr-defined]
-                now.actor.look(now.front.clock.now(), False)
+                now.actor.check_idle(now.front.clock.now(), False)
             (gone,) = await now.settle()
-            assert isinstance(gone, ClientDisconnected) and asked.request.body.whole is False
+            assert isinstance(gone, ClientDisconnected) and asked.request.body.complete is False
             assert now.writer.transport.gone and not now.front.open_ids
             asked.request.body.abandon()
 
@@ -309,7 +311,7 @@
         now.reader.feed_data(PUT + VALUE[:7])
         assert await now.settle() == []
         now.router.clock.time += MIDWAY  # type: ignore[attr-defined]
-        now.actor.look(now.front.clock.now(), False)
+        now.actor.check_idle(now.front.clock.now(), False)
         assert await now.settle() == [] and now.writer.transport.gone
         assert not now.front.open_ids and now.front.budget.used == now.router.telemetry.inflight == 0
 
@@ -322,7 +324,7 @@
         (asked,) = await now.settle()
         assert asked.request.body.is_full()
         now.router.clock.time += 2 * MIDWAY  # type: ignore[attr-defined]
-        now.actor.look(now.front.clock.now(), False)
+        now.actor.check_idle(now.front.clock.now(), False)
         assert await now.settle() == []
         asked.request.body.abandon()
 
@@ -354,7 +356,7 @@
         await settle()
         if whole:
             held.body.put(VALUE[50:] + b"\r\n")
-            held.body.end(True)
+            held.body.finish(True)
             await settle()
             assert held.writer.transport.sent.endswith(VALUE + b"\r\n")
         reset = breaks == "reset"
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -15,7 +15,6 @@
 from starlingthread.core.deadlines import Deadline, Deadlines
 from starlingthread.core.router import (
     Answer,
-    Asked,
     Attempt,
     AttemptEnded,
     ClientDisconnected,
@@ -24,6 +23,7 @@
     Message,
     PendingRequest,
     Rejected,
+    RequestReceived,
     Router,
     Served,
 )
@@ -48,7 +48,7 @@
     def __init__(self, settings: Settings = THROUGH) -> None:
         self.clock = HandClock()
         self.router = Router(settings, 1, self.clock, Deadlines(), Counters())
-        self.router.fleet = self.router.registry = self.router.peers = self  # type: ignore[assignment]
+        self.router.fleet = self.router.discovery = self.router.peers = self  # type: ignore[assignment]
         self.started: list[Attempt] = []
         self.abandoned: list[Attempt] = []
         self.answers: list[tuple[PendingRequest, Answer]] = []
@@ -58,7 +58,7 @@
     def answer(self, request: PendingRequest, answer: Answer) -> None:
         self.answers.append((request, answer))
 
-    def listed(self, listing: EndpointsReceived, now: float) -> None:
+    def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
         pass
 
     def start(self, attempt: Attempt) -> None:
@@ -141,7 +141,7 @@
 def test_a_module_that_fails_costs_the_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     place = Place()
     with monkeypatch.context() as patch:
-        patch.setattr(place.router.module, "handle", lambda *_: 1 // 0)
+        patch.setattr(place.router.balancer, "handle", lambda *_: 1 // 0)
         lost = place.ask()
     assert place.answers == [(lost, Failed())]
     place.ask()
@@ -150,7 +150,7 @@
 
 def test_a_module_that_forgets_is_answered_for(monkeypatch: pytest.MonkeyPatch) -> None:
     place = Place()
-    monkeypatch.setattr(place.router.module, "handle", lambda *_: [])
+    monkeypatch.setattr(place.router.balancer, "handle", lambda *_: [])
     request = place.ask(wait=300.0)
     place.pass_time(400.0)
     assert place.answers == [(request, Failed())]
@@ -253,7 +253,7 @@
         request = PendingRequest(
             place, THROUGH.classes[READ], 7, place.clock.time + 900.0, b"p", place.clock.time - 30.0
         )
-        with patch.object(place.router.module, "handle", return_value=[]) as handle:
-            place.give(Asked(request))
-        told.append(handle.call_args.args[1].waited)
+        with patch.object(place.router.balancer, "handle", return_value=[]) as handle:
+            place.give(RequestReceived(request))
+        told.append(handle.call_args.args[1].queue_time)
     assert told == [0.0, 30.0, 0.0]
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -19,7 +19,7 @@
     assert held.take(messages.Start(job)) == [] and not held.actor.pool.idle
     assert held.writer.transport.sent == b"mg a v O1 Pc=read,d=400\r\n"
     (ended,) = held.hear(b"VA 1 O1 h0 Lutil=0.5,inflight=3\r\nx\r\n")
-    assert (ended.result, ended.note, ended.report) == (AttemptResult.OK, CacheStatus.MISS, (0.5, 3.0))
+    assert (ended.result, ended.cache_status, ended.load_report) == (AttemptResult.OK, CacheStatus.MISS, (0.5, 3.0))
     assert held.actor.pool.idle == [held.connection] and not held.actor.pool.busy
 
 
@@ -89,7 +89,7 @@
         held, job = (h := Held()), h.attempt()
         held.take(messages.Start(job))
         (ended,) = held.hear(b"VA 1 O1 h0 " + report + b"\r\nx\r\n")
-        assert (ended.result, ended.note, ended.report) == (AttemptResult.OK, CacheStatus.MISS, ())
+        assert (ended.result, ended.cache_status, ended.load_report) == (AttemptResult.OK, CacheStatus.MISS, ())
 
 
 def test_connections_to_where_a_server_was_or_that_have_ended_are_not_used() -> None:
@@ -144,7 +144,7 @@
     elif spoil == "over":
         job.request.finished = True
     elif spoil == "withdrawn":
-        job.request.withdrawn = True
+        job.request.cancelled = True
     elif spoil == "repeat":
         job.write_deadline = (
             held.place.clock.time + 4.0
