--- a/starlingthread/failover/evidence.py
+++ b/starlingthread/failover/evidence.py
@@ -17,48 +17,52 @@
 GAIN = 0.05  # weight of one answer in the usual time
 
 
-class ZoneSeen:
+class ZoneEvidence:
     """One zone, as far as this router's own attempts tell."""
 
-    __slots__ = ("heard_at", "out", "silent", "usual")
+    __slots__ = ("last_response_at", "pending_since", "unanswered_since", "typical_response_time")
 
     def __init__(self) -> None:
-        self.heard_at = -math.inf  # ms; when any server of it said anything
-        self.usual = 0.0  # ms that an answer takes; 0 before the first
-        self.out: dict[int, float] = {}  # by server: when the oldest since its last word was sent
-        self.silent: dict[int, float] = {}  # likewise, of those that owe something
+        self.last_response_at = -math.inf  # ms; when any server of it said anything
+        self.typical_response_time = 0.0  # ms that an answer takes; 0 before the first
+        self.pending_since: dict[int, float] = {}  # by server: when the oldest since its last word was sent
+        self.unanswered_since: dict[int, float] = {}  # likewise, of those that owe something
 
-    def sent(self, now: float, server: int) -> None:
+    def on_sent(self, now: float, server: int) -> None:
         """Take in that something goes to a server."""
-        self.out.setdefault(server, now)
+        self.pending_since.setdefault(server, now)
 
-    def heard(self, now: float, server: int, elapsed: float) -> None:
+    def on_response(self, now: float, server: int, elapsed: float) -> None:
         """Take in a word from a server, to what was sent so many ms ago."""
-        self.heard_at = now
-        self.usual = elapsed if self.usual <= 0 else self.usual + (elapsed - self.usual) * GAIN
-        self.out.pop(server, None)
-        self.silent.clear()
+        self.last_response_at = now
+        self.typical_response_time = (
+            elapsed
+            if self.typical_response_time <= 0
+            else self.typical_response_time + (elapsed - self.typical_response_time) * GAIN
+        )
+        self.pending_since.pop(server, None)
+        self.unanswered_since.clear()
 
-    def owes(self, server: int, sent_at: float) -> None:
+    def on_no_response(self, server: int, sent_at: float) -> None:
         """Take in that what was sent to a server then stayed without an answer, or found no connection."""
-        self.out.pop(server, None)
-        if sent_at > self.heard_at:
-            self.silent.setdefault(server, sent_at)
+        self.pending_since.pop(server, None)
+        if sent_at > self.last_response_at:
+            self.unanswered_since.setdefault(server, sent_at)
 
-    def forget_all_but(self, servers: set[int]) -> None:
+    def retain_servers(self, servers: set[int]) -> None:
         """Take in which servers the zone has."""
-        self.out = {server: at for server, at in self.out.items() if server in servers}
-        self.silent = {server: at for server, at in self.silent.items() if server in servers}
+        self.pending_since = {server: at for server, at in self.pending_since.items() if server in servers}
+        self.unanswered_since = {server: at for server, at in self.unanswered_since.items() if server in servers}
 
-    def look(self, now: float) -> None:
+    def expire_pending(self, now: float) -> None:
         """Take in that time has passed: what is out for too long is owed."""
-        if self.usual <= 0:
+        if self.typical_response_time <= 0:
             return
-        before = now - max(LEAST_WAIT, TIMES * self.usual)
-        for server, sent_at in [*self.out.items()]:
+        before = now - max(LEAST_WAIT, TIMES * self.typical_response_time)
+        for server, sent_at in [*self.pending_since.items()]:
             if sent_at < before:
-                self.owes(server, sent_at)
+                self.on_no_response(server, sent_at)
 
     def is_lost(self, servers: int) -> bool:
         """Tell whether so much is owed that the zone, of so many listed servers, is gone as far as we can see."""
-        return servers > 0 and len(self.silent) >= min(servers, max(LEAST, math.ceil(SHARE * servers)))
+        return servers > 0 and len(self.unanswered_since) >= min(servers, max(LEAST, math.ceil(SHARE * servers)))
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -36,20 +36,20 @@
 AHEAD = 3600e3  # ms by which a number may be ahead of our clock: it is the time of the wall clock, or one more
 
 
-class Says(IntEnum):
+class ZoneStatus(IntEnum):
     """What a witness says of a zone."""
 
-    WELL = 1
+    HEALTHY = 1
     LOST = 2
 
 
-class Word(NamedTuple):
+class ZoneVote(NamedTuple):
     """What a witness says, with its own number for the order in which it said so."""
 
     witness: int
     zone: int
-    says: Says
-    number: int
+    status: ZoneStatus
+    sequence: int
 
 
 class Change(NamedTuple):
@@ -57,8 +57,8 @@
 
     zone: int
     lost: bool
-    lost_words: int
-    words: int
+    lost_votes: int
+    votes: int
 
 
 def witnesses(zone: int, members: Iterable[int]) -> list[int]:
@@ -69,110 +69,114 @@
 class ZonePlan:
     """What is held of one zone that was in question at some time."""
 
-    __slots__ = ("losses", "lost", "until")
+    __slots__ = ("loss_times", "lost", "closed_until")
 
     def __init__(self) -> None:
         self.lost = False
-        self.losses: list[float] = []  # when it was lost, in the last minute
-        self.until = -math.inf  # when the first keys come back
+        self.loss_times: list[float] = []  # when it was lost, in the last minute
+        self.closed_until = -math.inf  # when the first keys come back
 
-    def share(self, now: float) -> float:
+    def open_share(self, now: float) -> float:
         """Return the share of keys that the zone may have."""
-        if self.lost or now < self.until:
+        if self.lost or now < self.closed_until:
             return 0.0
-        return min(1.0, (1 + math.floor(min(now - self.until, STEPS * STEP) / STEP)) / STEPS)
+        return min(1.0, (1 + math.floor(min(now - self.closed_until, STEPS * STEP) / STEP)) / STEPS)
 
-    def turn(self, now: float, lost: bool) -> None:
+    def set_lost(self, now: float, lost: bool) -> None:
         """Take it for lost, or for well again."""
         self.lost = lost
-        self.losses = [at for at in self.losses if now - at < REMEMBERED] + [now] * lost
+        self.loss_times = [at for at in self.loss_times if now - at < REMEMBERED] + [now] * lost
         if not lost:
-            self.until = now + min(MOST_HOLD, HOLD * (1 << min(16, max(0, len(self.losses) - 1))))
+            self.closed_until = now + min(MOST_HOLD, HOLD * (1 << min(16, max(0, len(self.loss_times) - 1))))
 
 
 class Plan:
     """One router's view of the words, and the plan that follows from them."""
 
     def __init__(self, me: int, members: Iterable[int]) -> None:
-        self.me = me
-        self.words: dict[tuple[int, int], tuple[Word, float]] = {}  # by zone and witness, with when we took it in
+        self.router_index = me
+        self.votes: dict[tuple[int, int], tuple[ZoneVote, float]] = {}  # by zone and witness, with when we took it in
         self.zones: dict[int, ZonePlan] = {}
         self.changes: list[Change] = []  # taken out by who shows them
         self._number = 0  # of our last word
         self._since: dict[tuple[int, int], float] = {}  # when a witness began to say what it says
-        self.know(members)
+        self.set_members(members)
 
-    def know(self, members: Iterable[int]) -> None:
+    def set_members(self, members: Iterable[int]) -> None:
         """Take in which routers live; the words of others count no more."""
-        self.members = frozenset(members) | {self.me}
+        self.members = frozenset(members) | {self.router_index}
         self._chosen: dict[int, frozenset[int]] = {}
 
-    def chosen(self, zone: int) -> frozenset[int]:
+    def witnesses(self, zone: int) -> frozenset[int]:
         """Return the witnesses of a zone."""
         if zone not in self._chosen:
             self._chosen[zone] = frozenset(witnesses(zone, self.members))
         return self._chosen[zone]
 
-    def is_in_question(self, now: float, zone: int) -> bool:
+    def is_contested(self, now: float, zone: int) -> bool:
         """Tell whether anybody calls a zone lost, or all have left it alone."""
         plan = self.zones.get(zone)
-        return (plan is not None and plan.lost) or any(w.says == Says.LOST for w in self.good(now, zone))
+        return (plan is not None and plan.lost) or any(w.status == ZoneStatus.LOST for w in self.valid_votes(now, zone))
 
-    def good(self, now: float, zone: int) -> list[Word]:
+    def valid_votes(self, now: float, zone: int) -> list[ZoneVote]:
         """Return the words on a zone that count: of its living witnesses, and not too old."""
-        chosen = self.chosen(zone)
-        return [word for (z, who), (word, at) in self.words.items() if z == zone and who in chosen and now - at < LIFE]
+        chosen = self.witnesses(zone)
+        return [word for (z, who), (word, at) in self.votes.items() if z == zone and who in chosen and now - at < LIFE]
 
     def lost_since(self, now: float, zone: int) -> float:
         """Return when the first of those who call a zone lost began to, as we heard it; infinite if nobody does."""
-        words = self.good(now, zone)
-        return min((self._since[zone, w.witness] for w in words if w.says == Says.LOST), default=math.inf)
+        words = self.valid_votes(now, zone)
+        return min((self._since[zone, w.witness] for w in words if w.status == ZoneStatus.LOST), default=math.inf)
 
-    def say(self, now: float, zone: int, says: Says | None) -> Word | None:
+    def cast_vote(self, now: float, zone: int, says: ZoneStatus | None) -> ZoneVote | None:
         """Say what we see of a zone (None: nothing lately); return the word if it is to be told to all."""
-        old = self.words.get((zone, self.me))
-        if says is None or self.me not in self.chosen(zone):
-            self.words.pop((zone, self.me), None)
+        old = self.votes.get((zone, self.router_index))
+        if says is None or self.router_index not in self.witnesses(zone):
+            self.votes.pop((zone, self.router_index), None)
             return None
-        if old is not None and old[0].says == says and now - old[1] < AGAIN:
+        if old is not None and old[0].status == says and now - old[1] < AGAIN:
             return None
-        if says == Says.WELL and not self.is_in_question(now, zone):
+        if says == ZoneStatus.HEALTHY and not self.is_contested(now, zone):
             return None
         self._number = max(self._number + 1, int(now))  # so a router that was started anew outdoes its old words
-        word = Word(self.me, zone, says, self._number)
+        word = ZoneVote(self.router_index, zone, says, self._number)
         self._put(now, word)
         return word
 
-    def hear(self, now: float, word: Word) -> bool:
+    def receive_vote(self, now: float, word: ZoneVote) -> bool:
         """Take in a word from its witness; tell whether it is news. now: ms of the wall clock."""
-        old = self.words.get((word.zone, word.witness))
-        if word.witness == self.me or word.number > now + AHEAD or (old is not None and old[0].number >= word.number):
+        old = self.votes.get((word.zone, word.witness))
+        if (
+            word.witness == self.router_index
+            or word.sequence > now + AHEAD
+            or (old is not None and old[0].sequence >= word.sequence)
+        ):
             return False
         self._put(now, word)
         return True
 
-    def _put(self, now: float, word: Word) -> None:
+    def _put(self, now: float, word: ZoneVote) -> None:
         place = (word.zone, word.witness)
-        old = self.words.get(place)
-        if old is None or old[0].says != word.says or now - old[1] > LIFE:
+        old = self.votes.get(place)
+        if old is None or old[0].status != word.status or now - old[1] > LIFE:
             self._since[place] = now
-        self.words[place] = (word, now)
+        self.votes[place] = (word, now)
 
-    def decide(self, now: float, zone: int) -> None:
+    def update_zone(self, now: float, zone: int) -> None:
         """Reckon the plan for a zone anew. Who hears no word leaves no zone alone for the fleet."""
-        words = self.good(now, zone)
-        lost_words = sum(word.says == Says.LOST for word in words)
+        words = self.valid_votes(now, zone)
+        lost_words = sum(word.status == ZoneStatus.LOST for word in words)
         lost = lost_words >= LEAST_WORDS and 2 * lost_words > len(words)
         plan = self.zones.get(zone)
-        if lost and (plan is None or not plan.lost) and 2 * lost_words <= len(self.chosen(zone)):
+        if lost and (plan is None or not plan.lost) and 2 * lost_words <= len(self.witnesses(zone)):
             lost = now - self.lost_since(now, zone) >= SETTLE
         if plan is None and lost:
             plan = self.zones[zone] = ZonePlan()
         if plan is not None and plan.lost != lost:
-            plan.turn(now, lost)
+            plan.set_lost(now, lost)
             self.changes.append(Change(zone, lost, lost_words, len(words)))
 
     def is_open(self, now: float, zone: int, key: int) -> bool:
         """Tell whether a key (a 64-bit hash) may go to a zone now, by the plan."""
         plan = self.zones.get(zone)
-        return plan is None or mix(key ^ mix(zone + 1)) < plan.share(now) * MASK
+        return plan is None or mix(key ^ mix(zone + 1)) < plan.open_share(now) * MASK
--- a/starlingthread/failover/wire.py
+++ b/starlingthread/failover/wire.py
@@ -9,7 +9,7 @@
 import struct
 
 from ..membership.wire import MAX_DATAGRAM, TAG, WireError, check, sign
-from .plan import Says, Word
+from .plan import ZoneStatus, ZoneVote
 
 VERSION = 0xA2
 HEAD = struct.Struct("!BxH")
@@ -17,15 +17,15 @@
 MOST_WORDS = 20
 
 
-def encode(sender: int, words: list[Word], key: bytes) -> bytes:
+def encode(sender: int, words: list[ZoneVote], key: bytes) -> bytes:
     """Return the bytes of a datagram; words beyond what it holds are left out."""
     body = HEAD.pack(VERSION, sender) + b"".join(
-        PIECE.pack(word.zone, word.says, word.number) for word in words[:MOST_WORDS]
+        PIECE.pack(word.zone, word.status, word.sequence) for word in words[:MOST_WORDS]
     )
     return body + sign(body, key)
 
 
-def decode(data: bytes, keys: tuple[bytes, ...], sender: int, zones: int) -> list[Word]:
+def decode(data: bytes, keys: tuple[bytes, ...], sender: int, zones: int) -> list[ZoneVote]:
     """Read a datagram that came from a router's address, in a fleet of so many zones. Raise a WireError."""
     if not HEAD.size + TAG < len(data) <= MAX_DATAGRAM or (len(data) - HEAD.size - TAG) % PIECE.size:
         raise WireError("length")
@@ -37,7 +37,10 @@
     if named != sender:
         raise WireError("sender")
     try:
-        words = [Word(sender, zone, Says(says), number) for zone, says, number in PIECE.iter_unpack(body[HEAD.size :])]
+        words = [
+            ZoneVote(sender, zone, ZoneStatus(says), number)
+            for zone, says, number in PIECE.iter_unpack(body[HEAD.size :])
+        ]
     except ValueError:
         raise WireError("value") from None
     if any(word.zone >= zones for word in words):
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -12,7 +12,7 @@
 from .peers import PeerActor
 
 if TYPE_CHECKING:  # else only once it is on: who does without it pays nothing for it
-    from ..failover.zones import Zones
+    from ..failover.zones import ZoneFailover
 
 VERSION = 0xA2  # first byte of its datagrams, as in failover/wire.py
 TICK = 100.0  # ms
@@ -23,7 +23,7 @@
 
     def __init__(self, router: Router, peers: PeerActor, members: MemberActor, me: int) -> None:
         self.router, self.peers, self.members, self.me = router, peers, members, me
-        self.zones: Zones | None = None
+        self.zones: ZoneFailover | None = None
         self.refused: dict[str, int] = {}  # datagrams that changed nothing, by why
         self._keys: tuple[bytes, ...] = ()
         self._names: tuple[str, ...] = ()
@@ -39,7 +39,7 @@
             self.stop()
             return
         from ..failover.topology import Topology, TopologyError
-        from ..failover.zones import Zones
+        from ..failover.zones import ZoneFailover
 
         try:
             topology, keys = Topology(names, own.regions), read_keys(members)
@@ -54,13 +54,13 @@
         if not self._tells:
             log.warning("failover-alone", why="messages between routers are not allowed, or there are no others")
         if self.zones is None:
-            self.zones = Zones(self.me, self.members.alive())
-            self.zones.listed((s.endpoint.zone, s.endpoint.server) for s in self.router.balancer.fleet.ready)
+            self.zones = ZoneFailover(self.me, self.members.alive())
+            self.zones.set_servers((s.endpoint.zone, s.endpoint.server) for s in self.router.balancer.fleet.ready)
             self.members.on_change = self._know
             self.router.balancer.fleet.zones = self.zones
             self._set()
-        self.zones.know(self.members.alive())
-        self.zones.topology, self.zones.far = topology, own.region_round_trip_ms
+        self.zones.set_members(self.members.alive())
+        self.zones.topology, self.zones.region_round_trip_ms = topology, own.region_round_trip_ms
         self.zones.drained = frozenset(names.index(zone) for zone in own.drained_zones)
         if self._tells:
             self.peers.handlers[VERSION] = self._received
@@ -77,7 +77,7 @@
         """Return what operators read; nothing while it is off."""
         if self.zones is None:
             return {}
-        shares = self.zones.state(self.router.clock.now())
+        shares = self.zones.closed_shares(self.router.clock.now())
         return {
             "zones_open": {self._name(zone): round(share, 3) for zone, share in sorted(shares.items())},
             "failover_refused": sum(self.refused.values()),
@@ -88,7 +88,7 @@
 
     def _know(self) -> None:
         if self.zones is not None:
-            self.zones.know(self.members.alive())
+            self.zones.set_members(self.members.alive())
 
     def _received(self, sender: int, data: bytes) -> None:
         from ..failover.wire import decode
@@ -101,7 +101,7 @@
         except WireError as error:
             self.refused[str(error)] = self.refused.get(str(error), 0) + 1
             return
-        self.zones.hear(self.router.clock.now(), words)
+        self.zones.receive_votes(self.router.clock.now(), words)
         self._tell()
 
     def _set(self) -> None:
@@ -118,14 +118,14 @@
         from ..failover.wire import MOST_WORDS, encode
 
         assert self.zones is not None
-        words, self.zones.telling = self.zones.telling, []
+        words, self.zones.outgoing_votes = self.zones.outgoing_votes, []
         while words and self._tells:
             self.peers.send(None, encode(self.me, words[:MOST_WORDS], self._keys[0]))
             words = words[MOST_WORDS:]
-        for change in self.zones.changes():
+        for change in self.zones.take_changes():
             log.warning(
                 "zone-lost" if change.lost else "zone-back",
                 zone=self._name(change.zone),
-                lost=change.lost_words,
-                words=change.words,
+                lost=change.lost_votes,
+                words=change.votes,
             )
--- a/starlingthread/policy/__init__.py
+++ b/starlingthread/policy/__init__.py
@@ -148,7 +148,7 @@
         self._learn(now, tracked, server, event, cost)
         usual = load.throttle.typical_fetch_time if server.outliers.on_outcome(now, sent_at, result) else math.inf
         if self.fleet.zones:
-            self.fleet.zones.ended(now, server.endpoint.zone, server.endpoint.server, result, sent_at)
+            self.fleet.zones.on_outcome(now, server.endpoint.zone, server.endpoint.server, result, sent_at)
         if not hedging.is_lost(result, sent_at, server.outliers):
             adjust_limits(
                 server.concurrency,
--- a/starlingthread/policy/attempts.py
+++ b/starlingthread/policy/attempts.py
@@ -45,7 +45,7 @@
         )
         tracked.attempts.append((number, now, cost, server.attempts_in_flight, fetch))
         if fleet.zones:
-            fleet.zones.sent(now, server.endpoint.zone, number)
+            fleet.zones.on_sent(now, server.endpoint.zone, number)
         server.slow_start.spend(load.heavy(tracked))
         if effect == Idempotency.IDEMPOTENCY_KEY and tracked.may_have_run_at < 0:
             tracked.may_have_run_at, tracked.may_have_run_on, tracked.may_have_run_attempt = (
--- a/starlingthread/policy/choice.py
+++ b/starlingthread/policy/choice.py
@@ -25,7 +25,7 @@
     def _crossing(self, server: Server, cls: RequestClass) -> float:
         """What leaving the zone costs, in ms: its price in worth, and a request's worth is its aim."""
         rules, there, zones = self.fleet.settings, server.endpoint.zone, self.fleet.zones
-        far = zones.cost(rules.zone, there) if zones else 0.0
+        far = zones.extra_latency(rules.zone, there) if zones else 0.0
         return far + rules.price_cross_zone * cls.latency_objective if there != rules.zone else 0.0
 
     def _miss_cost(self, now: float, cls: RequestClass) -> float:
--- a/starlingthread/policy/retries.py
+++ b/starlingthread/policy/retries.py
@@ -154,7 +154,7 @@
                 load.views.on_wait(now, first.load, max(load.lag(now, first), now - sent_at), False)
                 self.attempts.failed(now, first, AttemptResult.TIMEOUT, sent_at)
                 if self.fleet.zones and first.outliers.last_response_at < sent_at:
-                    self.fleet.zones.owes(now, first.endpoint.zone, number, sent_at)
+                    self.fleet.zones.on_no_response(now, first.endpoint.zone, number, sent_at)
             crowded = self.refusal.shedder.share or load.views.mean_wait > 0.4 * tracked.request_class.latency_objective
             tracked.checked_for_hedge = first.outliers.last_response_at > sent_at
             over = (now - sent_at) / (load.cost(tracked, first) + load.throttle.typical_fetch_time)
--- a/starlingthread/state/fleet.py
+++ b/starlingthread/state/fleet.py
@@ -18,7 +18,7 @@
 from .records import RequestState, Server
 
 if TYPE_CHECKING:  # else only once it is on
-    from ..failover.zones import Zones
+    from ..failover.zones import ZoneFailover
 
 
 class Fleet:
@@ -34,7 +34,7 @@
         self.origin: Server | None = None
         self.in_maintenance: set[int] = set()  # servers that operators leave out
         self.list_version, self.demand = 0, FleetDemand()
-        self.zones: Zones | None = None  # which zones are left alone; None: the operator's file has that off
+        self.zones: ZoneFailover | None = None  # which zones are left alone; None: the operator's file has that off
 
     def apply_settings(self, settings: Settings) -> None:
         """Take in settings, the first or new ones; bad ones raise and change nothing."""
@@ -78,7 +78,7 @@
             elif not server.unavailable and server.endpoint.server not in self.in_maintenance:
                 self.ready.append(server)
         if self.zones:
-            self.zones.listed((s.endpoint.zone, s.endpoint.server) for s in self.ready)
+            self.zones.set_servers((s.endpoint.zone, s.endpoint.server) for s in self.ready)
         self.demand.set_fleet_size(
             self.settings.router_count, len(self.ready), len({s.endpoint.zone for s in self.ready})
         )
