--- a/starlingthread/load/evenness.py
+++ b/starlingthread/analysis/evenness.py
@@ -13,9 +13,9 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from ..emulator.records import Ledger
-from ..emulator.scenario import Scenario
-from .traffic import server_speeds
+from ..experiment.randomness import server_speeds
+from ..experiment.records import Ledger
+from ..experiment.scenario import Scenario
 
 BIN = 50.0  # ms: in which arrivals are counted for the herd index
 SHORT, LONG = 1000.0, 10000.0  # ms: windows for the busiest server
--- a/starlingthread/emulator/judge.py
+++ b/starlingthread/analysis/judge.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from .records import CUT, OUT, RUN, TURNED_AWAY, Delivery, Ledger, Try
-from .scenario import Scenario, link_groups
+from ..experiment.records import CUT, OUT, RUN, TURNED_AWAY, Delivery, Ledger, Try
+from ..experiment.scenario import Scenario, link_groups
 
 MOST_SHOWN = 200  # violations of one rule that are kept in words; all are counted
 PUSHED_BY_TOLD = 2.0 / 3.0  # share of a cold server's work from routers that knew, from which on they are to blame
--- a/starlingthread/load/results.py
+++ b/starlingthread/analysis/results.py
@@ -12,10 +12,10 @@
 from hdrh.histogram import HdrHistogram
 
 from .. import __version__
-from ..emulator.judge import Verdict
-from ..emulator.records import RUN, Ledger, Marked, Operation, RouterSample
-from ..emulator.scenario import Class, Scenario
+from ..experiment.records import RUN, Ledger, Marked, Operation, RouterSample
+from ..experiment.scenario import Class, Scenario
 from .evenness import Evenness, measure
+from .judge import Verdict
 
 FORMAT = 2
 LEAST_US, MOST_US, DIGITS = 1, 120_000_000, 3
--- a/starlingthread/cli/main.py
+++ b/starlingthread/cli/main.py
@@ -17,8 +17,8 @@
 from .. import __version__
 
 if TYPE_CHECKING:
-    from ..emulator.scenario import Scenario
-    from ..load.results import Results
+    from ..analysis.results import Results
+    from ..experiment.scenario import Scenario
 
 EXISTING = click.Path(exists=True, dir_okay=False, path_type=Path)
 FILE = click.Path(dir_okay=False, path_type=Path)
@@ -122,7 +122,7 @@
 
 
 def _scenario(file: Path, settings: tuple[str, ...], seed: int | None) -> Scenario:
-    from ..emulator import scenario
+    from ..experiment import scenario
 
     try:
         return scenario.read(file, (*settings, *([f"seed={seed}"] if seed is not None else [])))
@@ -135,8 +135,8 @@
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
-    from ..emulator.bench import bench as play
-    from ..emulator.run import RunError
+    from ..testbed.bench import bench as play
+    from ..testbed.run import RunError
 
     console = Console(stderr=True)
     with Progress(
@@ -218,8 +218,8 @@
 
 
 def _finish(results: Results, json_file: Path | None, report_file: Path | None) -> None:
-    from ..load import report
-    from ..load import results as kept
+    from ..analysis import report
+    from ..analysis import results as kept
 
     if json_file is not None:
         kept.write(results, json_file)
@@ -310,7 +310,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    from ..load import results
+    from ..analysis import results
 
     try:
         first, second = results.read(before), results.read(after)
@@ -350,7 +350,7 @@
       LB_CONFIG=emulated/r0.json python -m starlingthread
     """
     _need_lab()
-    from ..emulator.run import RunError, emulate
+    from ..testbed.run import RunError, emulate
 
     try:
         emulate(_scenario(scenario, settings, None), folder, routers, seconds, click.echo)
@@ -382,7 +382,7 @@
 def demo(report_file: Path, seconds: float | None) -> None:
     """Start a small emulated fleet, three routers and half a minute of traffic with one fault in it."""
     _need_lab()
-    from ..emulator import scenario
+    from ..experiment import scenario
 
     raw: dict[str, Any] = tomllib.loads(DEMO)
     if seconds is not None:
--- a/starlingthread/emulator/discovery.py
+++ b/starlingthread/emulator/discovery.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from .records import Notified
+from ..experiment.records import Notified
 
 HEARTBEAT = 2.0  # s between empty lines on a watch
 KEPT_CHANGES = 1000
--- a/starlingthread/emulator/faults.py
+++ b/starlingthread/emulator/faults.py
@@ -13,8 +13,8 @@
 
 import numpy as np
 
-from .records import Marked
-from .scenario import Fault, Scenario, link_groups
+from ..experiment.records import Marked
+from ..experiment.scenario import Fault, Scenario, link_groups
 
 LEAVES_AFTER = 3.0  # s that a draining server has for what it holds
 FRONT_GRACE = 0.3  # s for which new connections still go to a router after SIGTERM
--- a/starlingthread/emulator/links.py
+++ b/starlingthread/emulator/links.py
@@ -16,7 +16,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from .model import Chances, Schedule
+from ..experiment.randomness import Chances
+from .model import Schedule
 from .ports import free_port
 
 RESENT = 200.0  # ms until TCP sends a lost piece again: the least that Linux waits
--- a/starlingthread/emulator/model.py
+++ b/starlingthread/emulator/model.py
@@ -14,9 +14,9 @@
 
 import numpy as np
 
-from .scenario import Fleet, Origin
+from ..experiment.randomness import Chances, Draws
+from ..experiment.scenario import Fleet, Origin
 
-DRAWN_AT_ONCE = 4096
 REMEMBERED = 60000.0  # ms for which the origin knows an idempotency key
 
 
@@ -30,36 +30,6 @@
         """Call something in so many milliseconds."""
 
 
-class Draws:
-    """Factors around 1 of a lognormal law with the given coefficient of variation, drawn in blocks."""
-
-    def __init__(self, rng: np.random.Generator, cv: float) -> None:
-        self._rng = rng
-        self._sigma = float(np.sqrt(np.log1p(cv * cv)))
-        self._block: list[float] = []
-
-    def next(self) -> float:
-        """Return the next factor."""
-        if not self._block:
-            mu = -self._sigma * self._sigma / 2.0
-            self._block = self._rng.lognormal(mu, self._sigma, DRAWN_AT_ONCE).tolist()
-        return self._block.pop()
-
-
-class Chances:
-    """Uniform numbers in [0, 1), drawn in blocks."""
-
-    def __init__(self, rng: np.random.Generator) -> None:
-        self._rng = rng
-        self._block: list[float] = []
-
-    def next(self) -> float:
-        """Return the next number."""
-        if not self._block:
-            self._block = self._rng.random(DRAWN_AT_ONCE).tolist()
-        return self._block.pop()
-
-
 class OriginLike(Protocol):
     """The origin as a server sees it; ``then`` gets the value's version, or None when the fetch failed."""
 
--- a/starlingthread/emulator/relay.py
+++ b/starlingthread/emulator/relay.py
@@ -8,8 +8,8 @@
 
 import numpy as np
 
-from .model import Chances
-from .scenario import Datagrams
+from ..experiment.randomness import Chances
+from ..experiment.scenario import Datagrams
 
 MAX_DATAGRAM = 256
 REORDERED = 4.0  # times the usual delay for one that is overtaken
--- a/starlingthread/emulator/routers.py
+++ b/starlingthread/emulator/routers.py
@@ -15,9 +15,9 @@
 
 import psutil
 
+from ..experiment.records import Ledger, RouterEvent, RouterSample
+from ..experiment.scenario import Scenario
 from .ports import free_port
-from .records import Ledger, RouterEvent, RouterSample
-from .scenario import Scenario
 from .truth import VARIABLE
 
 READY_WITHIN = 30.0  # s
@@ -104,7 +104,7 @@
     def __init__(self, number: int, scenario: Scenario, folder: Path, ledger: Ledger) -> None:
         self.number, self.scenario, self.folder, self.ledger = number, scenario, folder, ledger
         self.name = f"r{number}"
-        part = (0, 1 + scenario.machine.server_processes)  # as emulator/worker.py has it
+        part = (0, 1 + scenario.machine.server_processes)  # as testbed/worker.py has it
         self.listen = ("127.0.0.1", free_port(socket.SOCK_STREAM, *part))
         self.peer_listen = ("127.0.0.1", free_port(socket.SOCK_DGRAM, *part))
         self.process: asyncio.subprocess.Process | None = None
--- a/starlingthread/emulator/servers.py
+++ b/starlingthread/emulator/servers.py
@@ -13,9 +13,10 @@
 
 import numpy as np
 
+from ..experiment.randomness import Chances
+from ..experiment.records import ANSWERED, CUT, FAILED, RUN, TURNED_AWAY, Delivery, Ledger, ServerEvent
 from .links import Door, Lane
-from .model import Chances, Job, ServerModel
-from .records import ANSWERED, CUT, FAILED, RUN, TURNED_AWAY, Delivery, Ledger, ServerEvent
+from .model import Job, ServerModel
 
 MAX_LINE = 4096
 MAX_VALUE = 1 << 20
--- a/starlingthread/load/client.py
+++ b/starlingthread/load/client.py
@@ -12,9 +12,9 @@
 
 import numpy as np
 
-from ..emulator.model import Chances
-from ..emulator.records import Ledger, Operation, Try
-from ..emulator.scenario import Class, Scenario
+from ..experiment.randomness import Chances
+from ..experiment.records import Ledger, Operation, Try
+from ..experiment.scenario import Class, Scenario
 from .traffic import Arrivals, key_name
 
 TICK = 0.001  # s between looks at what is due
--- a/starlingthread/load/traffic.py
+++ b/starlingthread/load/traffic.py
@@ -7,7 +7,8 @@
 import numpy as np
 import numpy.typing as npt
 
-from ..emulator.scenario import Scenario
+from ..experiment.randomness import streams
+from ..experiment.scenario import Scenario
 
 
 class Arrivals(NamedTuple):
@@ -18,20 +19,6 @@
     key: npt.NDArray[np.int64]
 
 
-def streams(seed: int, count: int) -> list[np.random.Generator]:
-    """Return independent random streams: what one draws does not move what another draws."""
-    return [np.random.default_rng(s) for s in np.random.SeedSequence(seed).spawn(count)]
-
-
-def server_speeds(scenario: Scenario) -> list[float]:
-    """Return the speed of each server, drawn by the seed: the same wherever it is asked for."""
-    fleet = scenario.fleet
-    draw = streams(scenario.seed + 8_000_003, 1)[0].uniform(
-        1.0 - fleet.speed_spread, 1.0 + fleet.speed_spread, fleet.servers
-    )
-    return [fleet.speed * float(one) for one in draw]
-
-
 def zipf_weights(keys: int, exponent: float) -> npt.NDArray[np.float64]:
     """Return the cumulated shares of ranks 1 to ``keys`` under a bounded Zipf law."""
     weights = 1.0 / np.arange(1, keys + 1, dtype=np.float64) ** exponent
--- a/starlingthread/emulator/bench.py
+++ b/starlingthread/testbed/bench.py
@@ -4,10 +4,10 @@
 
 from pathlib import Path
 
-from ..load import results
-from .judge import judge
+from ..analysis import results
+from ..analysis.judge import judge
+from ..experiment.scenario import Scenario
 from .run import Progress, play
-from .scenario import Scenario
 
 
 def bench(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> results.Results:
--- a/starlingthread/emulator/run.py
+++ b/starlingthread/testbed/run.py
@@ -18,17 +18,17 @@
 import tomli_w
 import uvloop
 
-from ..load.traffic import streams
-from .channel import Channel
-from .discovery import DiscoveryServer, Entry
-from .faults import FRONT_GRACE, Faults
-from .model import OriginModel
-from .records import Ledger, Marked, Notified, ServerEvent
-from .relay import Relay
-from .routers import OPTIONS_FILE, TRUTH_FILE, RouterProcess
-from .scenario import Scenario, descriptors_needed
-from .servers import LoopSchedule
-from .truth import lay_out, server_name
+from ..emulator.channel import Channel
+from ..emulator.discovery import DiscoveryServer, Entry
+from ..emulator.faults import FRONT_GRACE, Faults
+from ..emulator.model import OriginModel
+from ..emulator.relay import Relay
+from ..emulator.routers import OPTIONS_FILE, TRUTH_FILE, RouterProcess
+from ..emulator.servers import LoopSchedule
+from ..emulator.truth import lay_out, server_name
+from ..experiment.randomness import streams
+from ..experiment.records import Ledger, Marked, Notified, ServerEvent
+from ..experiment.scenario import Scenario, descriptors_needed
 
 SAMPLE_EVERY = 0.25  # s between looks at the routers
 START_WITHIN = 30.0  # s for workers to come up
@@ -310,7 +310,7 @@
                 await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
-                    "starlingthread.emulator.worker",
+                    "starlingthread.testbed.worker",
                     str(port),
                     role,
                     str(number),
--- a/starlingthread/emulator/worker.py
+++ b/starlingthread/testbed/worker.py
@@ -1,6 +1,6 @@
 """A process of a run that plays some of the servers or some of the clients, as the coordinator says.
 
-Run as ``python -m starlingthread.emulator.worker PORT ROLE NUMBER``; it ends with its connection.
+Run as ``python -m starlingthread.testbed.worker PORT ROLE NUMBER``; it ends with its connection.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 import msgspec
 import uvloop
 
+from ..emulator.channel import Channel
+from ..emulator.links import Door
+from ..emulator.model import ServerModel
+from ..emulator.servers import CacheServer, LoopSchedule
+from ..emulator.truth import EVERY, Truth, server_name
+from ..experiment.randomness import Chances, server_speeds, streams
+from ..experiment.records import Ledger, ServerSample
+from ..experiment.scenario import Scenario, distance_ms, link_groups
 from ..load.client import Load
-from ..load.traffic import draw, hottest_first, key_name, server_speeds, streams
-from .channel import Channel
-from .links import Door
-from .model import Chances, ServerModel
-from .records import Ledger, ServerSample
-from .scenario import Scenario, distance_ms, link_groups
-from .servers import CacheServer, LoopSchedule
-from .truth import EVERY, Truth, server_name
+from ..load.traffic import draw, hottest_first, key_name
 
 LAG_TICK = 0.005  # s
 SAMPLE_EVERY = 1.0  # s
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,14 +18,17 @@
 from click.testing import CliRunner
 
 from starlingthread import options
+from starlingthread.analysis import results
 from starlingthread.cli.main import main
-from starlingthread.emulator import faults, run, scenario
+from starlingthread.emulator import faults
 from starlingthread.emulator.discovery import DiscoveryServer, Entry
 from starlingthread.emulator.model import Job, OriginModel, ServerModel
-from starlingthread.emulator.records import Ledger, Marked, Notified
 from starlingthread.emulator.relay import Relay
 from starlingthread.emulator.servers import CacheServer, LoopSchedule
-from starlingthread.load import results, traffic
+from starlingthread.experiment import scenario
+from starlingthread.experiment.records import Ledger, Marked, Notified
+from starlingthread.load import traffic
+from starlingthread.testbed import run
 
 ROOT = Path(__file__).parents[1]
 CALM = scenario.Scenario("calm")
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from starlingthread.load import results
+from starlingthread.analysis import results
 
 SCENARIO = """
 name = "end-to-end"
--- a/tests/test_failover_process.py
+++ b/tests/test_failover_process.py
@@ -5,9 +5,9 @@
 import re
 from pathlib import Path
 
-from starlingthread.emulator import scenario
-from starlingthread.emulator.judge import judge
-from starlingthread.emulator.run import play
+from starlingthread.analysis.judge import judge
+from starlingthread.experiment import scenario
+from starlingthread.testbed.run import play
 
 SCENARIO = """
 name = "failover"
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from starlingthread.emulator import scenario
-from starlingthread.emulator.judge import judge
-from starlingthread.emulator.run import play
-from starlingthread.load.results import Results, reduce
+from starlingthread.analysis.judge import judge
+from starlingthread.analysis.results import Results, reduce
+from starlingthread.experiment import scenario
+from starlingthread.testbed.run import play
 
 SCENARIO = """
 name = "herd"
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -11,8 +11,9 @@
 
 import pytest
 
-from starlingthread.emulator.judge import judge
-from starlingthread.emulator.records import (
+from starlingthread.analysis import results
+from starlingthread.analysis.judge import judge
+from starlingthread.experiment.records import (
     ANSWERED,
     CUT,
     OUT,
@@ -24,8 +25,7 @@
     RouterEvent,
     Try,
 )
-from starlingthread.emulator.scenario import Scenario, parse
-from starlingthread.load import results
+from starlingthread.experiment.scenario import Scenario, parse
 
 ROUTER = Path(__file__).with_name("broken_router.py")
 SCENARIO = """
--- a/tests/test_members_process.py
+++ b/tests/test_members_process.py
@@ -6,9 +6,9 @@
 from collections import defaultdict
 from pathlib import Path
 
-from starlingthread.emulator import scenario
-from starlingthread.emulator.judge import judge
-from starlingthread.emulator.run import play
+from starlingthread.analysis.judge import judge
+from starlingthread.experiment import scenario
+from starlingthread.testbed.run import play
 
 SCENARIO = """
 name = "members"
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -9,9 +9,9 @@
 import psutil
 import pytest
 
-from starlingthread.emulator.records import Ledger
 from starlingthread.emulator.routers import RouterProcess
-from starlingthread.emulator.scenario import parse
+from starlingthread.experiment.records import Ledger
+from starlingthread.experiment.scenario import parse
 
 
 def a_router(folder: Path, code: str) -> RouterProcess:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -11,15 +11,16 @@
 import numpy as np
 import pytest
 
+from starlingthread.analysis import evenness
 from starlingthread.baselines.policies import POLICIES
-from starlingthread.emulator import scenario
 from starlingthread.emulator.links import RESENT, Door, Lane
-from starlingthread.emulator.model import Chances, OriginModel, ServerModel
+from starlingthread.emulator.model import OriginModel, ServerModel
 from starlingthread.emulator.ports import free_port
-from starlingthread.emulator.records import Delivery, Ledger, ServerEvent, ServerSample, Try
 from starlingthread.emulator.servers import CacheServer, LoopSchedule
 from starlingthread.events import EndpointList, EndpointListKind, Request
-from starlingthread.load import evenness, traffic
+from starlingthread.experiment import scenario
+from starlingthread.experiment.randomness import Chances, server_speeds
+from starlingthread.experiment.records import Delivery, Ledger, ServerEvent, ServerSample, Try
 
 from .world import THROUGH, World, members, sends
 
@@ -193,7 +194,7 @@
     spec = msgspec.structs.replace(
         BASE, length_s=32.0, fleet=scenario.Fleet(servers=4, speed_spread=0.5, cold_ms=1000.0)
     )
-    speeds, ledger, rng = traffic.server_speeds(spec), Ledger(), np.random.default_rng(2)
+    speeds, ledger, rng = server_speeds(spec), Ledger(), np.random.default_rng(2)
     for server, speed in enumerate(speeds):
         count = int(3000 * speed)
         ledger.deliveries += [
