--- a/starlingthread/__main__.py
+++ b/starlingthread/__main__.py
@@ -14,11 +14,12 @@
 
 from . import options
 from .config import Config, ConfigError, read_config
-from .core.actors import Clock, Watcher
+from .core.clock import Clock
 from .core.counters import Counters
 from .core.deadlines import Deadlines
 from .core.maintenance import MaintenanceSet
 from .core.router import Router
+from .core.watcher import Watcher
 from .events import Maintenance
 from .handover.actor import Handover
 from .handover.channel import Inheritance, inherit
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -8,8 +8,6 @@
 import asyncio
 import math
 import time
-from dataclasses import dataclass
-from typing import NamedTuple, Protocol, TypeAlias
 
 from ..actions import (
     Action,
@@ -26,14 +24,9 @@
 )
 from ..events import (
     AttemptResult,
-    CacheStatus,
-    EndpointList,
     EndpointListKind,
     Event,
-    HealthCheckResult,
-    Maintenance,
     Outcome,
-    PeerMessage,
     Request,
     RequestCancelled,
     SettingsChanged,
@@ -41,11 +34,26 @@
 )
 from ..logs import log
 from ..policy import Balancer
-from ..settings import RequestClass, Settings
-from .actors import Clock, Mailbox
+from ..settings import Settings
+from .clock import Clock
 from .counters import Counters
-from .deadlines import Deadline, Deadlines
-from .pipe import Pipe
+from .deadlines import Deadlines
+from .mailbox import Mailbox
+from .messages import (
+    Answer,
+    Attempt,
+    AttemptEnded,
+    BodyReceived,
+    ClientDisconnected,
+    EndpointsReceived,
+    Failed,
+    Message,
+    PendingRequest,
+    Rejected,
+    RequestReceived,
+    Served,
+)
+from .ports import CacheServers, Discovery, Peers
 from .telemetry import End, Telemetry
 
 OVERDUE = 15.0  # ms past a request's end at which we answer for a module that has not
@@ -55,157 +63,9 @@
 FULL = 0.9  # of it, from which on we count as full
 
 
-class Served(NamedTuple):
-    """Final answer: what a server made for this request, in the dialect's own form."""
-
-    payload: object
-    pipe: Pipe | None = None  # where its value follows in pieces
-
-
-class Rejected(NamedTuple):
-    """Final answer: turned away, come again after so many ms (0: no advice)."""
-
-    retry_after: float = 0.0
-
-
-class Failed(NamedTuple):
-    """Final answer: failed, with no promise."""
-
-
-Answer: TypeAlias = Served | Rejected | Failed
 ENDS: dict[type, End] = {Served: End.SUCCESS, Rejected: End.BUSY, Failed: End.FAILURE}
 
 
-class Requester(Protocol):
-    """Whoever is owed a final answer."""
-
-    def answer(self, request: PendingRequest, answer: Answer) -> None:
-        """Take the one final answer of a request."""
-
-
-@dataclass(slots=True, eq=False)
-class PendingRequest:
-    """A request that was taken and is owed one final answer."""
-
-    requester: Requester
-    request_class: RequestClass
-    key: int
-    deadline: float  # clock time at which the client gives up
-    payload: object  # in the dialect's own form
-    received_at: float  # clock time at which it was whole
-    size: float = 0.0
-    cost_hint: float = 0.0  # the client's guess at the work, in whatever unit; 0: none
-    is_retry: bool = False
-    is_write: bool = False
-    id: int = 0
-    finished: bool = False
-    cancelled: bool = False  # whoever asked has left, and the message that says so is on its way: begin nothing more
-    attempts_started: int = 0
-    attempts_in_flight: int = 0
-    deadline_timer: Deadline | None = None
-    body: Pipe | None = None  # where its value follows in pieces: it can be sent once only
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One attempt: it is out until its one outcome."""
-
-    request: PendingRequest
-    number: int
-    server: int
-    sent_at: float
-    deadline: float  # clock time at which we stop waiting for it
-    write_deadline: float = math.inf  # clock time from which on it must not be written any more
-    pending: bool = True  # false once it has its outcome: whoever is about to write it must not
-    timeout_timer: Deadline | None = None
-
-
-class RequestReceived(NamedTuple):
-    """Message: a request has come in."""
-
-    request: PendingRequest
-
-
-class BodyReceived(NamedTuple):
-    """Message: the last byte of a request's value has come; its time runs from now, and ends at 'ends'."""
-
-    request: PendingRequest
-    deadline: float
-
-
-class ClientDisconnected(NamedTuple):
-    """Message: the client of a request has left."""
-
-    request: PendingRequest
-
-
-class AttemptEnded(NamedTuple):
-    """Message: how an attempt ended."""
-
-    attempt: Attempt
-    result: AttemptResult
-    cache_status: CacheStatus = CacheStatus.NONE
-    load_report: tuple[float, ...] = ()
-    payload: object = None
-    pipe: Pipe | None = None
-
-
-class EndpointsReceived(NamedTuple):
-    """Message: what discovery told, with each server's address where it is known."""
-
-    event: EndpointList
-    addresses: dict[int, tuple[str, int]]
-
-
-Message: TypeAlias = (
-    RequestReceived
-    | BodyReceived
-    | ClientDisconnected
-    | AttemptEnded
-    | EndpointsReceived
-    | HealthCheckResult
-    | PeerMessage
-    | Maintenance
-    | SettingsChanged
-)
-
-
-class CacheServers(Protocol):
-    """The cache servers, as the module's actor sees them."""
-
-    def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
-        """Take in a list before the module does."""
-
-    def start(self, attempt: Attempt) -> None:
-        """Make an attempt; an Ended message follows unless it is abandoned."""
-
-    def abandon(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt that has its outcome."""
-
-    def check_health(self, server: int) -> None:
-        """Check a server; a ProbeResult follows."""
-
-    def close_idle(self, server: int) -> None:
-        """Close the idle connections to a server."""
-
-
-class Discovery(Protocol):
-    """Discovery, as the module's actor sees it."""
-
-    def watch(self, active: bool) -> None:
-        """Ask for changes from now on, or no longer."""
-
-    def fetch(self) -> None:
-        """Ask for the whole list once."""
-
-
-class Peers(Protocol):
-    """The other routers, as the module's actor sees them."""
-
-    def send(self, peer: int | None, payload: bytes) -> None:
-        """Send a message to one, or to all (None)."""
-
-
 class Router:
     """Hosts the one instance of the module."""
 
--- a/starlingthread/handover/actor.py
+++ b/starlingthread/handover/actor.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ..core.actors import Watcher
 from ..core.counters import Counters
+from ..core.watcher import Watcher
 from ..logs import log
 from .channel import MAX_LINE, Door, Inheritance, Word, bequeath
 
--- a/starlingthread/net/clients.py
+++ b/starlingthread/net/clients.py
@@ -11,9 +11,11 @@
 from collections import deque
 from collections.abc import Callable
 
-from ..core.actors import Mailbox, Watcher
+from ..core.mailbox import Mailbox
+from ..core.messages import Answer, BodyReceived, ClientDisconnected, PendingRequest, Rejected, Served
 from ..core.pipe import ByteBudget, Pipe
-from ..core.router import Answer, BodyReceived, ClientDisconnected, PendingRequest, Rejected, Router, Served
+from ..core.router import Router
+from ..core.watcher import Watcher
 from ..settings import Settings
 from . import meta
 from .streams import ENDED, EndAwareProtocol, polled, read_at_most, send_at_once
--- a/starlingthread/net/discovery.py
+++ b/starlingthread/net/discovery.py
@@ -12,9 +12,11 @@
 
 import h11
 
-from ..core.actors import Mailbox, Watcher
 from ..core.deadlines import Deadline
-from ..core.router import EndpointsReceived, Router
+from ..core.mailbox import Mailbox
+from ..core.messages import EndpointsReceived
+from ..core.router import Router
+from ..core.watcher import Watcher
 from ..events import Endpoint, EndpointList, EndpointListKind, ServerState
 from ..logs import log
 
--- a/starlingthread/net/management.py
+++ b/starlingthread/net/management.py
@@ -15,9 +15,10 @@
 import h11
 import msgspec
 
-from ..core.actors import Clock, Watcher
+from ..core.clock import Clock
 from ..core.counters import Counters
 from ..core.deadlines import Deadlines
+from ..core.watcher import Watcher
 
 READ = 4096  # bytes read at once
 MAX_HEAD = 8192  # bytes of a call's head
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from ...core.actors import Mailbox
+from ...core.mailbox import Mailbox
+from ...core.messages import Attempt, AttemptEnded
 from ...core.pipe import Pipe
-from ...core.router import Attempt, AttemptEnded
 from ...events import AttemptResult, CacheStatus, HealthCheckResult
 from ...logs import log
 from .. import meta
--- a/starlingthread/net/upstreams/connection.py
+++ b/starlingthread/net/upstreams/connection.py
@@ -6,8 +6,8 @@
 from typing import TypeAlias
 
 from ...core.deadlines import Deadline
+from ...core.messages import Attempt
 from ...core.pipe import Pipe
-from ...core.router import Attempt
 from .. import meta
 
 DOUBT = 50.0  # ms after an answer in which a 'busy' may be a stray line behind it
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -4,9 +4,10 @@
 
 import asyncio
 
-from ...core.actors import Watcher
+from ...core.messages import Attempt, AttemptEnded, EndpointsReceived
 from ...core.pipe import ByteBudget
-from ...core.router import Attempt, AttemptEnded, EndpointsReceived, Router
+from ...core.router import Router
+from ...core.watcher import Watcher
 from ...events import AttemptResult, EndpointListKind, HealthCheckResult, ServerState
 from ...settings import Settings
 from .actor import ServerActor
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from starlingthread.core.actors import Watcher
-from starlingthread.core.router import Attempt, PendingRequest
+from starlingthread.core.messages import Attempt, PendingRequest
+from starlingthread.core.watcher import Watcher
 from starlingthread.net import meta
 from starlingthread.net.clients import ClientConnectionActor, ClientListener
 from starlingthread.net.upstreams import ServerFleet, messages
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from starlingthread.core.router import ClientDisconnected, Failed, Rejected, RequestReceived, Served
+from starlingthread.core.messages import ClientDisconnected, Failed, Rejected, RequestReceived, Served
 from starlingthread.net import meta
 from starlingthread.net.clients import ClientConnectionActor, key_number
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 import pytest
 
 from starlingthread import __main__ as program
-from starlingthread.core.router import AttemptEnded
+from starlingthread.core.messages import AttemptEnded
 from starlingthread.events import AttemptResult
 from starlingthread.net import clients
 from starlingthread.net.clients import MAX_PIPELINED
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread.core.actors import Watcher
+from starlingthread.core.watcher import Watcher
 from starlingthread.events import Endpoint, EndpointListKind, ServerState
 from starlingthread.net.discovery import LIST_PATH, DiscoveryActor, EndpointListError, EndpointListParser, ServerIds
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from starlingthread.core.actors import Watcher
 from starlingthread.core.counters import Counters
-from starlingthread.core.router import Rejected
+from starlingthread.core.messages import Rejected
+from starlingthread.core.watcher import Watcher
 from starlingthread.handover.actor import Handover
 from starlingthread.handover.channel import NAME, Door, bequeath, inherit
 from starlingthread.net import clients, meta
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread.core.actors import Watcher
-from starlingthread.core.router import AttemptEnded, ClientDisconnected, PendingRequest, RequestReceived
+from starlingthread.core.messages import AttemptEnded, ClientDisconnected, PendingRequest, RequestReceived
 from starlingthread.core.telemetry import End
+from starlingthread.core.watcher import Watcher
 from starlingthread.events import AttemptResult
 from starlingthread.net.management import MAX_HEAD, WHOLE, Management
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -14,7 +14,7 @@
 from starlingthread.actions import Reject
 from starlingthread.config import ConfigError, read_config
 from starlingthread.core.maintenance import NAME, MaintenanceSet
-from starlingthread.core.router import AttemptEnded, PendingRequest
+from starlingthread.core.messages import AttemptEnded, PendingRequest
 from starlingthread.core.telemetry import End
 from starlingthread.events import (
     AttemptResult,
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -7,8 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread.core.pipe import WINDOW, ByteBudget, Pipe
-from starlingthread.core.router import (
+from starlingthread.core.messages import (
     Attempt,
     AttemptEnded,
     BodyReceived,
@@ -18,6 +17,7 @@
     Rejected,
     Served,
 )
+from starlingthread.core.pipe import WINDOW, ByteBudget, Pipe
 from starlingthread.core.telemetry import End
 from starlingthread.events import AttemptResult, CacheStatus, Request
 from starlingthread.net import meta
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -10,10 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread.core.actors import Clock, Mailbox
+from starlingthread.core.clock import Clock
 from starlingthread.core.counters import Counters
 from starlingthread.core.deadlines import Deadline, Deadlines
-from starlingthread.core.router import (
+from starlingthread.core.mailbox import Mailbox
+from starlingthread.core.messages import (
     Answer,
     Attempt,
     AttemptEnded,
@@ -24,9 +25,9 @@
     PendingRequest,
     Rejected,
     RequestReceived,
-    Router,
     Served,
 )
+from starlingthread.core.router import Router
 from starlingthread.events import AttemptResult, EndpointList, EndpointListKind
 from starlingthread.settings import Settings
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from starlingthread.core.router import AttemptEnded
+from starlingthread.core.messages import AttemptEnded
 from starlingthread.events import AttemptResult, CacheStatus
 from starlingthread.net.upstreams import messages, pool
 
