--- a/starlingthread/net/clients.py
+++ b/starlingthread/net/clients.py
@@ -18,7 +18,7 @@
 from ..core.watcher import Watcher
 from ..settings import Settings
 from . import meta
-from .streams import ENDED, EndAwareProtocol, polled, read_at_most, send_at_once
+from .streams import PEER_CLOSED_EVENTS, DisconnectAwareProtocol, disable_nagle, has_poll_event, limit_read_size
 
 READ = 16384  # bytes read at once; twice as many may lie unread in a connection's reader
 MAX_PIPELINED = 16  # commands of one connection that may be without their answer; then it is not read
@@ -112,7 +112,7 @@
                 if not data:
                     break
                 for item in self.parser.feed(data):
-                    if isinstance(item, meta.Part):
+                    if isinstance(item, meta.ValueChunk):
                         self._part(item)
                         continue
                     # Guards memory against a client that sends on and on without reading its answers.
@@ -126,7 +126,7 @@
                     self._take(item)
                     if self.lost:
                         break
-                if not self.parser.is_midway():
+                if not self.parser.has_partial_input():
                     self.began_at = None
                 elif self.began_at is None or self.body is not None:
                     self.began_at = self.listener.clock.now()
@@ -157,17 +157,17 @@
         transport = self.writer.transport
         if self.ended or transport.is_closing():
             return False
-        if not transport.is_reading() and polled(self.writer, ENDED):  # type: ignore[attr-defined]
+        if not transport.is_reading() and has_poll_event(self.writer, PEER_CLOSED_EVENTS):  # type: ignore[attr-defined]
             self.on_disconnect()
         return not self.ended and (len(self.slots) >= MAX_PIPELINED or self.body is not None)
 
-    def _part(self, part: meta.Part) -> None:
+    def _part(self, part: meta.ValueChunk) -> None:
         """Take in a piece of a value."""
         if self.body is None:
             return
         slot, request, pipe = self.body
         pipe.put(part.data)
-        if self.unsubmitted is not None and (pipe.buffered > meta.MAX_WHOLE or pipe.is_full() or part.last):
+        if self.unsubmitted is not None and (pipe.buffered > meta.MAX_UNCHUNKED_BYTES or pipe.is_full() or part.last):
             # Guards a server's connection against a client that sends a head and then nothing.
             self.unsubmitted = None
             self._ask(request)
@@ -179,10 +179,10 @@
         if slot.held_back is not None:
             self._answer(slot, slot.held_back)
         elif not request.finished and isinstance(request.payload, meta.Command):
-            wait = min(request.payload.wait, request.request_class.deadline, self.listener.answer_by - now)
+            wait = min(request.payload.timeout_ms, request.request_class.deadline, self.listener.answer_by - now)
             self.listener.router.mailbox.must_put(BodyReceived(request, now + wait - ANSWER_EARLY))
 
-    def _spoil_body(self, item: meta.Bad) -> None:
+    def _spoil_body(self, item: meta.MalformedCommand) -> None:
         """The value that was coming in pieces will never be whole: nothing of it counts."""
         assert self.body is not None
         slot, request, pipe = self.body
@@ -210,9 +210,9 @@
         else:
             self.listener.router.submit(request)
 
-    def _take(self, item: meta.Command | meta.Ask | meta.Bad) -> None:
+    def _take(self, item: meta.Command | meta.ControlCommand | meta.MalformedCommand) -> None:
         front = self.listener
-        if isinstance(item, meta.Bad) and self.body is not None:
+        if isinstance(item, meta.MalformedCommand) and self.body is not None:
             front.counters.increment("clients.malformed")
             self._spoil_body(item)
             return
@@ -227,17 +227,17 @@
             cls = front.classes.get(item.fields.get("c", ""))
             if cls is None:
                 front.counters.increment("clients.unknown_class")
-                self._malformed(slot, meta.bad("unknown class"))
+                self._malformed(slot, meta.client_error("unknown class"))
                 return
-            if item.id in front.open_ids:
+            if item.request_id in front.open_ids:
                 # Guards the request that is open: two of one id could not be told apart, here or at a server.
                 front.counters.increment("clients.id_taken")
-                self._malformed(slot, meta.bad("id in use"))
+                self._malformed(slot, meta.client_error("id in use"))
                 return
-            front.open_ids.add(item.id)
+            front.open_ids.add(item.request_id)
             # Nobody waits longer than the class lets them, nor than a process that ends lives.
-            wait = min(item.wait, cls.deadline, front.answer_by - self.used_at)
-            body = Pipe(front.budget) if item.in_pieces else None
+            wait = min(item.timeout_ms, cls.deadline, front.answer_by - self.used_at)
+            body = Pipe(front.budget) if item.is_chunked else None
             wait = wait if body is None else BODY
             request = PendingRequest(
                 self,
@@ -260,15 +260,15 @@
                 self._ask(request)
             else:
                 self.unsubmitted = request
-        elif isinstance(item, meta.Bad):
+        elif isinstance(item, meta.MalformedCommand):
             front.counters.increment("clients.malformed")
             self._malformed(slot, item)
-        elif item is meta.Ask.READY:
+        elif item is meta.ControlCommand.READY:
             self._put(slot, meta.READY_LINE if front.ready() else meta.STARTING_LINE)
         else:
             self._put(slot, meta.ERROR_LINE)
 
-    def _malformed(self, slot: Slot, item: meta.Bad) -> None:
+    def _malformed(self, slot: Slot, item: meta.MalformedCommand) -> None:
         """Answer what makes no sense. Who sends nothing else is not listened to for ever."""
         self.malformed += 1
         slot.last = self.lost = item.framing_lost or self.malformed >= MAX_MALFORMED
@@ -315,7 +315,7 @@
             self._unfinished()
 
     def _unfinished(self) -> None:
-        item = meta.bad("command not finished", True)
+        item = meta.client_error("command not finished", True)
         if self.body is not None:
             self._spoil_body(item)
             return
@@ -342,7 +342,7 @@
     def _answer(self, slot: Slot, answer: Answer) -> None:
         if isinstance(answer, Served) and isinstance(answer.payload, meta.ServerAnswer):
             slot.pipe = answer.pipe
-            self._put(slot, *answer.payload.text)
+            self._put(slot, *answer.payload.parts)
         elif isinstance(answer, Rejected):
             self._put(slot, meta.busy_line(answer.retry_after))
         else:
@@ -350,7 +350,7 @@
 
     def _give_back_id(self, request: PendingRequest) -> None:
         if isinstance(request.payload, meta.Command):
-            self.listener.open_ids.discard(request.payload.id)
+            self.listener.open_ids.discard(request.payload.request_id)
 
     def _hold(self, slot: Slot, size: int) -> None:
         self.listener.buffered += size - slot.size
@@ -474,7 +474,7 @@
 
     def _has_unread_bytes(self) -> bool:
         """Ask the system whether bytes (or the client's close) wait to be read."""
-        return polled(self.writer, select.POLLIN)
+        return has_poll_event(self.writer, select.POLLIN)
 
     async def _drain(self) -> None:
         """Wait for a slow reader, for a while: its answers take memory, and its connection a descriptor."""
@@ -562,7 +562,7 @@
         assert self.socket is not None
         self.draining = False
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: EndAwareProtocol(self._accept, READ), sock=self.socket.dup(), backlog=ACCEPT
+            lambda: DisconnectAwareProtocol(self._accept, READ), sock=self.socket.dup(), backlog=ACCEPT
         )
         # asyncio has one figure for both what the system holds and what is taken at once.
         self.socket.listen(BACKLOG)
@@ -611,13 +611,13 @@
             self.counters.increment("clients.turned_away")
             writer.transport.abort()
             return
-        read_at_most(writer, READ)
-        send_at_once(writer)
+        limit_read_size(writer, READ)
+        disable_nagle(writer)
         actor = ClientConnectionActor(self, reader, writer)
         self.connections.add(actor)
         protocol = writer.transport.get_protocol()
-        if isinstance(protocol, EndAwareProtocol):
-            protocol.on_end = actor.on_disconnect
+        if isinstance(protocol, DisconnectAwareProtocol):
+            protocol.on_disconnect = actor.on_disconnect
         self.watcher.start(actor.run(), "client", lambda _: actor.close())
 
     def _close_spare(self) -> bool:
--- a/starlingthread/net/meta.py
+++ b/starlingthread/net/meta.py
@@ -1,7 +1,7 @@
 """The meta commands of the memcache text protocol: a pure parser and writer, no sockets.
 
 Parsers are fed whatever the socket gave, in any cuts, and give back what is whole. They never raise on what a
-peer sent: what makes no sense comes back as Bad (from a client) or as OTHER (from a server).
+peer sent: what makes no sense comes back as MalformedCommand (from a client) or as OTHER (from a server).
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from enum import Enum
 from typing import NamedTuple, TypeAlias
 
-MAX_VALUE = 4 << 20  # bytes, in either direction
-MAX_WHOLE = 64 * 1024  # bytes of a value that is held whole; what is larger comes in pieces
-MAX_HEAD = 2048
+MAX_VALUE_BYTES = 4 << 20  # bytes, in either direction
+MAX_UNCHUNKED_BYTES = 64 * 1024  # bytes of a value that is held whole; what is larger comes in pieces
+MAX_HEAD_BYTES = 2048
 CRLF = b"\r\n"
 
 # One head in one match, with the places of its parts: they are read where they lie, and a head is written
@@ -35,9 +35,9 @@
 
     head: bytes
     key: bytes
-    id: bytes
-    wait: float
-    wait_at: tuple[int, int]  # where the figure of d stands in the head
+    request_id: bytes
+    timeout_ms: float
+    timeout_span: tuple[int, int]  # where the figure of d stands in the head
     fields: dict[str, str]  # the other names and values of the P list
     value: bytes | None  # None too where the value comes in pieces
     length: int = -1  # bytes of the value of an ms, without its CRLF
@@ -48,38 +48,38 @@
         return self.length >= 0
 
     @property
-    def in_pieces(self) -> bool:
+    def is_chunked(self) -> bool:
         """Whether its value follows in pieces."""
-        return self.length > MAX_WHOLE
+        return self.length > MAX_UNCHUNKED_BYTES
 
 
-class Part(NamedTuple):
+class ValueChunk(NamedTuple):
     """A piece of a value that is too large to be held whole; the last one ends with the value's CRLF."""
 
     data: bytes
     last: bool
 
 
-class Ask(Enum):
+class ControlCommand(Enum):
     """A bare command."""
 
     READY = "mn"
     LOAD = "stats load"
 
 
-class Bad(NamedTuple):
+class MalformedCommand(NamedTuple):
     """Something that is no command, and the line that answers it."""
 
     line: bytes
     framing_lost: bool
 
 
-Input: TypeAlias = Command | Part | Ask | Bad
+Input: TypeAlias = Command | ValueChunk | ControlCommand | MalformedCommand
 
 
-def bad(why: str, framing_lost: bool = False) -> Bad:
+def client_error(why: str, framing_lost: bool = False) -> MalformedCommand:
     """Return the answer to a malformed command."""
-    return Bad(b"CLIENT_ERROR " + why.encode() + CRLF, framing_lost)
+    return MalformedCommand(b"CLIENT_ERROR " + why.encode() + CRLF, framing_lost)
 
 
 class _Lines:
@@ -119,7 +119,7 @@
     def unread(self) -> int:
         return len(self.buffer) - self.at
 
-    def part(self, left: int) -> Part | None:
+    def part(self, left: int) -> ValueChunk | None:
         """Return what is there of a value of which so many bytes are to come, with its CRLF; None if nothing is.
 
         The CRLF is given only when it is whole; the last part lacks it where the value does not end so.
@@ -127,24 +127,24 @@
         here = min(left, self.unread())
         if here == left:
             data = self.block(left) or b""
-            return Part(data, True)
+            return ValueChunk(data, True)
         data = self.block(max(0, min(here, left - 2))) or b""
-        return Part(data, False) if data else None
+        return ValueChunk(data, False) if data else None
 
 
-def parse_head(head: bytes) -> Command | Bad:
+def parse_head(head: bytes) -> Command | MalformedCommand:
     """Parse the head of an mg or ms; the value is still to come."""
     found = HEAD.fullmatch(head)
     if not found:
-        return bad("bad command line format")
+        return client_error("bad command line format")
     flags = found.start(4)
     rid, listed = FLAG_ID.findall(head, flags), list(FLAG_LIST.finditer(head, flags))
     if len(rid) != 1 or len(listed) != 1:
-        return bad("one O and one P are needed")
+        return client_error("one O and one P are needed")
     begin, text = listed[0].start(1), listed[0].group(1)
     wait = list(WAIT.finditer(text))
     if len(wait) != 1:
-        return bad("one d is needed")
+        return client_error("one d is needed")
     fields = dict(item.partition("=")[::2] for item in text.decode("ascii").split(","))
     place = (begin + wait[0].start(1), begin + wait[0].end(1))
     key = found.group(1) or found.group(2)
@@ -162,7 +162,7 @@
         self._skip = 0  # bytes of the value of an ms that was answered already
         self._lost = False
 
-    def is_midway(self) -> bool:
+    def has_partial_input(self) -> bool:
         """Whether a part of a command has come, and not yet the rest."""
         return self._head is not None or self._skip > 0 or self._left > 0 or self._lines.unread() > 0
 
@@ -172,7 +172,7 @@
             return
         self._lines.add(data)
         while (item := self._next()) is not None:
-            self._lost = isinstance(item, Bad) and item.framing_lost
+            self._lost = isinstance(item, MalformedCommand) and item.framing_lost
             yield item
             if self._lost:
                 self._lines = _Lines()
@@ -186,39 +186,39 @@
                 return None
             self._skip = 0
             if end != CRLF:
-                return bad("bad data chunk", True)
+                return client_error("bad data chunk", True)
         if self._left:
             part = self._lines.part(self._left)
             if part is None:
                 return None
             self._left -= len(part.data)
-            return part if not part.last or part.data.endswith(CRLF) else bad("bad data chunk", True)
+            return part if not part.last or part.data.endswith(CRLF) else client_error("bad data chunk", True)
         if self._head is None:
             line = self._lines.line()
             # Guards memory: a peer that never ends its line is cut off, as is one whose line is too long.
             if line is None:
-                return bad("line too long", True) if self._lines.unread() > MAX_HEAD else None
-            if len(line) > MAX_HEAD:
-                return bad("line too long", True)
+                return client_error("line too long", True) if self._lines.unread() > MAX_HEAD_BYTES else None
+            if len(line) > MAX_HEAD_BYTES:
+                return client_error("line too long", True)
             if line == b"mn":
-                return Ask.READY
+                return ControlCommand.READY
             if line == b"stats load":
-                return Ask.LOAD
+                return ControlCommand.LOAD
             if line.startswith(b"mg "):
                 return parse_head(line)
             if not line.startswith(b"ms "):
-                return Bad(b"ERROR" + CRLF, False)
+                return MalformedCommand(b"ERROR" + CRLF, False)
             length = SET_LENGTH.match(line)
             if length is None:
-                return bad("bad data length", True)  # nobody knows where the value ends
-            if int(length.group(1)) > MAX_VALUE:
-                return bad("value too large", True)
+                return client_error("bad data length", True)  # nobody knows where the value ends
+            if int(length.group(1)) > MAX_VALUE_BYTES:
+                return client_error("value too large", True)
             head = parse_head(line)
-            if isinstance(head, Bad):
+            if isinstance(head, MalformedCommand):
                 self._skip = int(length.group(1)) + 2
                 return head
             head = head._replace(length=int(length.group(1)))
-            if head.in_pieces:
+            if head.is_chunked:
                 self._left = head.length + 2
                 return head
             self._head, self._size = head, head.length + 2
@@ -227,18 +227,18 @@
             return None
         head, self._head = self._head, None
         if not value.endswith(CRLF):
-            return bad("bad data chunk", True)
+            return client_error("bad data chunk", True)
         return head._replace(value=value)
 
 
-def pass_on(command: Command, wait: float) -> tuple[bytes, ...]:
+def forward_command(command: Command, wait: float) -> tuple[bytes, ...]:
     """Return the parts of a command for a cache server: as it came, but for how long we will wait."""
-    begin, end = command.wait_at
+    begin, end = command.timeout_span
     parts = (command.head[:begin], b"%d" % max(1, int(wait)), command.head[end:], CRLF)
     return parts if command.value is None else (*parts, command.value)
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     """What a line of a cache server says."""
 
     VALUE = 1
@@ -254,17 +254,17 @@
 class ServerAnswer(NamedTuple):
     """One answer of a cache server. text is what a client gets of it, in parts; OTHER holds the line."""
 
-    kind: Kind
-    id: bytes = b""
-    text: tuple[bytes, ...] = ()
-    note: str = ""  # "h1", "h0" or "h0 Z"
+    kind: AnswerKind
+    request_id: bytes = b""
+    parts: tuple[bytes, ...] = ()
+    cache_note: str = ""  # "h1", "h0" or "h0 Z"
     load: dict[str, float] | None = None
     length: int = -1  # bytes of its value
 
     @property
-    def in_pieces(self) -> bool:
+    def is_chunked(self) -> bool:
         """Whether its value follows in pieces."""
-        return self.length > MAX_WHOLE
+        return self.length > MAX_UNCHUNKED_BYTES
 
 
 def parse_load(text: bytes) -> dict[str, float] | None:
@@ -289,11 +289,11 @@
         self._left = 0  # the same, of a value in pieces
         self._lost = False
 
-    def is_midway(self) -> bool:
+    def has_partial_input(self) -> bool:
         """Whether there is more than whole answers: a part of one, or what nobody asked for."""
         return self._value is not None or self._left > 0 or self._lines.unread() > 0
 
-    def feed(self, data: bytes) -> Iterator[ServerAnswer | Part]:
+    def feed(self, data: bytes) -> Iterator[ServerAnswer | ValueChunk]:
         """Take in some bytes; give what is whole. After OTHER the connection is of no more use, nor the rest.
 
         Guards against a line that never ends: it was told for ever, as nothing was taken from the buffer.
@@ -302,26 +302,26 @@
             return
         self._lines.add(data)
         while not self._lost and (answer := self._next()) is not None:
-            self._lost = isinstance(answer, ServerAnswer) and answer.kind == Kind.OTHER
+            self._lost = isinstance(answer, ServerAnswer) and answer.kind == AnswerKind.OTHER
             yield answer
 
-    def _next(self) -> ServerAnswer | Part | None:
+    def _next(self) -> ServerAnswer | ValueChunk | None:
         if self._left:
             part = self._lines.part(self._left)
             if part is None:
                 return None
             self._left -= len(part.data)
             spoilt = part.last and not part.data.endswith(CRLF)
-            return ServerAnswer(Kind.OTHER, text=(b"bad data chunk",)) if spoilt else part
+            return ServerAnswer(AnswerKind.OTHER, parts=(b"bad data chunk",)) if spoilt else part
         if self._value is None:
             line = self._lines.line()
-            if line is None or len(line) > MAX_HEAD:
-                too_long = line is not None or self._lines.unread() > MAX_HEAD
-                return ServerAnswer(Kind.OTHER, text=(b"line too long",)) if too_long else None
+            if line is None or len(line) > MAX_HEAD_BYTES:
+                too_long = line is not None or self._lines.unread() > MAX_HEAD_BYTES
+                return ServerAnswer(AnswerKind.OTHER, parts=(b"line too long",)) if too_long else None
             answer = self._line(line)
-            if answer.kind != Kind.VALUE:
+            if answer.kind != AnswerKind.VALUE:
                 return answer
-            if answer.in_pieces:
+            if answer.is_chunked:
                 self._left, self._size = self._size, 0
                 return answer
             self._value = answer
@@ -333,11 +333,11 @@
         answer, self._value, parts = self._value, None, self._parts
         self._parts = []
         if not b"".join(part[-2:] for part in parts[-2:]).endswith(CRLF):
-            return ServerAnswer(Kind.OTHER, text=(b"bad data chunk",))
-        return answer._replace(text=(*answer.text, *parts))
+            return ServerAnswer(AnswerKind.OTHER, parts=(b"bad data chunk",))
+        return answer._replace(parts=(*answer.parts, *parts))
 
     def _line(self, line: bytes) -> ServerAnswer:
-        other = ServerAnswer(Kind.OTHER, text=(line[:80],))
+        other = ServerAnswer(AnswerKind.OTHER, parts=(line[:80],))
         words = line.split(b" ")
         load = None
         if len(words) > 1 and words[-1][:1] == b"L":
@@ -350,17 +350,17 @@
         else:
             return self._plain_line(words, load) or other
         ids, receipts = [w for w in flags if w[:1] == b"O"], [w for w in flags if w[:1] == b"c"]
-        if len(ids) != 1 or size > MAX_VALUE:
+        if len(ids) != 1 or size > MAX_VALUE_BYTES:
             return other
         rid = ids[0]
         hits = [w for w in flags if w in (b"h0", b"h1")]
         note = hits[0].decode() + (" Z" if b"Z" in flags else "") if hits else ""
         if size >= 0:
             self._size = size + 2
-            return ServerAnswer(Kind.VALUE, rid[1:], (b"VA %d %b\r\n" % (size, rid),), note, load, size)
+            return ServerAnswer(AnswerKind.VALUE, rid[1:], (b"VA %d %b\r\n" % (size, rid),), note, load, size)
         if len(receipts) != 1 or not RECEIPT.fullmatch(receipts[0]):
             return other
-        return ServerAnswer(Kind.RECEIPT, rid[1:], (b"HD %b %b\r\n" % (rid, receipts[0]),), note, load)
+        return ServerAnswer(AnswerKind.RECEIPT, rid[1:], (b"HD %b %b\r\n" % (rid, receipts[0]),), note, load)
 
     def _plain_line(self, words: list[bytes], load: dict[str, float] | None) -> ServerAnswer | None:
         """Read a line that holds no value and no receipt; None if it says nothing we know.
@@ -373,15 +373,15 @@
             and words[1:2] == [b"busy"]
             and (len(words) == 2 or (len(words) == 3 and BUSY_PAUSE.fullmatch(words[2])))
         ):
-            return ServerAnswer(Kind.BUSY, load=load)
+            return ServerAnswer(AnswerKind.BUSY, load=load)
         if words == [b"SERVER_ERROR", b"failed"]:
-            return ServerAnswer(Kind.FAILED, load=load)
+            return ServerAnswer(AnswerKind.FAILED, load=load)
         if words == [b"MN"]:
-            return ServerAnswer(Kind.READY, load=load)
+            return ServerAnswer(AnswerKind.READY, load=load)
         if words == [b"END"]:
-            return ServerAnswer(Kind.END)
+            return ServerAnswer(AnswerKind.END)
         if first == b"STAT" and len(words) == 3:
-            return ServerAnswer(Kind.STAT, load=parse_load(words[1] + b"=" + words[2]))
+            return ServerAnswer(AnswerKind.STAT, load=parse_load(words[1] + b"=" + words[2]))
         return None
 
 
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -148,8 +148,8 @@
         elif isinstance(job.request.payload, meta.Command):
             wait = job.deadline - self.fleet.clock.now()
             if job.request.body is not None:  # its time runs from its last byte, which is still to come
-                wait = min(wait, job.request.payload.wait, job.request.request_class.deadline)
-            writer.writelines(meta.pass_on(job.request.payload, wait))
+                wait = min(wait, job.request.payload.timeout_ms, job.request.request_class.deadline)
+            writer.writelines(meta.forward_command(job.request.payload, wait))
             if job.request.body is None:
                 self.fleet.router.telemetry.backend_calls += 1
             else:
@@ -193,7 +193,7 @@
             elapsed = self.fleet.clock.now() - job.sent_at
             self.fleet.router.mailbox.must_put(HealthCheckResult(self.number, result, elapsed, report))
         else:
-            note = NOTES.get(answer.note, CacheStatus.NONE) if answer is not None else CacheStatus.NONE
+            note = NOTES.get(answer.cache_note, CacheStatus.NONE) if answer is not None else CacheStatus.NONE
             self.fleet.router.mailbox.must_put(AttemptEnded(job, result, note, report, answer, pipe))
 
     def _stalled(self, connection: Connection, sure: bool, due: float) -> None:
@@ -203,8 +203,8 @@
         """
         connection.stall = None
         if not sure or self._is_ours(due):
-            self.reader.await_rest(connection, connection.parser.is_midway(), sure=True)
-        elif not connection.closed and connection.parser.is_midway():
+            self.reader.await_rest(connection, connection.parser.has_partial_input(), sure=True)
+        elif not connection.closed and connection.parser.has_partial_input():
             self.fleet.counters.increment("servers.stalled")
             if connection.busy is not None:
                 self.report(connection.busy, AttemptResult.RESET)
@@ -226,16 +226,16 @@
     ) -> None:
         command, kind = job.request.payload, answer.kind
         # A spoilt answer is a broken connection to the module: only the server's own word is its error.
-        result = AttemptResult.ERROR if kind == meta.Kind.FAILED else AttemptResult.RESET
-        if kind == meta.Kind.BUSY:
+        result = AttemptResult.ERROR if kind == meta.AnswerKind.FAILED else AttemptResult.RESET
+        if kind == meta.AnswerKind.BUSY:
             # Guards the never-twice rule: right behind an answer it may be a stray line, and prove nothing.
             doubtful = job.request.is_write and connection.written_at - connection.answered_at < DOUBT
             result = AttemptResult.RESET if doubtful else AttemptResult.FULL
-        elif kind in (meta.Kind.VALUE, meta.Kind.RECEIPT):
-            fits = isinstance(command, meta.Command) and command.id == answer.id
-            if fits and job.request.is_write == (kind == meta.Kind.RECEIPT):
+        elif kind in (meta.AnswerKind.VALUE, meta.AnswerKind.RECEIPT):
+            fits = isinstance(command, meta.Command) and command.request_id == answer.request_id
+            if fits and job.request.is_write == (kind == meta.AnswerKind.RECEIPT):
                 result = AttemptResult.OK
-        if result == AttemptResult.RESET and kind != meta.Kind.BUSY:
+        if result == AttemptResult.RESET and kind != meta.AnswerKind.BUSY:
             # Not an answer to what was asked: nobody knows what the next one on this connection would answer.
             self.fleet.counters.increment("servers.bad_answers")
             if self.fleet.counters["servers.bad_answers"] <= MAX_LOGGED:
@@ -243,7 +243,7 @@
                     "bad-answer",
                     server=f"{connection.address[0]}:{connection.address[1]}",
                     kind=kind.name,
-                    says=repr(b"".join(answer.text)[:80]),
+                    says=repr(b"".join(answer.parts)[:80]),
                 )
             self.report(job, result)
             self.pool.discard(connection)
@@ -259,14 +259,14 @@
             self.pool.deliver(connection)  # Delivered comes behind it
 
     def _probed(self, connection: Connection, job: Probing, answer: meta.ServerAnswer) -> None:
-        if answer.kind == meta.Kind.STAT:
+        if answer.kind == meta.AnswerKind.STAT:
             job.fields.update(answer.load or {})
             return
-        fine = answer.kind in (meta.Kind.END, meta.Kind.READY)
+        fine = answer.kind in (meta.AnswerKind.END, meta.AnswerKind.READY)
         if answer.load:
             job.fields.update(answer.load)
         self.report(job, AttemptResult.OK if fine else AttemptResult.ERROR)
-        self.pool.keep(connection) if answer.kind != meta.Kind.OTHER else self.pool.discard(connection)
+        self.pool.keep(connection) if answer.kind != meta.AnswerKind.OTHER else self.pool.discard(connection)
 
     def _broken(self, connection: Connection) -> None:
         job = connection.busy
--- a/starlingthread/net/upstreams/opening.py
+++ b/starlingthread/net/upstreams/opening.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ...core.deadlines import Deadline
-from ..streams import read_at_most
+from ..streams import limit_read_size
 from .connection import Connection, Job
 from .messages import ConnectLate, Opened
 from .pool import Pool
@@ -44,7 +44,7 @@
         address = self.pool.address
         try:
             reader, writer = await asyncio.open_connection(*address, limit=READ)
-            read_at_most(writer, READ)
+            limit_read_size(writer, READ)
         except OSError:
             self.tell(Opened(job, None))
         else:
--- a/starlingthread/net/upstreams/reader.py
+++ b/starlingthread/net/upstreams/reader.py
@@ -42,7 +42,7 @@
             self.fleet.deadlines.clear(connection.stall)
             connection.stall = None
             await pipe.until_not_full()
-            self.await_rest(connection, connection.parser.is_midway(), sure=False)
+            self.await_rest(connection, connection.parser.has_partial_input(), sure=False)
         return not pipe.abandoned
 
     def heard(self, connection: Connection, data: bytes) -> bool:
@@ -55,19 +55,19 @@
             if not connection.owed:
                 connection.spoilt = True
                 break
-            if isinstance(item, meta.Part):
+            if isinstance(item, meta.ValueChunk):
                 self._part(connection, item)
                 continue
             # Of STAT the END is still to come, and of a value in pieces the pieces.
-            connection.owed = item.kind == meta.Kind.STAT or item.in_pieces
+            connection.owed = item.kind == meta.AnswerKind.STAT or item.is_chunked
             if connection.pipe is not None:
                 # What came instead of the value's end is no answer: the value has broken off.
                 connection.spoilt = True
                 connection.pipe.finish(False)
                 break
-            connection.pipe = Pipe(self.fleet.budget) if item.in_pieces else None
+            connection.pipe = Pipe(self.fleet.budget) if item.is_chunked else None
             self.tell(Answered(connection, item, connection.pipe))
-        midway = connection.parser.is_midway()
+        midway = connection.parser.has_partial_input()
         if midway and not connection.owed:
             connection.spoilt = True
         if connection.spoilt:
@@ -77,7 +77,7 @@
             self.await_rest(connection, midway, sure=False)
         return True
 
-    def _part(self, connection: Connection, part: meta.Part) -> None:
+    def _part(self, connection: Connection, part: meta.ValueChunk) -> None:
         """Take in a piece of a value."""
         assert connection.pipe is not None
         connection.pipe.put(part.data)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -20,7 +20,7 @@
         now.actor.answer(second, Rejected(250.0))
         await now.settle()
         assert not now.writer.transport.sent
-        value = meta.ServerAnswer(meta.Kind.VALUE, b"1", (b"VA 1 O1\r\n", b"x\r\n"))
+        value = meta.ServerAnswer(meta.AnswerKind.VALUE, b"1", (b"VA 1 O1\r\n", b"x\r\n"))
         now.actor.answer(first, Served(value))
         now.actor.answer(first, Failed())  # a second answer is not sent
 
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from starlingthread.net import meta
-from starlingthread.net.meta import Ask, Bad, Command, Kind
+from starlingthread.net.meta import AnswerKind, Command, ControlCommand, MalformedCommand
 
 T = TypeVar("T")
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
@@ -62,9 +62,9 @@
     assert len(found) == len(sent)
     for item, text in zip(found, sent, strict=True):
         assert isinstance(item, Command)
-        begin, end = item.wait_at
-        assert b"".join(meta.pass_on(item, 77.9)) == text[:begin] + b"77" + text[end:]
-        assert item.wait == float(text[begin:end])
+        begin, end = item.timeout_span
+        assert b"".join(meta.forward_command(item, 77.9)) == text[:begin] + b"77" + text[end:]
+        assert item.timeout_ms == float(text[begin:end])
 
 
 @FIXED
@@ -73,10 +73,10 @@
     data = b"".join(sent)
     several: list[Any] = cut(meta.AnswerParser().feed, data, places)
     at_once: list[Any] = list(meta.AnswerParser().feed(data))
-    found = [a._replace(text=(b"".join(a.text),)) for a in several]
-    assert found == [a._replace(text=(b"".join(a.text),)) for a in at_once]
-    assert Kind.OTHER not in {a.kind for a in found}
-    assert len([a for a in found if a.kind != Kind.STAT]) == len(sent)
+    found = [a._replace(parts=(b"".join(a.parts),)) for a in several]
+    assert found == [a._replace(parts=(b"".join(a.parts),)) for a in at_once]
+    assert AnswerKind.OTHER not in {a.kind for a in found}
+    assert len([a for a in found if a.kind != AnswerKind.STAT]) == len(sent)
 
 
 GARBAGE = st.lists(
@@ -95,18 +95,18 @@
     data = b"".join(parts)
     asked, answered = meta.CommandParser(), meta.AnswerParser()
     for item in cut(asked.feed, data, places):
-        if isinstance(item, Bad):
+        if isinstance(item, MalformedCommand):
             assert item.line.endswith(b"\r\n")
             assert item.line.startswith((b"CLIENT_ERROR", b"ERROR"))
     cut(answered.feed, data, places)
-    assert asked._lines.unread() <= meta.MAX_VALUE + meta.MAX_HEAD
+    assert asked._lines.unread() <= meta.MAX_VALUE_BYTES + meta.MAX_HEAD_BYTES
 
 
 @FIXED
 @given(st.binary(max_size=60).filter(lambda b: b"\r\n" not in b))
 def test_a_line_that_never_ends_is_cut_off(start: bytes) -> None:
-    items = list(meta.CommandParser().feed(start.replace(b"\r", b"x") + b"a" * meta.MAX_HEAD))
-    assert len(items) <= 1 and all(isinstance(i, Bad) and i.framing_lost for i in items)
+    items = list(meta.CommandParser().feed(start.replace(b"\r", b"x") + b"a" * meta.MAX_HEAD_BYTES))
+    assert len(items) <= 1 and all(isinstance(i, MalformedCommand) and i.framing_lost for i in items)
     assert items or len(start) == 0
 
 
@@ -128,34 +128,36 @@
 def test_bad_commands(line: bytes, lost: bool) -> None:
     parser = meta.CommandParser()
     (item,) = parser.feed(line)
-    assert isinstance(item, Bad) and item.framing_lost == lost
-    assert list(parser.feed(b"mn\r\n")) == ([] if lost else [Ask.READY])
+    assert isinstance(item, MalformedCommand) and item.framing_lost == lost
+    assert list(parser.feed(b"mn\r\n")) == ([] if lost else [ControlCommand.READY])
 
 
 def test_a_hopeless_head_is_answered_before_its_value_and_the_value_is_no_command() -> None:
     """Guards memory and the three seconds in which such a client is owed an answer."""
     parser, value = meta.CommandParser(), b"mn\r\n" * 2500
     (item,) = parser.feed(b"ms k 10000 O1 Pc=put,d=soon\r\n")
-    assert isinstance(item, Bad) and not item.framing_lost
+    assert isinstance(item, MalformedCommand) and not item.framing_lost
     assert [i for n in range(0, 10000, 900) for i in parser.feed(value[n : n + 900])] == []
-    assert parser.is_midway() and parser._lines.unread() == 0
-    assert list(parser.feed(b"\r\nmn\r\n")) == [Ask.READY] and not parser.is_midway()
+    assert parser.has_partial_input() and parser._lines.unread() == 0
+    assert list(parser.feed(b"\r\nmn\r\n")) == [ControlCommand.READY] and not parser.has_partial_input()
 
 
 def test_what_an_answer_tells() -> None:
     line = b"VA 5 O9b1f h1 Linflight=7,queue=2,util=0.61\r\nhello\r\n"
     answer: Any
     (answer,) = meta.AnswerParser().feed(line)
-    assert (answer.kind, answer.id, answer.note) == (Kind.VALUE, b"9b1f", "h1")
+    assert (answer.kind, answer.request_id, answer.cache_note) == (AnswerKind.VALUE, b"9b1f", "h1")
     assert answer.load == {"inflight": 7.0, "queue": 2.0, "util": 0.61}
-    assert b"".join(answer.text) == b"VA 5 O9b1f\r\nhello\r\n"
+    assert b"".join(answer.parts) == b"VA 5 O9b1f\r\nhello\r\n"
     receipt: Any
     (receipt,) = meta.AnswerParser().feed(b"HD O9b1f c77 h0\r\n")
-    assert b"".join(receipt.text) == b"HD O9b1f c77\r\n"
+    assert b"".join(receipt.parts) == b"HD O9b1f c77\r\n"
 
 
-PIECES = st.lists(st.integers(1, 40).map(lambda n: Random(n).randbytes(meta.MAX_WHOLE + n)), min_size=1, max_size=2)
-FAR = st.lists(st.integers(0, 3 * meta.MAX_WHOLE), max_size=12)
+PIECES = st.lists(
+    st.integers(1, 40).map(lambda n: Random(n).randbytes(meta.MAX_UNCHUNKED_BYTES + n)), min_size=1, max_size=2
+)
+FAR = st.lists(st.integers(0, 3 * meta.MAX_UNCHUNKED_BYTES), max_size=12)
 
 
 @FIXED
@@ -166,14 +168,14 @@
     sent = b"".join(head % len(v) + b"\r\n" + v + b"\r\n" for v in values)
     parser: meta.CommandParser | meta.AnswerParser = meta.CommandParser() if up else meta.AnswerParser()
     found = cut(parser.feed, sent, places)
-    assert not parser.is_midway()
+    assert not parser.has_partial_input()
     for value in values:
         begun = found.pop(0)
-        assert isinstance(begun, Command | meta.ServerAnswer) and begun.in_pieces and begun.length == len(value)
+        assert isinstance(begun, Command | meta.ServerAnswer) and begun.is_chunked and begun.length == len(value)
         got = b""
         while not got.endswith(b"\r\n") or len(got) < len(value) + 2:
             part = found.pop(0)
-            assert isinstance(part, meta.Part) and part.data
+            assert isinstance(part, meta.ValueChunk) and part.data
             got += part.data
             assert part.last == (len(got) == len(value) + 2)
         assert got == value + b"\r\n"
@@ -182,12 +184,12 @@
 
 @pytest.mark.parametrize("up", [True, False])
 def test_a_large_value_that_does_not_end_as_it_said_is_never_whole(up: bool) -> None:
-    value = b"v" * (meta.MAX_WHOLE + 1)
+    value = b"v" * (meta.MAX_UNCHUNKED_BYTES + 1)
     head = b"ms k %d O1 Pc=put,d=9\r\n" if up else b"VA %d O1\r\n"
     parser: meta.CommandParser | meta.AnswerParser = meta.CommandParser() if up else meta.AnswerParser()
     found: list[Any] = list(parser.feed(head % len(value) + value + b"xy" + head % 1))
-    assert isinstance(found[-1], Bad) if up else found[-1].kind == Kind.OTHER
-    assert not any(p.last for p in found if isinstance(p, meta.Part)) and list(parser.feed(b"mn\r\n")) == []
+    assert isinstance(found[-1], MalformedCommand) if up else found[-1].kind == AnswerKind.OTHER
+    assert not any(p.last for p in found if isinstance(p, meta.ValueChunk)) and list(parser.feed(b"mn\r\n")) == []
 
 
 @pytest.mark.parametrize(
@@ -210,7 +212,7 @@
 )
 def test_bad_answers(line: bytes) -> None:
     found: list[Any] = list(meta.AnswerParser().feed(line))
-    assert [a.kind for a in found] == [Kind.OTHER]
+    assert [a.kind for a in found] == [AnswerKind.OTHER]
 
 
 def test_a_refusal_says_when_to_come_back() -> None:
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -28,7 +28,7 @@
 from .test_router import Place
 from .world import THROUGH, World, answers, only_send, sends
 
-LONG = meta.MAX_WHOLE + 5000
+LONG = meta.MAX_UNCHUNKED_BYTES + 5000
 VALUE = bytes(n % 251 for n in range(LONG))
 PUT = b"ms a %d O1 Pc=keyed,d=500,k=1\r\n" % LONG
 GOT = b"VA %d O1 h1\r\n" % LONG
@@ -191,7 +191,7 @@
     (asked,) = await now.settle()
     pipe = Pipe(now.front.budget)
     pipe.put(piece)
-    answer = meta.ServerAnswer(meta.Kind.VALUE, b"1", (GOT,), length=LONG)
+    answer = meta.ServerAnswer(meta.AnswerKind.VALUE, b"1", (GOT,), length=LONG)
     now.actor.answer(asked.request, Served(answer, pipe))
     await now.settle()
     assert bytes(now.writer.transport.sent) == GOT + piece
