--- a/starlingthread/handover/__init__.py
+++ b/starlingthread/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Upgrades: two processes that are one router for a while."""
+"""Socket handover: during an upgrade an old process passes its listening sockets on to a new one."""
--- a/starlingthread/handover/actor.py
+++ b/starlingthread/handover/actor.py
@@ -1,4 +1,4 @@
-"""The actor that holds both ends of an upgrade: towards an old process, and towards a new one."""
+"""Both sides of a socket handover: towards the old process (predecessor) and towards a new one (successor)."""
 
 from __future__ import annotations
 
@@ -12,151 +12,164 @@
 from ..core.counters import Counters
 from ..core.watcher import Watcher
 from ..logs import log
-from .channel import MAX_LINE, Door, Inheritance, Word, bequeath
+from .channel import MAX_LINE, HandoverListener, HandoverStatus, InheritedSockets, send_offer
 
 
 class ServingProcess(Protocol):
-    """What is shared while two processes are one router."""
+    """The resources of a process that it shares with another one during a handover."""
 
     def sockets(self) -> dict[str, socket.socket]:
-        """Return the sockets that a new process goes on with, by address."""
+        """Return the listening sockets to hand over, by use and address."""
 
-    def apply_resource_share(self, part: float) -> None:
-        """Hold no more than this part of what the limits give."""
+    def apply_resource_share(self, share: float) -> None:
+        """Use at most this part, 0 to 1, of the configured limits."""
 
     def pause_accepting(self) -> None:
-        """A new process takes the connections from now on: accept no more."""
+        """Stop accepting: the successor accepts on the same sockets from now on."""
 
     def resume_accepting(self) -> None:
-        """The new process has gone before its time: accept again."""
+        """Accept again: the successor has ended before this process did."""
 
 
 class Handover:
-    """One per process. It is the heir of the process before it, and bequeaths to the one after it."""
+    """One process's handovers: it takes over from its predecessor, and hands over to one successor at a time.
+
+    Predecessor and successor use half of the resource limits each while both live. When either ends, the other doubles
+    its share.
+    """
 
     def __init__(
         self,
-        estate: ServingProcess,
+        process: ServingProcess,
         watcher: Watcher,
         counters: Counters,
         folder: Path | None,
-        inheritance: Inheritance | None,
+        inherited: InheritedSockets | None,
     ) -> None:
-        self.estate, self.watcher, self.counters, self.folder = estate, watcher, counters, folder
-        self.inheritance = inheritance
-        self.resource_share = inheritance.share if inheritance is not None else 1.0
-        self.given_way = False  # a new process serves in our place
-        self._elder: asyncio.StreamWriter | None = None
-        self._heir: asyncio.StreamWriter | None = None
-        self._has_heir = False
-        self._door: Door | None = None
-
-    # as the new process
+        self.process = process
+        self.watcher = watcher
+        self.counters = counters
+        self.folder = folder  # None: no handover to a successor
+        self.inherited = inherited
+        self.resource_share = inherited.resource_share if inherited is not None else 1.0
+        self.has_yielded = False  # the successor accepts connections in place of this process
+        self._predecessor: asyncio.StreamWriter | None = None
+        self._successor: asyncio.StreamWriter | None = None
+        self._has_successor = False
+        self._listener: HandoverListener | None = None
+
+    # towards the predecessor
 
     async def start(self) -> None:
-        """Listen for the old process's end, where there is one."""
-        if self.inheritance is not None:
-            reader, self._elder = await asyncio.open_connection(sock=self.inheritance.channel, limit=MAX_LINE)
-            self.watcher.start(self._await_end(reader), "handover-elder", lambda _: self._alone())
+        """Watch the predecessor, if there is one, for its end."""
+        if self.inherited is not None:
+            reader, self._predecessor = await asyncio.open_connection(sock=self.inherited.channel, limit=MAX_LINE)
+            self.watcher.start(
+                self._await_predecessor_end(reader), "handover-elder", lambda _: self._on_predecessor_gone()
+            )
+
+    def on_serving(self) -> None:
+        """Notify the predecessor that this process accepts connections, and wait for a successor."""
+        if self._predecessor is not None:
+            self._predecessor.write(msgspec.json.encode(HandoverStatus(serving=True)) + b"\n")
+        self._start_listening()
 
-    async def _await_end(self, reader: asyncio.StreamReader) -> None:
+    async def _await_predecessor_end(self, reader: asyncio.StreamReader) -> None:
         try:
             while await reader.read(MAX_LINE):
                 pass
         except OSError:
             pass
-        self._alone()
+        self._on_predecessor_gone()
 
-    def _alone(self) -> None:
-        if self._elder is not None:
-            self._elder.transport.abort()
-            self._elder = None
-            self._grow("elder-gone")
+    def _on_predecessor_gone(self) -> None:
+        if self._predecessor is not None:
+            self._predecessor.transport.abort()
+            self._predecessor = None
+            self._double_resource_share("elder-gone")
 
-    def _grow(self, event: str) -> None:
+    def _double_resource_share(self, log_event: str) -> None:
         self.resource_share = min(1.0, self.resource_share * 2)
-        log.info(event, share=self.resource_share)
-        self.estate.apply_resource_share(self.resource_share)
+        log.info(log_event, share=self.resource_share)
+        self.process.apply_resource_share(self.resource_share)
 
-    def on_serving(self) -> None:
-        """Tell the old process that we take connections from now on, and be there for the next new one."""
-        if self._elder is not None:
-            self._elder.write(msgspec.json.encode(Word(serving=True)) + b"\n")
-        self._open_door()
+    # towards a successor
 
-    def _open_door(self) -> None:
+    def _start_listening(self) -> None:
         if self.folder is None:
             return
         try:
-            self._door = Door(self.folder)
+            self._listener = HandoverListener(self.folder)
         except (OSError, AttributeError) as error:
-            # No upgrade by handover then; a new process binds beside us.
+            # No handover then: a new process binds its own sockets beside these.
             log.info("handover-off", why=repr(error))
             return
-        asyncio.get_running_loop().add_reader(self._door.socket.fileno(), self._knock)
+        asyncio.get_running_loop().add_reader(self._listener.socket.fileno(), self._accept_successor)
 
-    # as the old process
+    def _stop_listening(self) -> None:
+        if self._listener is not None:
+            asyncio.get_running_loop().remove_reader(self._listener.socket.fileno())
+            self._listener.close()
+            self._listener = None
 
-    def _knock(self) -> None:
-        """Take in a new process. One at a time: two could not share one half."""
-        assert self._door is not None
+    def _accept_successor(self) -> None:
+        """Hand over to a new process. Only one at a time, as a second one would need a part of the same half."""
+        assert self._listener is not None
         try:
-            channel, _ = self._door.socket.accept()
+            channel, _ = self._listener.socket.accept()
         except OSError:
             return
-        if self._has_heir:
+        if self._has_successor:
             channel.close()
             return
         channel.setblocking(False)
         try:
-            bequeath(channel, self.resource_share / 2, self.estate.sockets())
+            send_offer(channel, self.resource_share / 2, self.process.sockets())
         except OSError as error:
             channel.close()
             log.warning("handover-failed", why=repr(error))
             return
-        self._has_heir = True
+        self._has_successor = True
         self.counters.increment("handovers.begun")
         self.resource_share /= 2
         log.info("heir-came", share=self.resource_share)
-        self.estate.apply_resource_share(self.resource_share)
-        self.watcher.start(self._hear(channel), "handover-heir", lambda _: self._heirless())
+        self.process.apply_resource_share(self.resource_share)
+        self.watcher.start(self._follow_successor(channel), "handover-heir", lambda _: self._on_successor_gone())
 
-    async def _hear(self, channel: socket.socket) -> None:
-        """Follow what a new process says until it ends."""
-        reader, self._heir = await asyncio.open_connection(sock=channel, limit=MAX_LINE)
+    async def _follow_successor(self, channel: socket.socket) -> None:
+        """Read the successor's status lines until it ends."""
+        reader, self._successor = await asyncio.open_connection(sock=channel, limit=MAX_LINE)
         try:
             while line := await reader.readline():
-                if msgspec.json.decode(line, type=Word).serving and not self.given_way:
-                    self.given_way = True
+                status = msgspec.json.decode(line, type=HandoverStatus)
+                if status.serving and not self.has_yielded:
+                    self.has_yielded = True
                     log.info("gave-way")
-                    self.estate.pause_accepting()
+                    self.process.pause_accepting()
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             log.warning("handover-failed", why=repr(error))
-        self._heirless()
+        self._on_successor_gone()
 
-    def _heirless(self) -> None:
-        """The new process has gone: all is as before, whether it had begun to serve or not."""
-        if not self._has_heir:
+    def _on_successor_gone(self) -> None:
+        """Return to the state before the handover, whether the successor had begun to serve or not."""
+        if not self._has_successor:
             return
-        self._has_heir = False
-        if self._heir is not None:
-            self._heir.transport.abort()
-            self._heir = None
-        self._grow("heir-gone")
-        if self.given_way:
-            self.given_way = False
-            # The name is the dead process's by now: the next new one would find nobody behind it.
-            self._shut_door()
-            self._open_door()
-            self.estate.resume_accepting()
+        self._has_successor = False
+        if self._successor is not None:
+            self._successor.transport.abort()
+            self._successor = None
+        self._double_resource_share("heir-gone")
+        if self.has_yielded:
+            self.has_yielded = False
+            # The successor took the socket's name over, and the next new process would find no listener behind it.
+            self._stop_listening()
+            self._start_listening()
+            self.process.resume_accepting()
 
     def close(self) -> None:
-        """Give back what we hold. The channels end with the process, as its descriptors count until then."""
-        self._shut_door()
-        self.folder = None
+        """Stop waiting for a successor.
 
-    def _shut_door(self) -> None:
-        if self._door is not None:
-            asyncio.get_running_loop().remove_reader(self._door.socket.fileno())
-            self._door.close()
-            self._door = None
+        The channels stay open until the process ends, as its descriptors count against the limits until then.
+        """
+        self._stop_listening()
+        self.folder = None
--- a/starlingthread/net/management.py
+++ b/starlingthread/net/management.py
@@ -1,7 +1,7 @@
-"""Where operators call: a small HTTP/1.1 front that h11 parses, one call to a connection.
+"""The management interface for operators: a small HTTP/1.1 server on h11, one request to a connection.
 
-It has descriptors of its own and never waits for clients. Whoever holds a connection without a whole call loses it when
-another caller needs the place, and after a time in any case.
+It has descriptors of its own and never waits for clients. A connection without a complete request is closed when
+another one needs its place, and after :data:`REQUEST_TIMEOUT_MS` in any case.
 """
 
 from __future__ import annotations
@@ -20,177 +20,207 @@
 from ..core.deadlines import Deadlines
 from ..core.watcher import Watcher
 
-READ = 4096  # bytes read at once
-MAX_HEAD = 8192  # bytes of a call's head
-MAX_BODY = 65536  # bytes of a body, which no call needs: it is read and dropped
-WHOLE = 6000.0  # ms in which a call must be whole
-GO = 500.0  # ms in which the answer must have left
-LINGER = 200.0  # ms for which we read on behind a refusal, so that a caller still sending hears it
+READ_SIZE = 4096  # bytes
+MAX_HEAD = 8192  # bytes of a request's head
+MAX_BODY = 65536  # bytes of a request's body, which is read and ignored
+REQUEST_TIMEOUT_MS = 6000.0  # from the connection's start to the complete request
+RESPONSE_TIMEOUT_MS = 500.0  # for the response to be sent
+LINGER_MS = 200.0  # reading goes on for this long after the response, so that a caller still sending receives it
 BACKLOG = 128
-MEMBER = "member"
 
+READY = "/api/ready"
+TELEMETRY = "/api/telemetry"
+EXCLUDE = "/api/exclude"
+INCLUDE = "/api/include"
+METHODS = {READY: "GET", TELEMETRY: "GET", EXCLUDE: "POST", INCLUDE: "POST"}
+MEMBER = "member"  # the query parameter that names a cache server
 
-class Reply(NamedTuple):
-    """A status and what is told with it."""
+
+class Response(NamedTuple):
+    """The status and the body, to be encoded as JSON, of a response."""
 
     status: HTTPStatus
     body: object
 
 
 class RouterControl(Protocol):
-    """What calls are carried out by."""
+    """The operations of a router that operators can request."""
 
     def ready(self) -> bool:
-        """Tell whether this process is ready to serve."""
+        """Return whether this process is ready to serve."""
 
     def snapshot(self) -> dict[str, object]:
-        """Return the figures."""
+        """Return the telemetry."""
 
     def exclude(self, name: str) -> bool:
-        """Leave a cache server out; False if there is none of that id."""
+        """Put a cache server in maintenance; return False if the name is unknown."""
 
     def include(self, name: str) -> bool:
-        """Let a cache server serve again; False if there is none of that id."""
-
-
-def reply(desk: RouterControl, method: str, target: str) -> Reply:
-    """Carry out one call."""
-    parts = urlsplit(target)
-    path = parts.path
-    methods = {"/api/ready": "GET", "/api/telemetry": "GET", "/api/exclude": "POST", "/api/include": "POST"}
-    if path not in methods:
-        return _no(HTTPStatus.NOT_FOUND, "no such path")
-    if method != methods[path]:
-        return _no(HTTPStatus.METHOD_NOT_ALLOWED, f"{methods[path]} only")
-    if path == "/api/ready":
-        yes = desk.ready()
-        return Reply(HTTPStatus.OK if yes else HTTPStatus.SERVICE_UNAVAILABLE, {"ready": yes})
-    if path == "/api/telemetry":
-        return Reply(HTTPStatus.OK, desk.snapshot())
-    named = [value for name, value in parse_qsl(parts.query, keep_blank_values=True) if name == MEMBER]
-    if len(named) != 1 or not named[0]:
-        return _no(HTTPStatus.BAD_REQUEST, "one member is needed")
-    done = desk.exclude(named[0]) if path == "/api/exclude" else desk.include(named[0])
-    if not done:
-        return _no(HTTPStatus.NOT_FOUND, "no such member")
-    return Reply(HTTPStatus.OK, {MEMBER: named[0], "excluded": path == "/api/exclude"})
-
-
-def _no(status: HTTPStatus, why: str) -> Reply:
-    return Reply(status, {"error": why})
-
-
-class Call:
-    """One caller's connection."""
-
-    def __init__(self, management: Management, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.management, self.reader, self.writer = management, reader, writer
+        """End a cache server's maintenance; return False if the name is unknown."""
+
+
+def handle_request(control: RouterControl, method: str, target: str) -> Response:
+    """Perform one request and return the response."""
+    url = urlsplit(target)
+    path = url.path
+    if path not in METHODS:
+        return _error(HTTPStatus.NOT_FOUND, "no such path")
+    if method != METHODS[path]:
+        return _error(HTTPStatus.METHOD_NOT_ALLOWED, f"{METHODS[path]} only")
+    if path == READY:
+        is_ready = control.ready()
+        return Response(HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE, {"ready": is_ready})
+    if path == TELEMETRY:
+        return Response(HTTPStatus.OK, control.snapshot())
+    return _set_maintenance(control, url.query, excluded=path == EXCLUDE)
+
+
+def _set_maintenance(control: RouterControl, query: str, excluded: bool) -> Response:
+    names = [value for name, value in parse_qsl(query, keep_blank_values=True) if name == MEMBER]
+    if len(names) != 1 or not names[0]:
+        return _error(HTTPStatus.BAD_REQUEST, "one member is needed")
+    is_known = control.exclude(names[0]) if excluded else control.include(names[0])
+    if not is_known:
+        return _error(HTTPStatus.NOT_FOUND, "no such member")
+    return Response(HTTPStatus.OK, {MEMBER: names[0], "excluded": excluded})
+
+
+def _error(status: HTTPStatus, reason: str) -> Response:
+    return Response(status, {"error": reason})
+
+
+def _encode(response: Response) -> bytes:
+    body = msgspec.json.encode(response.body) + b"\n"
+    head = (
+        f"HTTP/1.1 {int(response.status)} {response.status.phrase}\r\nContent-Type: application/json\r\n"
+        f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
+    )
+    return head.encode("ascii") + body
+
+
+class ManagementConnection:
+    """One operator's connection, for one request."""
+
+    def __init__(self, server: ManagementServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.server = server
+        self.reader = reader
+        self.writer = writer
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
-        self.since = management.clock.now()
-        self.answered = False
+        self.began_at = server.clock.now()
+        self.is_answered = False
 
     async def run(self) -> None:
-        """Read one call, answer it, close."""
-        limit = self.management.deadlines.set(self.since + WHOLE, self.cut)
+        """Read one request, respond and close."""
+        timeout = self.server.deadlines.set(self.began_at + REQUEST_TIMEOUT_MS, self.abort)
         try:
-            said = await self._listen()
-            if said is not None:
-                await self._say(said)
+            response = await self._read_request()
+            if response is not None:
+                await self._send(response)
         except OSError:
-            self.management.counters.increment("management.reset")
+            self.server.counters.increment("management.reset")
         finally:
-            self.management.deadlines.clear(limit)
-            self.management.calls.pop(self, None)
-            self.writer.transport.abort()  # what was written has been flushed, or was given up
-
-    async def _listen(self) -> Reply | None:
-        """Return what a whole call is answered, or what is no call; None if the caller left."""
-        asked: h11.Request | None = None
-        body = 0
+            self.server.deadlines.clear(timeout)
+            self.server.connections.pop(self, None)
+            self.writer.transport.abort()  # the response has been flushed, or was given up
+
+    async def _read_request(self) -> Response | None:
+        """Return the response to the request, or to what is no valid request; None if the caller left."""
+        request: h11.Request | None = None
+        body_size = 0
         try:
             while True:
                 event = self.http.next_event()
                 if event is h11.NEED_DATA:
-                    data = await self.reader.read(READ)
-                    if not data and asked is None:
+                    data = await self.reader.read(READ_SIZE)
+                    if not data and request is None:
                         return None
                     self.http.receive_data(data)
                 elif isinstance(event, h11.Request):
-                    asked = event
+                    request = event
                 elif isinstance(event, h11.Data):
-                    body += len(event.data)
-                    if body > MAX_BODY:
-                        return _no(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "no call has a body")
+                    body_size += len(event.data)
+                    if body_size > MAX_BODY:
+                        return _error(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "no call has a body")
                 elif isinstance(event, h11.EndOfMessage):
-                    assert asked is not None
-                    return reply(self.management.desk, asked.method.decode("ascii"), asked.target.decode("ascii"))
+                    assert request is not None
+                    return self._handle(request)
                 else:
                     return None
         except h11.RemoteProtocolError as error:
-            return _no(HTTPStatus(error.error_status_hint), "not understood")
+            return _error(HTTPStatus(error.error_status_hint), "not understood")
         except ValueError:
-            return _no(HTTPStatus.BAD_REQUEST, "not understood")
-
-    async def _say(self, said: Reply) -> None:
-        self.answered = True
-        counters = self.management.counters
-        counters.increment("management.yes" if said.status < HTTPStatus.BAD_REQUEST else "management.no")
-        body = msgspec.json.encode(said.body) + b"\n"
-        head = (
-            f"HTTP/1.1 {int(said.status)} {said.status.phrase}\r\nContent-Type: application/json\r\n"
-            f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
-        )
-        self.writer.write(head.encode("ascii") + body)
-        limit = self.management.deadlines.set(self.management.clock.now() + GO, self.cut)
+            return _error(HTTPStatus.BAD_REQUEST, "not understood")
+
+    def _handle(self, request: h11.Request) -> Response:
+        return handle_request(self.server.control, request.method.decode("ascii"), request.target.decode("ascii"))
+
+    async def _send(self, response: Response) -> None:
+        self.is_answered = True
+        is_success = response.status < HTTPStatus.BAD_REQUEST
+        self.server.counters.increment("management.yes" if is_success else "management.no")
+        self.writer.write(_encode(response))
+        timeout = self.server.deadlines.set(self.server.clock.now() + RESPONSE_TIMEOUT_MS, self.abort)
         try:
             await self.writer.drain()
             self.writer.write_eof()
-            # A close with bytes unread is a reset, which may overtake the answer.
-            async with asyncio.timeout(LINGER / 1000.0):
-                while await self.reader.read(READ):
+            # Closing with bytes unread sends a reset, which may overtake the response.
+            async with asyncio.timeout(LINGER_MS / 1000.0):
+                while await self.reader.read(READ_SIZE):
                     pass
         except (TimeoutError, OSError):
             pass
         finally:
-            self.management.deadlines.clear(limit)
+            self.server.deadlines.clear(timeout)
 
-    def cut(self) -> None:
-        """Close at once."""
-        self.management.counters.increment("management.cut")
+    def abort(self) -> None:
+        """Close at once, without flushing, and count it."""
+        self.server.counters.increment("management.cut")
         self.writer.transport.abort()
 
 
-class Management:
-    """Listens for callers and owns their connections."""
+class ManagementServer:
+    """Accepts operators' connections and owns them."""
 
     def __init__(
-        self, desk: RouterControl, watcher: Watcher, clock: Clock, counters: Counters, deadlines: Deadlines, most: int
+        self,
+        control: RouterControl,
+        watcher: Watcher,
+        clock: Clock,
+        counters: Counters,
+        deadlines: Deadlines,
+        max_connections: int,
     ) -> None:
-        self.desk, self.watcher, self.clock, self.counters = desk, watcher, clock, counters
-        self.deadlines, self.max_connections = deadlines, most
-        self.calls: dict[Call, None] = {}  # in the order in which they came
+        self.control = control
+        self.watcher = watcher
+        self.clock = clock
+        self.counters = counters
+        self.deadlines = deadlines
+        self.max_connections = max_connections
+        self.connections: dict[ManagementConnection, None] = {}  # in the order of their acceptance
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Begin to accept."""
+        """Bind the address and accept. Raise an OSError if it can't be bound."""
         listening = socket.create_server((host, port), backlog=BACKLOG)
-        self._server = await asyncio.start_server(self.accept, sock=listening, limit=READ, backlog=self.max_connections)
+        self._server = await asyncio.start_server(
+            self.accept, sock=listening, limit=READ_SIZE, backlog=self.max_connections
+        )
         listening.listen(BACKLOG)
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take in a caller; when places are out, the one who has held his longest without a call goes."""
-        if len(self.calls) >= self.max_connections:
+        """Accept a connection; at the limit, evict the oldest one that has not been answered yet."""
+        if len(self.connections) >= self.max_connections:
             self.counters.increment("management.crowded")
-            oldest = min(self.calls, key=lambda call: call.answered)  # the first of those not answered yet
-            del self.calls[oldest]
-            oldest.cut()
-        call = Call(self, reader, writer)
-        self.calls[call] = None
-        self.watcher.start(call.run(), "management-call", lambda _: writer.transport.abort())
+            oldest = min(self.connections, key=lambda connection: connection.is_answered)
+            del self.connections[oldest]
+            oldest.abort()
+        connection = ManagementConnection(self, reader, writer)
+        self.connections[connection] = None
+        self.watcher.start(connection.run(), "management-call", lambda _: writer.transport.abort())
 
     def close(self) -> None:
-        """Accept no more and close what is open."""
+        """Stop accepting and close all connections."""
         if self._server is not None:
             self._server.close()
-        for call in list(self.calls):
-            call.writer.transport.abort()
+        for connection in list(self.connections):
+            connection.writer.transport.abort()
--- /dev/null
+++ b/starlingthread/router_process/actors.py
@@ -0,0 +1,94 @@
+"""The actors of one router and how they are connected."""
+
+from __future__ import annotations
+
+from ..config import Config
+from ..core.clock import Clock
+from ..core.counters import Counters
+from ..core.deadlines import Deadlines
+from ..core.router import Router
+from ..core.watcher import Watcher
+from ..limits.budgets import ResourceBudgets
+from ..net.clients import ClientListener
+from ..net.discovery import DiscoveryActor, EndpointListParser
+from ..net.failover import FailoverActor
+from ..net.members import MemberActor
+from ..net.peers import PeerActor
+from ..net.upstreams import ServerFleet
+from ..options import Options
+
+
+class RouterActors:
+    """Creates the actors and connects them; all limits are 0 until :meth:`apply_budgets` sets them."""
+
+    def __init__(self, config: Config, watcher: Watcher, counters: Counters) -> None:
+        settings = config.settings
+        router_index = settings.router_index
+        self.router = Router(settings, config.seed, Clock(), Deadlines(), counters)
+        self.router.cores = config.cores
+        self.fleet = ServerFleet(settings, self.router, watcher, 0, config.idle_close)
+        parser = EndpointListParser(config.zones, config.kinds)
+        self.discovery = DiscoveryActor(self.router, parser, config.discovery, watcher, pushed=not settings.must_poll)
+        self.peers = PeerActor(self.router, config.peers, config.peers_all, router_index)
+        self.members = MemberActor(self.router, self.peers, router_index)
+        self.failover = FailoverActor(self.router, self.peers, self.members, router_index)
+        self.clients = ClientListener(settings, self.router, watcher, 0, 0, 0, self.has_endpoints)
+        self.fleet.budget = self.clients.budget
+        self.router.fleet = self.fleet
+        self.router.discovery = self.discovery
+        self.router.peers = self.peers
+
+    def has_endpoints(self) -> bool:
+        """Return whether an endpoint list with at least one server is in force, so that requests can be served."""
+        return self.router.listed
+
+    def apply_budgets(self, budgets: ResourceBudgets) -> None:
+        """Set the limits on connections and buffered values."""
+        self.clients.max_clients = budgets.max_clients
+        self.clients.idle_client_threshold = budgets.idle_client_threshold
+        self.clients.max_buffered = budgets.buffered_values
+        self.clients.budget.limit = budgets.streamed_values
+        self.fleet.set_connection_limit(budgets.server_connections)
+
+    def apply_config(self, config: Config, options: Options) -> None:
+        """Apply a reloaded configuration to the running actors."""
+        self.router.apply_settings(config.settings)
+        self.clients.apply_settings(config.settings)
+        self.fleet.apply_settings(config.settings, config.idle_close)
+        self.discovery.apply_settings(config.zones, config.kinds, pushed=not config.settings.must_poll)
+        # Polls even if the address is unchanged: the new settings take effect with the next endpoint list.
+        self.discovery.set_address(config.discovery)
+        self.peers.set_addresses(config.peers, config.peers_all)
+        self.apply_membership(config, options)
+        self.apply_failover(config, options)
+
+    def apply_options(self, config: Config, options: Options) -> None:
+        """Apply reloaded options while the configuration, already merged with them, stays in force."""
+        self.router.apply_settings(config.settings)
+        self.apply_membership(config, options)
+        self.apply_failover(config, options)
+
+    def apply_membership(self, config: Config, options: Options) -> None:
+        """Start, stop or change the group membership protocol as the options say."""
+        self.members.apply_settings(options.membership, config.settings.can_message_peers)
+
+    def apply_failover(self, config: Config, options: Options) -> None:
+        """Start, stop or change the coordination of zone failover as the options say."""
+        self.failover.apply_settings(
+            options.failover, options.membership, config.zones, config.settings.can_message_peers
+        )
+
+    def open_counts(self) -> dict[str, int]:
+        """Return the numbers of open connections and requests by the keys under which they are logged."""
+        return {
+            "clients.open": len(self.clients.connections),
+            "requests.open": len(self.router.requests),
+            "connections.open": sum(server.pool.open for server in self.fleet.actors.values()),
+        }
+
+    def close(self) -> None:
+        """Close the connections to cache servers and routers, and stop the protocols between routers."""
+        self.fleet.close()
+        self.members.stop()
+        self.failover.stop()
+        self.peers.close()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -17,11 +17,11 @@
 from typing import Any
 from unittest.mock import Mock
 
-from starlingthread import __main__ as program
 from starlingthread.config import read_config
 from starlingthread.core.counters import Counters
 from starlingthread.core.router import Router
 from starlingthread.net.clients import ClientConnectionActor
+from starlingthread.router_process.process import RouterProcess
 
 LIMIT = 20.0  # s of real time in which anything that a script waits for must happen
 
@@ -195,7 +195,7 @@
                 inner = inner[part]
             inner[last] = value
         self.path.write_text(json.dumps(self.raw))
-        self.program = program.Program(read_config(str(self.path)), Mock())
+        self.program = RouterProcess(read_config(str(self.path)), Mock())
         self.clients: list[Peer] = []
 
     def entries(self) -> list[dict[str, Any]]:
@@ -210,7 +210,7 @@
     @property
     def router(self) -> Router:
         """The module's actor."""
-        return self.program.router
+        return self.program.actors.router
 
     @property
     def counters(self) -> Counters:
@@ -233,14 +233,17 @@
     def find_actor(self, client: Peer) -> ClientConnectionActor | None:
         """Return the router's actor of a client, None if there is none."""
         name = client.socket.getsockname()
-        return next((a for a in self.program.front.connections if a.writer.get_extra_info("peername") == name), None)
+        return next(
+            (a for a in self.program.actors.clients.connections if a.writer.get_extra_info("peername") == name), None
+        )
 
     def reload(self, classes: list[dict[str, Any]]) -> None:
         """Have the program read its file anew with other classes."""
         self.raw["settings"]["grades"] = classes
         self.path.write_text(json.dumps(self.raw))
-        self.program.config = self.program.config._replace(shape={})  # else a file with fewer would not be taken
-        self.program.reload()
+        configuration = self.program.configuration
+        configuration.config = configuration.config._replace(shape={})  # else a file with fewer would not be taken
+        configuration.reload()
 
     def close(self) -> None:
         """Close all peers."""
@@ -258,12 +261,13 @@
     task = asyncio.create_task(now.program.run())
     try:
         if wait:
-            await until(lambda: now.program.serving or task.done())
+            await until(lambda: now.program.is_serving or task.done())
         yield now
     finally:
         now.close()
-        now.program.code = now.program.code or (0 if now.program.stop.is_set() else 1)  # ends at once
-        now.program.stop.set()
+        if not now.program.stop_requested.is_set():
+            now.program.exit_code = now.program.exit_code or 1  # ends at once
+        now.program.stop_requested.set()
         await asyncio.wait_for(task, LIMIT)
         gc.unfreeze()
         gc.set_threshold(*thresholds)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,12 +18,12 @@
 
 import pytest
 
-from starlingthread import __main__ as program
 from starlingthread.core.messages import AttemptEnded
 from starlingthread.events import AttemptResult
 from starlingthread.net import clients
 from starlingthread.net.clients import MAX_PIPELINED
 from starlingthread.net.upstreams import messages
+from starlingthread.router_process import shutdown
 
 from .peers import CLASSES, LIMIT, Peer, Stand, free_port, stand, step, until
 
@@ -83,7 +83,7 @@
             now.router.clock._base += clients.LOOK_FOR_ENDS
             now.router.mailbox.wake()
             await until(lambda: now.counters["requests.withdrawn"] == MAX_PIPELINED)
-            await until(lambda: not now.program.front.connections)
+            await until(lambda: not now.program.actors.clients.connections)
             assert now.counters["attempts.started"] == MAX_PIPELINED and not now.router.requests
 
     asyncio.run(play())
@@ -95,7 +95,7 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             client = await now.client(buffer=4096)
-            (actor,) = now.program.front.connections
+            (actor,) = now.program.actors.clients.connections
             actor.writer.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             actor.writer.transport.set_write_buffer_limits(0)
             await client.send(read(1) + read(2))
@@ -113,7 +113,7 @@
             await step()
             client.half_close()  # it reads nothing, so the writer goes on waiting
             await until(lambda: now.counters["requests.withdrawn"] == 1)
-            assert not now.router.requests and actor in now.program.front.connections
+            assert not now.router.requests and actor in now.program.actors.clients.connections
 
     asyncio.run(play())
 
@@ -126,7 +126,7 @@
             client, _ = await asked_any(now)
             (request,) = now.router.requests.values()
             (attempt,) = now.router.attempts[request.id]
-            (actor,) = now.program.front.connections
+            (actor,) = now.program.actors.clients.connections
             now.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.RESET))
             actor.on_disconnect()
             began = now.counters["attempts.started"]
@@ -142,8 +142,8 @@
     """Have a client ask; return its end, and that of whichever cache server was asked."""
     client = await now.client()
     await client.send(read(1))
-    await until(lambda: any(actor.pool.busy for actor in now.program.fleet.actors.values()))
-    actor = next(actor for actor in now.program.fleet.actors.values() if actor.pool.busy)
+    await until(lambda: any(actor.pool.busy for actor in now.program.actors.fleet.actors.values()))
+    actor = next(actor for actor in now.program.actors.fleet.actors.values() if actor.pool.busy)
     (listener,) = (s for s in now.servers if s.port == actor.pool.address[1])
     server = await listener.accept()
     await server.until(b"\r\n")
@@ -154,7 +154,7 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             held: list[messages.Opened] = []
-            (server,) = now.program.fleet.actors.values()
+            (server,) = now.program.actors.fleet.actors.values()
             tell = server.tell
 
             def hold(message: Any) -> None:
@@ -164,7 +164,7 @@
             client = await now.client()
             await client.send(read(1))
             await until(lambda: bool(held))
-            (actor,) = now.program.front.connections
+            (actor,) = now.program.actors.clients.connections
             request = next(iter(actor.by_request))
             request.cancelled = True  # the client has left; the router has not taken that in
             tell(held[0])
@@ -182,10 +182,10 @@
     async def play() -> None:
         async with stand(tmp_path) as now:
             client = await now.client()
-            (actor,) = now.program.front.connections
+            (actor,) = now.program.actors.clients.connections
             actor.on_disconnect()
             await client.send(read(1))
-            await until(lambda: not now.program.front.connections)
+            await until(lambda: not now.program.actors.clients.connections)
             await step()
             assert now.counters["attempts.started"] == 0 and not now.router.requests
 
@@ -203,7 +203,7 @@
             socket_of_ours = now.actor_of(await now.client()).writer.get_extra_info("socket")
             assert socket_of_ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             await asked(now)
-            (actor,) = now.program.fleet.actors.values()
+            (actor,) = now.program.actors.fleet.actors.values()
             (connection,) = actor.pool.busy.values()
             to_server = connection.writer.get_extra_info("socket")
             assert to_server.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -223,7 +223,7 @@
             await client.send(b"x" * 60000)
             assert await client.rest() == b"MN\r\nCLIENT_ERROR bad data length\r\n"
             client.half_close()
-            await until(lambda: not now.program.front.connections)
+            await until(lambda: not now.program.actors.clients.connections)
 
     asyncio.run(play())
 
@@ -246,9 +246,9 @@
             assert await client.receive() == b""  # our end of file
             await client.send(read(1))
             await step()
-            assert now.counters["requests.taken"] == 0 and len(now.program.front.connections) == 1
+            assert now.counters["requests.taken"] == 0 and len(now.program.actors.clients.connections) == 1
             client.half_close()
-            await until(lambda: not now.program.front.connections)
+            await until(lambda: not now.program.actors.clients.connections)
             assert await client.receive() == b"" and now.counters["attempts.started"] == 0
 
     asyncio.run(play())
@@ -261,10 +261,10 @@
             now.actor_of(client).close_when_idle()
             assert await client.receive() == b""
             await step()
-            assert now.program.front.connections
+            assert now.program.actors.clients.connections
             now.router.clock._base += clients.LINGER
             now.router.mailbox.wake()
-            await until(lambda: not now.program.front.connections)
+            await until(lambda: not now.program.actors.clients.connections)
 
     asyncio.run(play())
 
@@ -302,7 +302,7 @@
             client, _ = await closing_with_bytes_unsent(now)
             await client.receive()
             getattr(client, how)()
-            await until(lambda: not now.program.front.connections)
+            await until(lambda: not now.program.actors.clients.connections)
             await step()
         assert not raised
 
@@ -338,7 +338,7 @@
                 with contextlib.suppress(BlockingIOError):
                     client.socket.recv(65536)
                 await step()
-            await until(lambda: not now.program.front.connections)
+            await until(lambda: not now.program.actors.clients.connections)
             await step()
         assert not raised
 
@@ -374,7 +374,7 @@
             first, other = await resting(now), await resting(now)
             now.actor_of(first).close_when_idle()
             assert await first.receive() == b""
-            now.program.front.max_clients = 2
+            now.program.actors.clients.max_clients = 2
             await now.client()
             await until(lambda: now.find_actor(first) is None)
             assert now.find_actor(other) is not None
@@ -389,11 +389,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They are reset with it, and so were those that were taken but had not become connections yet."""
-    monkeypatch.setattr(program, "STILL_ACCEPTING", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def play() -> None:
         async with stand(tmp_path) as now:
-            now.program.stop.set()
+            now.program.stop_requested.set()
             peers = []
             for number in range(60):  # in one step of the loop: nobody accepts meanwhile
                 sock = socket.create_connection(("127.0.0.1", now.port))
@@ -414,17 +414,17 @@
 def test_what_comes_late_on_a_connection_that_owes_something_is_answered_before_the_process_must_be_gone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(program, "STILL_ACCEPTING", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def play() -> None:
         async with stand(tmp_path) as now:
             client, _ = await asked(now)
-            now.program.stop.set()
-            await until(lambda: now.program.front._server is None)
+            now.program.stop_requested.set()
+            await until(lambda: now.program.actors.clients._server is None)
             await client.send(read(2))
             late = await now.server.accept()
             wait = float((await late.until(b"\r\n")).split(b"d=")[1])
-            assert 3000.0 < wait < program.LAST_SPAN + program.SPARED
+            assert 3000.0 < wait < shutdown.MAX_DEADLINE_MS + shutdown.EXTRA_LIFETIME_MS
 
     asyncio.run(play())
 
@@ -432,15 +432,15 @@
 def test_what_nobody_answers_before_the_process_ends_is_answered_as_failed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(program, "STILL_ACCEPTING", 0.0)
-    monkeypatch.setattr(program, "LAST_ANSWERS", 0.05)
+    monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
+    monkeypatch.setattr(shutdown, "DRAIN_TIMEOUT_S", 0.05)
 
     async def play() -> None:
         async with stand(tmp_path) as now:
             client, _ = await asked(now)
             classes = tuple(cls._replace(deadline=1.0) for cls in now.router.settings.classes)
             now.router.settings = now.router.settings._replace(classes=classes)
-            now.program.stop.set()
+            now.program.stop_requested.set()
             assert await client.rest() == b"SERVER_ERROR failed\r\n"
 
     asyncio.run(play())
@@ -448,14 +448,14 @@
 
 def test_the_longest_deadline_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A class may have a longer one than a process usually takes to end."""
-    monkeypatch.setattr(program, "STILL_ACCEPTING", 0.0)
-    monkeypatch.setattr(program, "LAST_ANSWERS", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
+    monkeypatch.setattr(shutdown, "DRAIN_TIMEOUT_S", 0.0)
 
     async def play() -> None:
         async with stand(tmp_path) as now:
             client, server = await asked(now)
-            now.program.stop.set()
-            await until(lambda: now.program.front._server is None)
+            now.program.stop_requested.set()
+            await until(lambda: now.program.actors.clients._server is None)
             await step(200)
             await server.send(value(1))
             assert await client.rest() == b"VA 1 O1\r\nx\r\n"
@@ -476,7 +476,7 @@
             await client.send(b"ms k 1 O1 Pc=keyed,d=5000\r\nx\r\n")
             first = await now.server.accept()
             await first.until(b"x\r\n")
-            (actor,) = now.program.fleet.actors.values()
+            (actor,) = now.program.actors.fleet.actors.values()
             held: list[messages.Opened] = []
             tell = actor.tell
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,7 +21,7 @@
 
 def states(now: Stand) -> dict[str, ServerState]:
     """Return what the module believes of each server, by name."""
-    known = {now.program.discovery.reader.ids.assign(e["name"]): e["name"] for e in now.entries()}
+    known = {now.program.actors.discovery.reader.ids.assign(e["name"]): e["name"] for e in now.entries()}
     return {known[n]: s.endpoint.state for n, s in now.router.balancer.fleet.servers.items() if n in known}
 
 
@@ -35,7 +35,7 @@
 
 def ask(now: Stand) -> None:
     """Have the module ask for changes now, not at its random moment."""
-    now.program.discovery.watch(True)
+    now.program.actors.discovery.watch(True)
 
 
 async def watching(now: Stand) -> Peer:
@@ -55,10 +55,10 @@
     async def play() -> None:
         async with stand(tmp_path, 2, wait=False, settings__discovery="automatic") as now:
             watch = await watched(now)
-            assert not now.program.serving
+            assert not now.program.is_serving
             one, two = now.entries()
             await watch.send(chunk(listing(2, {**one, "status": "terminating"}, two) + b"\n"))
-            await until(lambda: now.program.serving)
+            await until(lambda: now.program.is_serving)
             assert states(now) == {"s-1": ServerState.DRAINING, "s-2": ServerState.READY}
 
     asyncio.run(play())
@@ -71,12 +71,12 @@
         async with stand(tmp_path, 2, wait=False, settings__discovery="automatic") as now:
             watch = await watched(now)
             await watch.send(chunk(listing(2, *now.entries()) + b"\n"))
-            await until(lambda: now.program.serving)
+            await until(lambda: now.program.is_serving)
             pauses: list[float] = []
             later: Callable[[float, Callable[[], None]], Deadline] = now.router.deadlines.set
 
             def note(at: float, then: Callable[[], None]) -> Deadline:
-                if then == now.program.discovery._watch_again:
+                if then == now.program.actors.discovery._watch_again:
                     pauses.append(at - now.router.clock.now())
                 return later(at, then)
 
@@ -95,11 +95,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the start while discovery is down: nine in ten must be ready within 10 s."""
-    monkeypatch.setattr("starlingthread.__main__.HEAR", 0.01)
+    monkeypatch.setattr("starlingthread.router_process.process.DISCOVERY_TIMEOUT_S", 0.01)
 
     async def play() -> None:
         async with stand(tmp_path, settings__discovery="automatic") as now:
-            assert now.program.ready()
+            assert now.program.control.ready()
 
     asyncio.run(play())
 
@@ -287,12 +287,12 @@
             old = await watching(now)
             await step()
             await old.send(chunk(listing(9, entry("s-1", "127.0.0.1:1", "terminating"), full=False)))
-            now.program.discovery.set_address(("127.0.0.1", now.discovery.port))  # before the loop has read that
+            now.program.actors.discovery.set_address(("127.0.0.1", now.discovery.port))  # before the loop has read that
             new = await watched(now)
             await new.send(chunk(listing(2, *now.entries())))
             await until(lambda: now.counters["registry.lists"] >= 1)
             await step()
-            assert states(now)["s-1"] == ServerState.READY and now.program.discovery.index == 2
+            assert states(now)["s-1"] == ServerState.READY and now.program.actors.discovery.index == 2
             assert now.counters["registry.failures"] == 0
 
     asyncio.run(play())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 from starlingthread.core.messages import Rejected
 from starlingthread.core.watcher import Watcher
 from starlingthread.handover.actor import Handover
-from starlingthread.handover.channel import NAME, Door, bequeath, inherit
+from starlingthread.handover.channel import SOCKET_NAME, HandoverListener, request_handover, send_offer
 from starlingthread.net import clients, meta
 from starlingthread.net.clients import ClientConnectionActor, ClientListener
 from starlingthread.net.peers import PeerActor
@@ -28,11 +28,11 @@
 class Home:
     """One process's part of an upgrade, with the sockets that it would hand over."""
 
-    def __init__(self, folder: Path, inheritance: Any = None) -> None:
+    def __init__(self, folder: Path, inherited: Any = None) -> None:
         self.told: list[object] = []
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.watcher = Watcher()
-        self.handover = Handover(self, self.watcher, Counters(), folder, inheritance)
+        self.handover = Handover(self, self.watcher, Counters(), folder, inherited)
 
     def sockets(self) -> dict[str, socket.socket]:
         return {"clients": self.listening}
@@ -65,7 +65,7 @@
     """Return an old process and a new one that has inherited from it."""
     old = Home(folder)
     old.handover.on_serving()
-    new = Home(folder, await asyncio.to_thread(inherit, folder))
+    new = Home(folder, await asyncio.to_thread(request_handover, folder))
     await new.handover.start()
     return old, new
 
@@ -73,8 +73,8 @@
 def test_each_holds_a_half_until_the_other_is_gone(tmp_path: Path) -> None:
     async def play() -> None:
         old, new = await meet(tmp_path)
-        assert new.handover.inheritance is not None
-        taken = new.handover.inheritance.sockets["clients"]
+        assert new.handover.inherited is not None
+        taken = new.handover.inherited.sockets["clients"]
         assert taken.getsockname() == old.listening.getsockname()
         assert old.told == [0.5] and new.handover.resource_share == 0.5
         new.handover.on_serving()
@@ -86,12 +86,12 @@
             accepted.sendall(b"x")
             assert client.recv(1) == b"x"
             accepted.close()
-        old.handover._heirless()  # as its process's end does
+        old.handover._on_successor_gone()  # as its process's end does
         await until(lambda: new.told == [1.0])
-        assert (tmp_path / NAME).is_socket()  # the new one's own, for the next
+        assert (tmp_path / SOCKET_NAME).is_socket()  # the new one's own, for the next
         taken.close()
         await new.close()
-        assert not (tmp_path / NAME).exists()
+        assert not (tmp_path / SOCKET_NAME).exists()
 
     asyncio.run(play())
 
@@ -103,18 +103,18 @@
         if serves:
             new.handover.on_serving()
             await until(lambda: "give way" in old.told)
-        assert new.handover._elder is not None
-        if (door := new.handover._door) is not None:  # as by a crash: the name stays, with nobody behind it
-            asyncio.get_running_loop().remove_reader(door.socket.fileno())
-            door.socket.close()
-            new.handover._door = None
-        new.handover._elder.transport.abort()
-        await until(lambda: not old.handover._has_heir)
+        assert new.handover._predecessor is not None
+        if (listener := new.handover._listener) is not None:  # as by a crash: the name stays, with nobody behind it
+            asyncio.get_running_loop().remove_reader(listener.socket.fileno())
+            listener.socket.close()
+            new.handover._listener = None
+        new.handover._predecessor.transport.abort()
+        await until(lambda: not old.handover._has_successor)
         assert old.told == ([0.5, "give way", 1.0, "resume"] if serves else [0.5, 1.0])
-        assert old.handover.resource_share == 1.0 and not old.handover.given_way
+        assert old.handover.resource_share == 1.0 and not old.handover.has_yielded
         # Another one may come: the old process is behind the name again, as the dead one was.
-        again = await asyncio.to_thread(inherit, tmp_path)
-        assert again is not None and again.share == 0.5
+        again = await asyncio.to_thread(request_handover, tmp_path)
+        assert again is not None and again.resource_share == 0.5
         for one in (again.channel, *again.sockets.values()):
             one.close()
         await new.close()
@@ -127,7 +127,7 @@
     async def play() -> None:
         old, new = await meet(tmp_path)
         with pytest.raises(OSError):
-            await asyncio.to_thread(inherit, tmp_path)
+            await asyncio.to_thread(request_handover, tmp_path)
         assert old.told == [0.5]
         await new.close()
         await old.close()
@@ -136,12 +136,12 @@
 
 
 def test_what_is_no_old_process_is_no_reason_not_to_start(tmp_path: Path) -> None:
-    assert inherit(None) is None and inherit(tmp_path) is None
-    (tmp_path / NAME).write_text("a file")
-    assert inherit(tmp_path) is None
-    door = Door(tmp_path)
-    door.socket.close()  # as by SIGKILL: the name stays, nobody is behind it
-    assert (tmp_path / NAME).is_socket() and inherit(tmp_path) is None
+    assert request_handover(None) is None and request_handover(tmp_path) is None
+    (tmp_path / SOCKET_NAME).write_text("a file")
+    assert request_handover(tmp_path) is None
+    listener = HandoverListener(tmp_path)
+    listener.socket.close()  # as by SIGKILL: the name stays, nobody is behind it
+    assert (tmp_path / SOCKET_NAME).is_socket() and request_handover(tmp_path) is None
 
 
 @pytest.mark.parametrize(
@@ -156,37 +156,37 @@
     ],
 )
 def test_an_old_process_that_is_not_understood_is_told_of(tmp_path: Path, says: bytes) -> None:
-    door = Door(tmp_path)
+    listener = HandoverListener(tmp_path)
     gc.collect()
     handles = len(os.listdir("/proc/self/fd"))
 
     def answer() -> None:
-        door.socket.setblocking(True)
-        channel, _ = door.socket.accept()
+        listener.socket.setblocking(True)
+        channel, _ = listener.socket.accept()
         channel.sendall(says)
         channel.close()
 
     async def play() -> None:
-        asked = asyncio.to_thread(inherit, tmp_path)
+        asked = asyncio.to_thread(request_handover, tmp_path)
         _, got = await asyncio.gather(asyncio.to_thread(answer), asked, return_exceptions=True)
         assert isinstance(got, OSError)
 
     asyncio.run(play())
     gc.collect()
     assert len(os.listdir("/proc/self/fd")) == handles
-    door.close()
+    listener.close()
 
 
 def test_a_folder_with_a_long_name_will_do(tmp_path: Path) -> None:
     folder = tmp_path / ("a" * 120)
     folder.mkdir()
-    door = Door(folder)
+    listener = HandoverListener(folder)
     got: list[Any] = []
     ours = socket.create_server(("127.0.0.1", 0))
 
     async def play() -> None:
-        asked = asyncio.get_running_loop().run_in_executor(None, inherit, folder)
-        await until(lambda: _accepted(door, ours))
+        asked = asyncio.get_running_loop().run_in_executor(None, request_handover, folder)
+        await until(lambda: _accepted(listener, ours))
         got.append(await asked)
 
     asyncio.run(play())
@@ -194,15 +194,15 @@
     assert taken.getsockname() == ours.getsockname()
     for one in (taken, got[0].channel, ours):
         one.close()
-    door.close()
+    listener.close()
 
 
-def _accepted(door: Door, ours: socket.socket) -> bool:
+def _accepted(listener: HandoverListener, ours: socket.socket) -> bool:
     try:
-        channel, _ = door.socket.accept()
+        channel, _ = listener.socket.accept()
     except BlockingIOError:
         return False
-    bequeath(channel, 0.5, {"clients": ours})
+    send_offer(channel, 0.5, {"clients": ours})
     channel.close()
     return True
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -14,7 +14,7 @@
 from starlingthread.core.telemetry import End
 from starlingthread.core.watcher import Watcher
 from starlingthread.events import AttemptResult
-from starlingthread.net.management import MAX_HEAD, WHOLE, Management
+from starlingthread.net.management import MAX_HEAD, REQUEST_TIMEOUT_MS, ManagementServer
 
 from .standins import Writer
 from .test_router import Place
@@ -62,9 +62,11 @@
     """A management front whose callers are hand-fed."""
 
     def __init__(self, most: int = 4) -> None:
-        self.place, self.desk, self.watcher = Place(), RouterControl(), Watcher()
+        self.place, self.control, self.watcher = Place(), RouterControl(), Watcher()
         router = self.place.router
-        self.management = Management(self.desk, self.watcher, self.place.clock, router.counters, router.deadlines, most)
+        self.management = ManagementServer(
+            self.control, self.watcher, self.place.clock, router.counters, router.deadlines, most
+        )
 
     def call(self, said: bytes) -> Caller:
         caller = Caller()
@@ -77,15 +79,15 @@
             await asyncio.sleep(0)
 
 
-def ask(said: bytes, desk: RouterControl | None = None) -> tuple[int, Any]:
+def ask(said: bytes, control: RouterControl | None = None) -> tuple[int, Any]:
     """Make one call; return its status and what was told."""
 
     async def play() -> bytes:
         office = Office()
-        office.management.desk = desk or office.desk
+        office.management.control = control or office.control
         caller = office.call(said)
         await office.settle()
-        assert caller.transport.gone and not office.management.calls
+        assert caller.transport.gone and not office.management.connections
         await office.watcher.stop()
         return bytes(caller.transport.sent)
 
@@ -124,9 +126,9 @@
 
 
 def test_not_ready_is_a_no() -> None:
-    desk = RouterControl()
-    desk.is_ready = False
-    assert ask(line("GET", "/api/ready"), desk) == (503, {"ready": False})
+    control = RouterControl()
+    control.is_ready = False
+    assert ask(line("GET", "/api/ready"), control) == (503, {"ready": False})
 
 
 def test_who_holds_a_connection_without_a_call_makes_room_and_is_cut_off_in_time() -> None:
@@ -138,7 +140,7 @@
         await office.settle()
         assert caller.transport.sent.startswith(b"HTTP/1.1 200 ")
         assert holders[0].transport.gone and not holders[1].transport.gone
-        office.place.pass_time(WHOLE + 1.0)
+        office.place.pass_time(REQUEST_TIMEOUT_MS + 1.0)
         assert holders[1].transport.gone
         await office.watcher.stop()
 
