--- /dev/null
+++ b/starlingthread/cli/compare.py
@@ -0,0 +1,42 @@
+"""``starlingthread compare``: the results of two runs beside each other."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import click
+
+from .common import EXISTING_FILE, fail, output_console, require_lab
+
+
+@click.command()
+@click.argument("before", type=EXISTING_FILE)
+@click.argument("after", type=EXISTING_FILE)
+def compare(before: Path, after: Path) -> None:
+    """Put the results of two runs beside each other.
+
+    One run each tells no difference from noise: play several seeds before believing one.
+
+    \b
+    Example:
+      starlingthread compare before.json after.json
+    """
+    require_lab()
+    from rich.table import Table
+
+    from ..analysis import results
+
+    try:
+        first = results.read(before)
+        second = results.read(after)
+    except results.ResultError as error:
+        fail(str(error))
+    if first.scenario != second.scenario:
+        click.echo("note: the two runs are of different scenarios, seeds or settings", err=True)
+    table = Table()
+    for name in ("figure", str(before), str(after), "ratio"):
+        table.add_column(name, justify="left" if name == "figure" else "right")
+    for change in results.compare(first, second):
+        ratio = "-" if change.ratio is None else f"{change.ratio:.3f}"
+        table.add_row(change.name, f"{change.before:.4g}", f"{change.after:.4g}", ratio)
+    output_console().print(table)
--- /dev/null
+++ b/starlingthread/cli/demo.py
@@ -0,0 +1,57 @@
+"""``starlingthread demo``: a short run of a small emulated fleet, with a report."""
+
+from __future__ import annotations
+
+import tomllib
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from .common import OUTPUT_FILE, require_lab
+from .playing import finish, play
+from .results_output import print_results
+
+if TYPE_CHECKING:
+    from ..experiment.scenario import Scenario
+
+DEMO_SCENARIO = """
+name = "demo"
+about = "Half a minute over nine servers and three routers; two servers turn six times slower for ten seconds."
+length_s = 30.0
+[traffic]
+rate = 500.0
+[[faults]]
+kind = "slow"
+name = "two slow servers"
+start_s = 10.0
+length_s = 10.0
+strength = 6.0
+part = 0.2
+"""
+
+
+@click.command()
+@click.option("--report", "report_file", type=OUTPUT_FILE, default=Path("demo.html"), show_default=True)
+@click.option("--seconds", type=click.FloatRange(min=4.0, max=600.0), help="Another length; the fault moves with it.")
+def demo(report_file: Path, seconds: float | None) -> None:
+    """Start a small emulated fleet, three routers and half a minute of traffic with one fault in it."""
+    require_lab()
+    results = play(_demo_scenario(seconds), None)
+    print_results(results)
+    finish(results, None, report_file)
+
+
+def _demo_scenario(seconds: float | None) -> Scenario:
+    """Return the demo's scenario; of another length, the fault is in the middle third."""
+    import msgspec
+
+    from ..experiment import scenario
+
+    raw: dict[str, Any] = tomllib.loads(DEMO_SCENARIO)
+    if seconds is not None:
+        raw["length_s"] = seconds
+        fault = raw["faults"][0]
+        fault["start_s"] = seconds / 3
+        fault["length_s"] = seconds / 3
+    return scenario.check(msgspec.convert(raw, scenario.Scenario), "demo")
--- /dev/null
+++ b/starlingthread/cli/results_output.py
@@ -0,0 +1,105 @@
+"""The results of runs as text on standard output."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import click
+
+from .common import output_console
+
+if TYPE_CHECKING:
+    from rich.console import Console
+    from rich.table import Table
+
+    from ..analysis.results import Results
+
+MAX_ROUTERS = 10  # of more, the busiest are printed
+MAX_VIOLATIONS = 20
+CLASS_COLUMNS = ("class", "requests", "in time", "late", "refused", "failed", "worth", "p50 ms", "p99", "p99.9")
+PERCENTILES = ("50", "99", "99.9")
+
+
+def print_results(results: Results) -> None:
+    """Print the results of one run: request classes, servers, routers, faults and broken rules."""
+    console = output_console()
+    console.print(_class_table(results))
+    _print_evenness(console, results)
+    _print_routers(console, results)
+    for fault in results.faults:
+        console.print(
+            f"fault {fault.label}: {fault.began_at:.1f} to {fault.ended_at:.1f} s {fault.target}", highlight=False
+        )
+    _print_verdict(console, results)
+
+
+def print_spread(runs: list[Results]) -> None:
+    """Print the spread over runs of one scenario with several seeds."""
+    import numpy as np
+
+    shares = [run.worth_share for run in runs]
+    broken = sum(sum(run.verdict.counts.values()) for run in runs)
+    void = sum(bool(run.verdict.void) for run in runs)
+    click.echo(
+        f"{runs[0].scenario.name}: worth {np.mean(shares):.4f}, from {min(shares):.4f} to {max(shares):.4f} "
+        f"over {len(runs)} seeds; rules broken {broken}, void {void}"
+    )
+
+
+def _class_table(results: Results) -> Table:
+    from rich.table import Table
+
+    table = Table(
+        title=f"{results.scenario.name}, seed {results.scenario.seed}: "
+        f"{100 * results.worth_share:.1f}% of the worth served"
+    )
+    for name in CLASS_COLUMNS:
+        table.add_column(name, justify="left" if name == "class" else "right")
+    for cls in results.classes:
+        latencies = [f"{cls.percentiles[p]:.1f}" if p in cls.percentiles else "-" for p in PERCENTILES]
+        counts = map(str, (cls.offered, cls.in_time, cls.late, cls.refused, cls.failed))
+        table.add_row(cls.name, *counts, f"{cls.worth_share:.3f}", *latencies)
+    return table
+
+
+def _print_evenness(console: Console, results: Results) -> None:
+    evenness = results.evenness
+    if evenness is None:
+        return
+    console.print(
+        f"servers: busiest {evenness.busiest_1s:.2f} of its part in 1 s, {evenness.busiest_10s:.2f} in 10 s, "
+        f"least {evenness.least:.2f}, {evenness.idle_servers} idle at times, herd index "
+        f"{evenness.herd_index:.2f}, period {evenness.period_s:g} s, owners differ {evenness.owners_differ:.3f}, "
+        f"{evenness.connections:.0f} connections",
+        highlight=False,
+    )
+
+
+def _print_routers(console: Console, results: Results) -> None:
+    busiest = sorted(results.routers, key=lambda router: -router.requests)[:MAX_ROUTERS]
+    if len(busiest) < len(results.routers):
+        console.print(f"the {len(busiest)} busiest of {len(results.routers)} routers:", highlight=False)
+    for router in busiest:
+        console.print(
+            f"{router.name}: {router.requests} requests, {router.cpu_us_per_request:.0f} µs of CPU each, "
+            f"{router.memory_mb_most:.1f} MB, {router.descriptors_most} descriptors",
+            highlight=False,
+        )
+
+
+def _print_verdict(console: Console, results: Results) -> None:
+    verdict = results.verdict
+    for reason in verdict.void:
+        console.print(f"VOID: {reason}", style="bold red", highlight=False)
+    for violation in verdict.violations[:MAX_VIOLATIONS]:
+        console.print(
+            f"BROKEN {violation.rule} at {violation.at_s} s, router {violation.router}, request "
+            f"{violation.request or '-'}: {violation.text}",
+            style="red",
+            highlight=False,
+        )
+    if verdict.counts:
+        counts = ", ".join(f"{name} {count}" for name, count in verdict.counts.items())
+        console.print(f"rules broken: {counts}", style="bold red", highlight=False)
+    elif not verdict.void:
+        console.print("no rule broken", style="green")
