--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades: what an old process hands over, what each holds while both live, and what is left when one goes."""
+"""Socket handover: what an old process offers, the resource shares while both live, and the end of either."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import gc
 import os
 import socket
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -25,11 +26,11 @@
 from .world import THROUGH
 
 
-class Home:
-    """One process's part of an upgrade, with the sockets that it would hand over."""
+class FakeProcess:
+    """A serving process that records the calls of its handover, with one socket to hand over."""
 
     def __init__(self, folder: Path, inherited: Any = None) -> None:
-        self.told: list[object] = []
+        self.calls: list[object] = []
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.watcher = Watcher()
         self.handover = Handover(self, self.watcher, Counters(), folder, inherited)
@@ -37,14 +38,14 @@
     def sockets(self) -> dict[str, socket.socket]:
         return {"clients": self.listening}
 
-    def apply_resource_share(self, part: float) -> None:
-        self.told.append(part)
+    def apply_resource_share(self, share: float) -> None:
+        self.calls.append(share)
 
     def pause_accepting(self) -> None:
-        self.told.append("give way")
+        self.calls.append("pause")
 
     def resume_accepting(self) -> None:
-        self.told.append("resume")
+        self.calls.append("resume")
 
     async def close(self) -> None:
         self.handover.close()
@@ -52,44 +53,44 @@
         await self.watcher.stop()
 
 
-async def until(there: Any) -> None:
-    """Let the loop turn until something is so; it is at once, or it never is."""
+async def until(condition: Callable[[], bool]) -> None:
+    """Run the loop until a condition holds; fail if it does not within some seconds."""
     for _ in range(2000):
-        if there():
+        if condition():
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("it never came")
+    raise AssertionError("the condition never held")
 
 
-async def meet(folder: Path) -> tuple[Home, Home]:
-    """Return an old process and a new one that has inherited from it."""
-    old = Home(folder)
+async def start_both(folder: Path) -> tuple[FakeProcess, FakeProcess]:
+    """Return an old process and a new one that has its sockets."""
+    old = FakeProcess(folder)
     old.handover.on_serving()
-    new = Home(folder, await asyncio.to_thread(request_handover, folder))
+    new = FakeProcess(folder, await asyncio.to_thread(request_handover, folder))
     await new.handover.start()
     return old, new
 
 
-def test_each_holds_a_half_until_the_other_is_gone(tmp_path: Path) -> None:
+def test_each_process_has_half_of_the_limits_until_the_other_ends(tmp_path: Path) -> None:
     async def play() -> None:
-        old, new = await meet(tmp_path)
+        old, new = await start_both(tmp_path)
         assert new.handover.inherited is not None
-        taken = new.handover.inherited.sockets["clients"]
-        assert taken.getsockname() == old.listening.getsockname()
-        assert old.told == [0.5] and new.handover.resource_share == 0.5
+        inherited_socket = new.handover.inherited.sockets["clients"]
+        assert inherited_socket.getsockname() == old.listening.getsockname()
+        assert old.calls == [0.5] and new.handover.resource_share == 0.5
         new.handover.on_serving()
-        await until(lambda: "give way" in old.told)
+        await until(lambda: "pause" in old.calls)
         # What waits to be accepted when the old one closes is not reset: the queue is the new one's too.
-        with socket.create_connection(taken.getsockname()) as client:
+        with socket.create_connection(inherited_socket.getsockname()) as client:
             await old.close()
-            accepted, _ = taken.accept()
+            accepted, _ = inherited_socket.accept()
             accepted.sendall(b"x")
             assert client.recv(1) == b"x"
             accepted.close()
         old.handover._on_successor_gone()  # as its process's end does
-        await until(lambda: new.told == [1.0])
+        await until(lambda: new.calls == [1.0])
         assert (tmp_path / SOCKET_NAME).is_socket()  # the new one's own, for the next
-        taken.close()
+        inherited_socket.close()
         await new.close()
         assert not (tmp_path / SOCKET_NAME).exists()
 
@@ -97,12 +98,12 @@
 
 
 @pytest.mark.parametrize("serves", [False, True])
-def test_a_new_process_that_dies_leaves_the_old_one_as_before(tmp_path: Path, serves: bool) -> None:
+def test_an_old_process_serves_as_before_after_its_successor_crashed(tmp_path: Path, serves: bool) -> None:
     async def play() -> None:
-        old, new = await meet(tmp_path)
+        old, new = await start_both(tmp_path)
         if serves:
             new.handover.on_serving()
-            await until(lambda: "give way" in old.told)
+            await until(lambda: "pause" in old.calls)
         assert new.handover._predecessor is not None
         if (listener := new.handover._listener) is not None:  # as by a crash: the name stays, with nobody behind it
             asyncio.get_running_loop().remove_reader(listener.socket.fileno())
@@ -110,32 +111,32 @@
             new.handover._listener = None
         new.handover._predecessor.transport.abort()
         await until(lambda: not old.handover._has_successor)
-        assert old.told == ([0.5, "give way", 1.0, "resume"] if serves else [0.5, 1.0])
+        assert old.calls == ([0.5, "pause", 1.0, "resume"] if serves else [0.5, 1.0])
         assert old.handover.resource_share == 1.0 and not old.handover.has_yielded
         # Another one may come: the old process is behind the name again, as the dead one was.
         again = await asyncio.to_thread(request_handover, tmp_path)
         assert again is not None and again.resource_share == 0.5
-        for one in (again.channel, *again.sockets.values()):
-            one.close()
+        for each in (again.channel, *again.sockets.values()):
+            each.close()
         await new.close()
         await old.close()
 
     asyncio.run(play())
 
 
-def test_no_second_new_process_while_one_is_there(tmp_path: Path) -> None:
+def test_a_second_successor_is_rejected(tmp_path: Path) -> None:
     async def play() -> None:
-        old, new = await meet(tmp_path)
+        old, new = await start_both(tmp_path)
         with pytest.raises(OSError):
             await asyncio.to_thread(request_handover, tmp_path)
-        assert old.told == [0.5]
+        assert old.calls == [0.5]
         await new.close()
         await old.close()
 
     asyncio.run(play())
 
 
-def test_what_is_no_old_process_is_no_reason_not_to_start(tmp_path: Path) -> None:
+def test_a_missing_or_dead_predecessor_gives_no_handover(tmp_path: Path) -> None:
     assert request_handover(None) is None and request_handover(tmp_path) is None
     (tmp_path / SOCKET_NAME).write_text("a file")
     assert request_handover(tmp_path) is None
@@ -145,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    "says",
+    "offer",
     [
         b"",
         b"{}\n",
@@ -155,15 +156,15 @@
         b"x" * 9000,
     ],
 )
-def test_an_old_process_that_is_not_understood_is_told_of(tmp_path: Path, says: bytes) -> None:
+def test_an_invalid_offer_raises_and_leaks_no_descriptors(tmp_path: Path, offer: bytes) -> None:
     listener = HandoverListener(tmp_path)
     gc.collect()
-    handles = len(os.listdir("/proc/self/fd"))
+    descriptors = len(os.listdir("/proc/self/fd"))
 
     def answer() -> None:
         listener.socket.setblocking(True)
         channel, _ = listener.socket.accept()
-        channel.sendall(says)
+        channel.sendall(offer)
         channel.close()
 
     async def play() -> None:
@@ -173,41 +174,41 @@
 
     asyncio.run(play())
     gc.collect()
-    assert len(os.listdir("/proc/self/fd")) == handles
+    assert len(os.listdir("/proc/self/fd")) == descriptors
     listener.close()
 
 
-def test_a_folder_with_a_long_name_will_do(tmp_path: Path) -> None:
+def test_handover_in_a_folder_with_a_long_path(tmp_path: Path) -> None:
     folder = tmp_path / ("a" * 120)
     folder.mkdir()
     listener = HandoverListener(folder)
     got: list[Any] = []
-    ours = socket.create_server(("127.0.0.1", 0))
+    listening = socket.create_server(("127.0.0.1", 0))
 
     async def play() -> None:
         asked = asyncio.get_running_loop().run_in_executor(None, request_handover, folder)
-        await until(lambda: _accepted(listener, ours))
+        await until(lambda: _offer_if_connected(listener, listening))
         got.append(await asked)
 
     asyncio.run(play())
-    (taken,) = got[0].sockets.values()
-    assert taken.getsockname() == ours.getsockname()
-    for one in (taken, got[0].channel, ours):
-        one.close()
+    (inherited_socket,) = got[0].sockets.values()
+    assert inherited_socket.getsockname() == listening.getsockname()
+    for each in (inherited_socket, got[0].channel, listening):
+        each.close()
     listener.close()
 
 
-def _accepted(listener: HandoverListener, ours: socket.socket) -> bool:
+def _offer_if_connected(listener: HandoverListener, listening: socket.socket) -> bool:
     try:
         channel, _ = listener.socket.accept()
     except BlockingIOError:
         return False
-    send_offer(channel, 0.5, {"clients": ours})
+    send_offer(channel, 0.5, {"clients": listening})
     channel.close()
     return True
 
 
-def test_once_another_serves_each_connection_is_closed_behind_its_answer() -> None:
+def test_after_pausing_each_connection_is_closed_behind_its_answer() -> None:
     async def script(now: Talk) -> None:
         now.reader.feed_data(READS.split(b"\r\n")[0] + b"\r\n")
         (asked,) = await now.settle()
@@ -221,7 +222,7 @@
     assert talk(script) == b"SERVER_ERROR busy\r\n"
 
 
-def test_what_lies_unread_is_answered_before_the_close() -> None:
+def test_unread_commands_are_answered_before_the_close() -> None:
     async def script(now: Talk) -> None:
         now.front.pause_accepting()
         now.reader.feed_data(b"mn\r\n")
@@ -236,7 +237,7 @@
     assert talk(script) == 2 * meta.READY_LINE
 
 
-def test_a_front_that_gave_way_accepts_again_when_the_new_process_has_died() -> None:
+def test_a_paused_listener_accepts_again_once_resumed() -> None:
     async def play() -> None:
         place = Place()
         front = ClientListener(THROUGH, place.router, Watcher(), 4, 4, 1 << 20, lambda: True)
@@ -258,7 +259,7 @@
     asyncio.run(play())
 
 
-def test_datagrams_reach_the_one_that_serves() -> None:
+def test_datagrams_reach_the_serving_process() -> None:
     async def play() -> None:
         old, new = (PeerActor(Place().router, [], None, 0) for _ in range(2))
         await old.listen("127.0.0.1", 0)
@@ -275,6 +276,6 @@
     asyncio.run(play())
 
 
-def test_two_may_bind_beside_each_other_without_a_handover() -> None:
+def test_two_processes_can_bind_the_same_address_without_a_handover() -> None:
     with clients.bind("127.0.0.1", 0) as first, clients.bind(*first.getsockname()) as second:
         assert first.getsockname() == second.getsockname()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The calls of operators on hand-fed streams, and the figures against any order of events."""
+"""The management interface on hand-fed streams, and the telemetry against any order of events."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from .world import THROUGH
 
 
-class RouterControl:
-    """Carries out calls by taking notes."""
+class FakeRouter:
+    """A router that records which servers are excluded and knows only s-1."""
 
     def __init__(self) -> None:
-        self.out: set[str] = set()
+        self.excluded: set[str] = set()
         self.is_ready = True
 
     def ready(self) -> bool:
@@ -35,11 +35,11 @@
         return {"inflight": 3}
 
     def exclude(self, name: str) -> bool:
-        self.out.add(name)
+        self.excluded.add(name)
         return name == "s-1"
 
     def include(self, name: str) -> bool:
-        self.out.discard(name)
+        self.excluded.discard(name)
         return name == "s-1"
 
 
@@ -58,20 +58,20 @@
         self.reader.feed_eof()  # the other side closes in turn
 
 
-class Office:
-    """A management front whose callers are hand-fed."""
+class ManagementFixture:
+    """A management server whose connections are hand-fed."""
 
-    def __init__(self, most: int = 4) -> None:
-        self.place, self.control, self.watcher = Place(), RouterControl(), Watcher()
+    def __init__(self, max_connections: int = 4) -> None:
+        self.place, self.control, self.watcher = Place(), FakeRouter(), Watcher()
         router = self.place.router
         self.management = ManagementServer(
-            self.control, self.watcher, self.place.clock, router.counters, router.deadlines, most
+            self.control, self.watcher, self.place.clock, router.counters, router.deadlines, max_connections
         )
 
-    def call(self, said: bytes) -> Caller:
+    def connect(self, request: bytes) -> Caller:
         caller = Caller()
         self.management.accept(caller.reader, caller)  # type: ignore[arg-type]
-        caller.reader.feed_data(said)
+        caller.reader.feed_data(request)
         return caller
 
     async def settle(self) -> None:
@@ -79,16 +79,16 @@
             await asyncio.sleep(0)
 
 
-def ask(said: bytes, control: RouterControl | None = None) -> tuple[int, Any]:
-    """Make one call; return its status and what was told."""
+def send_request(request: bytes, control: FakeRouter | None = None) -> tuple[int, Any]:
+    """Send one request; return the status and the decoded body of the response."""
 
     async def play() -> bytes:
-        office = Office()
-        office.management.control = control or office.control
-        caller = office.call(said)
-        await office.settle()
-        assert caller.transport.gone and not office.management.connections
-        await office.watcher.stop()
+        fixture = ManagementFixture()
+        fixture.management.control = control or fixture.control
+        caller = fixture.connect(request)
+        await fixture.settle()
+        assert caller.transport.gone and not fixture.management.connections
+        await fixture.watcher.stop()
         return bytes(caller.transport.sent)
 
     head, _, body = asyncio.run(play()).partition(b"\r\n\r\n")
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("request_bytes", "status"),
     [
         (line("GET", "/api/ready"), 200),
         (line("GET", "/api/telemetry"), 200),
@@ -121,28 +121,28 @@
         (b"POST /api/include?member=s-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"a" * 65537, 413),
     ],
 )
-def test_each_call_has_its_status(said: bytes, status: int) -> None:
-    assert ask(said)[0] == status
+def test_status_of_each_request(request_bytes: bytes, status: int) -> None:
+    assert send_request(request_bytes)[0] == status
 
 
-def test_not_ready_is_a_no() -> None:
-    control = RouterControl()
+def test_a_router_that_is_not_ready_responds_503() -> None:
+    control = FakeRouter()
     control.is_ready = False
-    assert ask(line("GET", "/api/ready"), control) == (503, {"ready": False})
+    assert send_request(line("GET", "/api/ready"), control) == (503, {"ready": False})
 
 
-def test_who_holds_a_connection_without_a_call_makes_room_and_is_cut_off_in_time() -> None:
+def test_incomplete_requests_are_evicted_at_the_limit_and_closed_at_the_timeout() -> None:
     async def play() -> None:
-        office = Office(most=2)
-        holders = [office.call(b"GET /api") for _ in range(2)]
-        await office.settle()
-        caller = office.call(line("GET", "/api/telemetry"))
-        await office.settle()
+        fixture = ManagementFixture(max_connections=2)
+        incomplete = [fixture.connect(b"GET /api") for _ in range(2)]
+        await fixture.settle()
+        caller = fixture.connect(line("GET", "/api/telemetry"))
+        await fixture.settle()
         assert caller.transport.sent.startswith(b"HTTP/1.1 200 ")
-        assert holders[0].transport.gone and not holders[1].transport.gone
-        office.place.pass_time(REQUEST_TIMEOUT_MS + 1.0)
-        assert holders[1].transport.gone
-        await office.watcher.stop()
+        assert incomplete[0].transport.gone and not incomplete[1].transport.gone
+        fixture.place.pass_time(REQUEST_TIMEOUT_MS + 1.0)
+        assert incomplete[1].transport.gone
+        await fixture.watcher.stop()
 
     asyncio.run(play())
 
@@ -151,42 +151,42 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["ask", "refuse", "leave", "ok", "error", "full", "pass"]),
+            st.sampled_from(["submit", "reject", "disconnect", "ok", "error", "full", "pass"]),
             st.integers(0, 2),
             st.integers(0, 5),
         ),
         max_size=40,
     )
 )
-def test_what_was_taken_has_ended_or_is_in_flight_whatever_happens(steps: list[tuple[str, int, int]]) -> None:
+def test_each_submitted_request_has_ended_or_is_in_flight(steps: list[tuple[str, int, int]]) -> None:
     place = Place()
-    taken: list[PendingRequest] = []
+    requests: list[PendingRequest] = []
     results = {"ok": AttemptResult.OK, "error": AttemptResult.ERROR, "full": AttemptResult.FULL}
-    for what, cls, which in steps:
+    for step, cls, which in steps:
         now = place.clock.time
-        if what in ("ask", "refuse"):
+        if step in ("submit", "reject"):
             request = PendingRequest(place, THROUGH.classes[cls], which + 1, now + 900.0, b"p", now, is_write=cls != 0)
-            taken.append(request)
-            place.router.submit(request) if what == "ask" else place.router.reject(request)
+            requests.append(request)
+            place.router.submit(request) if step == "submit" else place.router.reject(request)
             place.router.turn()
-        elif what == "leave" and taken:
-            place.give(ClientDisconnected(taken[which % len(taken)]))
-        elif what == "pass":
+        elif step == "disconnect" and requests:
+            place.give(ClientDisconnected(requests[which % len(requests)]))
+        elif step == "pass":
             place.pass_time(200.0 * which)
-        elif place.started and what in results:
-            place.give(AttemptEnded(place.started[which % len(place.started)], results[what], payload=b""))
-        figures = place.router.telemetry
-        ends = {cls.name: {end: figures.finished_count(cls.name, end) for end in End} for cls in THROUGH.classes}
-        assert sum(map(sum, (e.values() for e in ends.values()))) + figures.inflight == len(taken)
-        told = sum(e[End.SUCCESS] + e[End.BUSY] + e[End.FAILURE] for e in ends.values())
-        assert told == len(place.answers)
+        elif place.started and step in results:
+            place.give(AttemptEnded(place.started[which % len(place.started)], results[step], payload=b""))
+        telemetry = place.router.telemetry
+        ends = {cls.name: {end: telemetry.finished_count(cls.name, end) for end in End} for cls in THROUGH.classes}
+        assert sum(map(sum, (e.values() for e in ends.values()))) + telemetry.inflight == len(requests)
+        answered = sum(e[End.SUCCESS] + e[End.BUSY] + e[End.FAILURE] for e in ends.values())
+        assert answered == len(place.answers)
     place.pass_time(2000.0)
     assert place.router.telemetry.inflight == 0
     report = place.router.telemetry.snapshot(3, 1)
     assert set(report["calls"]) == {"read", "keyed", "unsafe"}  # type: ignore[call-overload]
 
 
-def test_a_full_mailbox_refuses_and_counts() -> None:
+def test_a_full_mailbox_rejects_and_counts() -> None:
     place = Place()
     place.router.mailbox.limit = 1
     for number in range(2):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: configuration, good and bad, at its start and on SIGHUP."""
+"""The router as a process: valid and invalid configuration at startup and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .standins import free_port
 
 
-def test_sighup_takes_over_a_new_file_and_keeps_the_old_one_if_it_is_no_good(tmp_path: Path) -> None:
-    """Guards against the signal's own effect, which ends a program."""
+def test_sighup_applies_a_valid_file_and_ignores_an_invalid_one(tmp_path: Path) -> None:
+    """The default action of the signal would end the process."""
     path = tmp_path / "config.json"
     config = {
         "listen": f"127.0.0.1:{free_port()}",
@@ -32,11 +32,11 @@
         stderr=subprocess.PIPE,
         text=True,
         env={**os.environ, "LB_CONFIG": str(path)},
-    ) as program:
-        assert program.stderr is not None
+    ) as router:
+        assert router.stderr is not None
 
         def line_of(event: str) -> str:
-            for line in program.stderr or ():
+            for line in router.stderr or ():
                 if event in line:
                     return line
             return "ended"
@@ -48,18 +48,18 @@
             (json.dumps({**config, "discovery": "127.0.0.1:2"}), "reloaded"),
         ):
             path.write_text(text)
-            program.send_signal(signal.SIGHUP)
+            router.send_signal(signal.SIGHUP)
             assert event in (line := line_of("reload"))
         assert "discovery=127.0.0.1:2 needs-restart=nothing" in line
-        program.kill()
+        router.kill()
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]", "{}", json.dumps({"listen": "x", "settings": {}})])
-def test_a_bad_configuration_is_one_plain_line(text: str | None, tmp_path: Path) -> None:
+def test_an_invalid_configuration_gives_one_line_and_exit_code_1(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "starlingthread"],
         capture_output=True,
         check=False,
@@ -67,5 +67,5 @@
         timeout=30,
         env={**os.environ, "LB_CONFIG": str(path)},
     )
-    assert done.returncode == 1 and done.stdout == ""
-    assert done.stderr.count("\n") == 1 and done.stderr.startswith("starlingthread: ")
+    assert completed.returncode == 1 and completed.stdout == ""
+    assert completed.stderr.count("\n") == 1 and completed.stderr.startswith("starlingthread: ")
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -1,4 +1,4 @@
-"""The emulator's own routers: who looks on while one is started anew sees no crash that was none."""
+"""The emulator's router processes: no false crash is reported while one restarts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return RouterProcess(0, scenario, folder, Ledger())
 
 
-def test_a_router_that_is_killed_and_started_anew_is_no_crash(tmp_path: Path) -> None:
+def test_a_killed_and_restarted_router_is_not_reported_as_crashed(tmp_path: Path) -> None:
     """On a busy machine the old process was seen as crashed while the new one was being made."""
 
     async def play() -> None:
@@ -47,9 +47,7 @@
     asyncio.run(play())
 
 
-def test_a_router_that_has_ended_before_it_is_looked_at_raises_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_sampling_a_router_that_has_ended_raises_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Two of three starts of 200 routers ended in a traceback."""
 
     async def play() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -72,7 +72,7 @@
             writer.write(b"1\r\n\n\r\n")
             await asyncio.sleep(1.0)
 
-    def config(self, path: Path, listen: int, calls: int) -> None:
+    def config(self, path: Path, listen: int, management_port: int) -> None:
         path.write_text(
             json.dumps(
                 {
@@ -80,7 +80,7 @@
                     "listen": f"127.0.0.1:{listen}",
                     "discovery": f"127.0.0.1:{self.discovery}",
                     "seed": "5",
-                    "management": f"127.0.0.1:{calls}",
+                    "management": f"127.0.0.1:{management_port}",
                     "limits": {"cores": 1.0, "memory_mb": MEMORY, "sockets": SOCKETS},
                     "known": {"index": 1, "snapshot": True, "endpoints": self.endpoints()},
                     "settings": {
@@ -105,9 +105,9 @@
     except OSError:
         return 0
     writer.write(f"{method} {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
-    said = await reader.read()
+    response = await reader.read()
     writer.close()
-    return int(said.split()[1]) if said else 0
+    return int(response.split()[1]) if response else 0
 
 
 async def is_ready(port: int) -> None:
@@ -116,8 +116,8 @@
             await asyncio.sleep(0.01)
 
 
-def sizes(pid: int) -> tuple[int, float]:
-    """Return a process's descriptors and memory in MB; none once it has gone."""
+def usage_of(pid: int) -> tuple[int, float]:
+    """Return a process's open descriptors and resident memory in MB; 0 of each once it has ended."""
     try:
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         return len(os.listdir(f"/proc/{pid}/fd")), pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
@@ -141,7 +141,7 @@
                 try:
                     reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 except OSError:
-                    self.ends["refused at the door"] += 1
+                    self.ends["connection refused"] += 1
                     continue
             asked += 1
             self.number += 1
@@ -168,17 +168,17 @@
                 reader = None
 
 
-def test_an_upgrade_under_load_turns_nobody_away_and_keeps_to_maintenance_and_limits(tmp_path: Path) -> None:
+def test_an_upgrade_under_load_rejects_no_request_and_keeps_maintenance_and_limits(tmp_path: Path) -> None:
     async def play() -> None:
         site = Site()
         await site.start()
-        listen, calls = free_port(), (free_port(), free_port())
+        listen, management_ports = free_port(), (free_port(), free_port())
         shared = tmp_path / "shared"
         shared.mkdir()
 
         async def start(number: int) -> asyncio.subprocess.Process:
             path = tmp_path / f"config-{number}.json"
-            site.config(path, listen, calls[number])
+            site.config(path, listen, management_ports[number])
             with (tmp_path / f"log-{number}").open("wb") as log:
                 return await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -189,32 +189,32 @@
                 )
 
         old = await start(0)
-        await is_ready(calls[0])
+        await is_ready(management_ports[0])
         load = Load(listen)
         clients = [asyncio.create_task(load.client(n)) for n in range(CLIENTS)]
-        held: list[tuple[int, float]] = []
+        usage: list[tuple[int, float]] = []
 
         async def watch() -> None:
             while True:
-                both = [sizes(process.pid) for process in (old, new) if process is not None]
-                held.append((sum(b[0] for b in both), sum(b[1] for b in both)))
+                both = [usage_of(process.pid) for process in (old, new) if process is not None]
+                usage.append((sum(b[0] for b in both), sum(b[1] for b in both)))
                 await asyncio.sleep(0.02)
 
         new: asyncio.subprocess.Process | None = None
         watching = asyncio.create_task(watch())
         await asyncio.sleep(0.3)
-        assert await call(calls[0], "POST", "/api/exclude?member=s-1") == 200
+        assert await call(management_ports[0], "POST", "/api/exclude?member=s-1") == 200
         out_at = [time.monotonic()]
         new = await start(1)
-        await is_ready(calls[1])
+        await is_ready(management_ports[1])
         # Both ways: what the old one was told binds the new one, and what the new one is told the old one.
-        assert await call(calls[1], "POST", "/api/exclude?member=s-2") == 200
+        assert await call(management_ports[1], "POST", "/api/exclude?member=s-2") == 200
         out_at.append(time.monotonic())
         await asyncio.sleep(0.3)
         old.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(old.wait(), 20.0) == 0
         await asyncio.sleep(GRACE + SLACK)
-        assert await call(calls[1], "POST", "/api/include?member=s-1") == 200
+        assert await call(management_ports[1], "POST", "/api/include?member=s-1") == 200
         back_at = time.monotonic()
         await asyncio.sleep(1.0)
         load.stop = True
@@ -231,9 +231,9 @@
         assert not [t for t in site.came["s-1"] if out_at[0] + GRACE + SLACK < t < back_at]
         assert not [t for t in site.came["s-2"] if t > out_at[1] + GRACE + SLACK]
         assert [t for t in site.came["s-1"] if t > back_at]
-        assert max(count for count, _ in held) <= SOCKETS and max(size for _, size in held) <= MEMORY, held
+        assert max(count for count, _ in usage) <= SOCKETS and max(size for _, size in usage) <= MEMORY, usage
         log = (tmp_path / "log-1").read_text()
         assert "elder-gone" in log and "gave-way" in (tmp_path / "log-0").read_text()
-        print(f"turned back {load.ends}; descriptors {max(c for c, _ in held)}, MB {max(m for _, m in held):.0f}")
+        print(f"turned back {load.ends}; descriptors {max(c for c, _ in usage)}, MB {max(m for _, m in usage):.0f}")
 
     asyncio.run(play())
