--- a/starlingthread/baselines/policies.py
+++ b/starlingthread/baselines/policies.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from ..balance.rendezvous import mix
-from ..emulator.truth import CELL, VARIABLE, server_name
+from ..emulator.load_oracle import LOAD_CELL, ORACLE_FILE_VARIABLE, server_name
 from ..net.discovery import ServerIds
 from ..policy import Balancer
 from ..policy.affinity import Affinity
@@ -105,20 +105,20 @@
         return min(servers, key=lambda s: (s.load.report, s.endpoint.server))
 
 
-class Truth(LoadEstimate):
+class OracleLoadEstimate(LoadEstimate):
     """The module's own estimate, with the servers' true load in the place of what it makes of reports and answers."""
 
     def __init__(self, fleet: Fleet) -> None:
         super().__init__(fleet)
-        path = Path(os.environ[VARIABLE])
+        path = Path(os.environ[ORACLE_FILE_VARIABLE])
         with path.open("rb") as file:
             self.cells = mmap.mmap(file.fileno(), 0, access=mmap.ACCESS_READ)
         ids = ServerIds()
-        self.cell_of = {ids.assign(server_name(n)): n for n in range(len(self.cells) // CELL.size)}
+        self.cell_of = {ids.assign(server_name(n)): n for n in range(len(self.cells) // LOAD_CELL.size)}
 
     def _waiting(self, server: Server) -> float:
         at = self.cell_of.get(server.endpoint.server)
-        load: float = CELL.unpack_from(self.cells, at * CELL.size)[0] if at is not None else 0.0
+        load: float = LOAD_CELL.unpack_from(self.cells, at * LOAD_CELL.size)[0] if at is not None else 0.0
         return load * self.mean_work
 
     def load(self, now: float, server: Server, lag: float) -> float:
@@ -145,5 +145,5 @@
     "two-choices": balancer_with(TwoChoices),
     "two-reported": balancer_with(TwoReported),
     "least-reported": balancer_with(LeastReported),
-    "truth": balancer_with(load=Truth),
+    "truth": balancer_with(load=OracleLoadEstimate),
 }
--- a/starlingthread/emulator/servers.py
+++ b/starlingthread/emulator/cache_server.py
@@ -5,41 +5,22 @@
 import asyncio
 import contextlib
 import socket
-import time
 import zlib
 from collections import deque
-from collections.abc import Callable
 from typing import cast
 
 import numpy as np
 
 from ..experiment.randomness import Chances
 from ..experiment.records import ANSWERED, CUT, FAILED, REJECTED, RUN, Delivery, Ledger, ServerEvent
-from .links import Door, Lane
-from .model import Job, ServerModel
+from .schedule import EventLoopSchedule
+from .server_links import LinkDirection, ServerLink
+from .server_model import Job, ServerModel
 
 MAX_LINE = 4096
 MAX_VALUE = 1 << 20
 
 
-class LoopSchedule:
-    """A Schedule on the event loop: the machine's monotonic clock in milliseconds."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self._loop = loop
-
-    def now(self) -> float:
-        """Return the time in milliseconds."""
-        return time.monotonic() * 1000.0  # the loop's own time may be a millisecond old
-
-    def after(self, delay: float, then: Callable[[], None]) -> None:
-        """Call something in so many milliseconds; the loop's timers know whole ones only."""
-        if delay < 0.5:
-            self._loop.call_soon(then)
-        else:
-            self._loop.call_later(delay / 1000.0, then)
-
-
 class Slot:
     """The place of one answer in the order of a connection."""
 
@@ -65,10 +46,10 @@
 class ServerConnection(asyncio.Protocol):
     """One connection of a router to a server. Answers leave in the order of the commands."""
 
-    def __init__(self, server: CacheServer, door: Door) -> None:
-        self.server, self.door = server, door
-        self.inward = Lane(door, False, server.schedule, self._arrived)
-        self.outward = Lane(door, True, server.schedule, self._send)
+    def __init__(self, server: CacheServer, door: ServerLink) -> None:
+        self.server, self.link = server, door
+        self.inward = LinkDirection(door, False, server.schedule, self._arrived)
+        self.outward = LinkDirection(door, True, server.schedule, self._send)
         self.transport: asyncio.Transport
         self.buffer = bytearray()
         self.slots: deque[Slot] = deque()
@@ -79,7 +60,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are not of that class
         server = self.server
-        if server.is_silent:
+        if server.is_unreachable:
             self.dead = True
             self.transport.pause_reading()
         server.connections.add(self)
@@ -96,7 +77,7 @@
     def _give_up(self, slot: Slot) -> None:
         if slot.delivery is not None and slot.delivery.outcome == "out":
             slot.delivery.outcome, slot.delivery.ended_at = CUT, self.server.now()
-            if slot.job is not None and slot.job.begun:  # it waited in the queue when it came
+            if slot.job is not None and slot.job.is_started:  # it waited in the queue when it came
                 slot.delivery.verdict = RUN
         if slot.job is not None:
             self.server.model.cancel(slot.job)
@@ -178,8 +159,8 @@
 
         job = Job(rid, words[1], write, fields.get("k", ""), finish)
         slot.job = job
-        server.model.arrive(job)
-        if job.begun:
+        server.model.submit(job)
+        if job.is_started:
             delivery.verdict = RUN
 
     def _flush(self) -> None:
@@ -222,10 +203,10 @@
         name: str,
         zone: str,
         value_bytes: int,
-        schedule: LoopSchedule,
+        schedule: EventLoopSchedule,
         ledger: Ledger,
         rng: np.random.Generator,
-        doors: list[Door] | None = None,
+        doors: list[ServerLink] | None = None,
     ) -> None:
         self.model, self.name, self.zone, self.schedule, self.ledger = model, name, zone, schedule, ledger
         self.number = model.number
@@ -233,16 +214,16 @@
         self.padding = b"x" * value_bytes
         self.connections: set[ServerConnection] = set()
         self.malformed = 0
-        self.is_silent = self.is_frozen = False
-        self.reset_share = self.spoilt_share = self.half_share = 0.0
+        self.is_unreachable = self.is_frozen = False
+        self.reset_rate = self.corruption_rate = self.truncation_rate = 0.0
         self.held_in: list[tuple[ServerConnection, bytes, float]] = []
         self.held_out: list[tuple[ServerConnection, bytes]] = []
         self._chances = Chances(rng)
-        self.doors = doors or [Door(0, self._chances)]
-        self.is_up = False
-        model.on_fall = self._fell
+        self.links = doors or [ServerLink(0, self._chances)]
+        self.is_listening = False
+        model.on_overload_crash = self.crash_by_overload
 
-    def event(self, what: str, pushed_by: tuple[str, ...] = ()) -> None:
+    def record_event(self, what: str, pushed_by: tuple[str, ...] = ()) -> None:
         """Write down what happened to this server."""
         self.ledger.server_events.append(ServerEvent(self.number, what, self.now(), pushed_by))
 
@@ -251,22 +232,22 @@
     @property
     def port(self) -> int:
         """The port that the first group of routers knows."""
-        return self.doors[0].port
+        return self.links[0].port
 
     async def start(self) -> None:
         """Listen, at the same addresses as before if there were any."""
-        self.is_up = True
-        for door in self.doors:
+        self.is_listening = True
+        for door in self.links:
             await self._open(door)
 
-    async def _open(self, door: Door) -> None:
+    async def _open(self, door: ServerLink) -> None:
         await door.open(lambda: ServerConnection(self, door))
 
     def crash(self) -> None:
         """The process dies: connections are reset, new ones refused."""
-        self.event("gone")
+        self.record_event("gone")
         self._close_listener()
-        self.thaw(drop=True)
+        self.resume(drop=True)
         for connection in list(self.connections):
             connection.cut()
         self.model.boot(cold=True)
@@ -274,68 +255,68 @@
     async def restart(self) -> None:
         """Start anew, cold, at the same address."""
         self.model.boot(cold=True)
-        self.event("cold")
+        self.record_event("cold")
         await self.start()
 
     def _close_listener(self) -> None:
-        self.is_up = False
-        for door in self.doors:
+        self.is_listening = False
+        for door in self.links:
             door.close()
 
-    def _fell(self, pushed_by: tuple[str, ...]) -> None:
-        self.event("fell", pushed_by)
+    def crash_by_overload(self, pushed_by: tuple[str, ...]) -> None:
+        self.record_event("fell", pushed_by)
         self.crash()
 
     def drain(self) -> None:
         """Finish what it has and take nothing new."""
         self.model.draining = True
-        self.event("draining")
+        self.record_event("draining")
 
     # faults
 
-    def silence(self) -> None:
+    def become_unreachable(self) -> None:
         """The machine is cut off: open connections go quiet, new ones never come up."""
-        self.is_silent = True
-        self.event("gone")
+        self.is_unreachable = True
+        self.record_event("gone")
         for connection in self.connections:
             connection.dead = True
             with contextlib.suppress(RuntimeError):
                 connection.transport.pause_reading()
         self._close_listener()
-        for door in self.doors:
-            door.deafen()
+        for door in self.links:
+            door.blackhole()
 
-    async def return_from_silence(self) -> None:
+    async def become_reachable(self) -> None:
         """The machine is back: old connections are reset."""
         for connection in list(self.connections):
             connection.cut()
-        self.is_silent = False
-        self.event("up")
+        self.is_unreachable = False
+        self.record_event("up")
         await self.start()
 
-    async def set_link(self, groups: list[int], figures: dict[str, float]) -> None:
+    async def set_link_conditions(self, groups: list[int], figures: dict[str, float]) -> None:
         """Change the links of some groups of routers (all, if none is named): figures of Door by their names."""
-        for door in self.doors:
+        for door in self.links:
             if groups and door.group not in groups:
                 continue
-            was_cut = door.cut_in or door.cut_out
+            was_cut = door.inbound_blocked or door.outbound_blocked
             for name, value in figures.items():
-                setattr(door, name, door.usual_delay + value if name == "delay" else value)
-            is_cut = door.cut_in or door.cut_out
-            if self.is_up and is_cut and not was_cut:
-                door.deafen()
-            elif self.is_up and was_cut and not is_cut:
+                setattr(door, name, door.base_delay_ms + value if name == "delay_ms" else value)
+            is_cut = door.inbound_blocked or door.outbound_blocked
+            if self.is_listening and is_cut and not was_cut:
+                door.blackhole()
+            elif self.is_listening and was_cut and not is_cut:
                 await self._open(door)
             for connection in list(self.connections):
-                if connection.door is door:
-                    connection.inward.heal()
-                    connection.outward.heal()
+                if connection.link is door:
+                    connection.inward.resume()
+                    connection.outward.resume()
 
     def freeze(self) -> None:
         """The process stands still; the system still accepts connections and bytes for it."""
         self.is_frozen = True
 
-    def thaw(self, drop: bool = False) -> None:
+    def resume(self, drop: bool = False) -> None:
         """The process goes on: what came and what was due meanwhile is handled now."""
         self.is_frozen = False
         held_out, self.held_out, held_in, self.held_in = self.held_out, [], self.held_in, []
@@ -361,39 +342,43 @@
             else:
                 answer, delivery.outcome = self._worded(job, delivery), ANSWERED
         delivery.ended_at = self.now()
-        if connection.dead or job.over:
+        if connection.dead or job.is_cancelled:
             delivery.outcome = CUT
             return
-        if self.reset_share and self._chances.next() < self.reset_share:
+        if self.reset_rate and self._chances.next() < self.reset_rate:
             delivery.outcome = CUT
             connection.cut()
             return
-        if how == "served" and connection.door.broken and self._chances.next() < connection.door.broken:
+        if (
+            how == "served"
+            and connection.link.truncation_rate
+            and self._chances.next() < connection.link.truncation_rate
+        ):
             delivery.outcome = CUT
             connection.write(answer[: len(answer) // 2])
             connection.transport.close()  # what is written still goes out, then the connection ends
             connection.dead = True
             return
-        if how == "served" and self.half_share and self._chances.next() < self.half_share:
+        if how == "served" and self.truncation_rate and self._chances.next() < self.truncation_rate:
             delivery.outcome = CUT
             connection.write(answer[: len(answer) // 2])
             connection.dead = True  # and it says nothing more, as a machine that vanished
             return
-        if how == "served" and self.spoilt_share and self._chances.next() < self.spoilt_share:
+        if how == "served" and self.corruption_rate and self._chances.next() < self.corruption_rate:
             answer = self._spoil(answer, delivery.request_id)
         slot.answer = answer
         connection._flush()
 
     def _worded(self, job: Job, delivery: Delivery) -> bytes:
         load = ",".join(f"{n}={v:.3f}" for n, v in self.model.report().items())
-        if job.write:
-            receipt = f"{zlib.crc32(f'{job.rid}/{self.number}/{job.version}'.encode()):08x}"
+        if job.is_write:
+            receipt = f"{zlib.crc32(f'{job.request_id}/{self.number}/{job.version}'.encode()):08x}"
             delivery.checksum = zlib.crc32(receipt.encode())
-            return f"HD O{job.rid} c{receipt} L{load}\r\n".encode()
-        value = f"{job.rid} {job.key} v{job.version} b{self.number} ".encode()
+            return f"HD O{job.request_id} c{receipt} L{load}\r\n".encode()
+        value = f"{job.request_id} {job.key} v{job.version} b{self.number} ".encode()
         value += self.padding[: max(0, len(self.padding) - len(value))]
         delivery.checksum = zlib.crc32(value)
-        return f"VA {len(value)} O{job.rid} {job.note} L{load}\r\n".encode() + value + b"\r\n"
+        return f"VA {len(value)} O{job.request_id} {job.flags} L{load}\r\n".encode() + value + b"\r\n"
 
     def _spoil(self, answer: bytes, rid: str) -> bytes:
         """Return one of the ways in which servers, or what lies between, spoil answers."""
--- a/starlingthread/emulator/discovery.py
+++ b/starlingthread/emulator/discovery_server.py
@@ -16,15 +16,15 @@
 KEPT_CHANGES = 1000
 
 
-class Entry:
+class ListedServer:
     """A line of the list. Each group of routers knows the server by an address of its own."""
 
     def __init__(self, number: int, name: str, addresses: list[str], zone: str) -> None:
         self.number, self.name, self.addresses, self.zone = number, name, addresses, zone
-        self.status, self.since_ms, self.changed = "in_service", 0, 1
+        self.status, self.since_ms, self.changed_at_index = "in_service", 0, 1
         self.started_at = 0.0  # the same moment on the machine's monotonic clock
 
-    def line(self, router: int = 0) -> dict[str, Any]:
+    def endpoint_line(self, router: int = 0) -> dict[str, Any]:
         """Return it in the form of the protocol, as one router is told it."""
         address = self.addresses[router % len(self.addresses)]
         return {
@@ -43,17 +43,17 @@
     """All routers' view of the fleet. ``notified`` gets a record for each line written to a router."""
 
     def __init__(self, routers: int, call_ms: float, notified: list[StatusNotification]) -> None:
-        self.notified, self.call_ms = notified, call_ms
+        self.notifications, self.request_delay_ms = notified, call_ms
         self.index = 1
-        self.entries: dict[int, Entry] = {}
+        self.entries: dict[int, ListedServer] = {}
         self.is_down = False
-        self.cut_off: set[int] = set()  # routers whose calls hear nothing
-        self.calls = self.failed = 0
+        self.partitioned_routers: set[int] = set()  # routers whose calls hear nothing
+        self.requests = self.failed_requests = 0
         self.ports: list[int] = []
         self._routers, self._router_of_port = routers, {0: 0}
         self._one_at_a_time = asyncio.Lock()
         self._changed = asyncio.Event()
-        self._gone: list[tuple[int, Entry]] = []
+        self._gone: list[tuple[int, ListedServer]] = []
         self._watches: set[asyncio.Task[Any]] = set()
         self._runner: web.AppRunner | None = None
 
@@ -81,10 +81,10 @@
 
     # changes
 
-    def put(self, entry: Entry) -> None:
+    def publish(self, entry: ListedServer) -> None:
         """Enter a server, or its change of state, under a new version."""
         self.index += 1
-        entry.changed = self.index
+        entry.changed_at_index = self.index
         if entry.status == "terminated":
             self.entries.pop(entry.number, None)
             self._gone.append((self.index, entry))
@@ -94,16 +94,16 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def down(self, is_down: bool) -> None:
+    def set_down(self, is_down: bool) -> None:
         """Go down, which ends the watches, or come back."""
         self.is_down = is_down
         if is_down:
             for task in list(self._watches):
                 task.cancel()
 
-    def cut(self, routers: set[int], is_cut: bool) -> None:
+    def partition(self, routers: set[int], is_cut: bool) -> None:
         """Cut some routers off, or let them hear again: their calls and watches stand still meanwhile."""
-        self.cut_off = self.cut_off | routers if is_cut else self.cut_off - routers
+        self.partitioned_routers = self.partitioned_routers | routers if is_cut else self.partitioned_routers - routers
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -112,35 +112,43 @@
         return {
             "index": self.index,
             "snapshot": True,
-            "endpoints": [entry.line(router) for entry in self.entries.values()],
+            "endpoints": [entry.endpoint_line(router) for entry in self.entries.values()],
         }
 
-    def _since(self, index: int, router: int = 0) -> tuple[dict[str, Any], list[Entry]]:
+    def _since(self, index: int, router: int = 0) -> tuple[dict[str, Any], list[ListedServer]]:
         if index <= 0 or index > self.index or (len(self._gone) == KEPT_CHANGES and self._gone[0][0] > index):
             entries = list(self.entries.values())
-            return {"index": self.index, "snapshot": True, "endpoints": [e.line(router) for e in entries]}, entries
-        entries = [e for e in self.entries.values() if e.changed > index]
+            return {
+                "index": self.index,
+                "snapshot": True,
+                "endpoints": [e.endpoint_line(router) for e in entries],
+            }, entries
+        entries = [e for e in self.entries.values() if e.changed_at_index > index]
         back = {e.number for e in entries}
         entries += [e for at, e in self._gone if at > index and e.number not in back and e.number not in self.entries]
-        return {"index": self.index, "snapshot": False, "endpoints": [e.line(router) for e in entries]}, entries
+        return {
+            "index": self.index,
+            "snapshot": False,
+            "endpoints": [e.endpoint_line(router) for e in entries],
+        }, entries
 
-    def _note(self, router: int, entries: list[Entry]) -> None:
+    def _note(self, router: int, entries: list[ListedServer]) -> None:
         at = time.monotonic() * 1000.0
-        self.notified.extend(StatusNotification(router, e.number, e.status, at, e.started_at) for e in entries)
+        self.notifications.extend(StatusNotification(router, e.number, e.status, at, e.started_at) for e in entries)
 
     # calls
 
     async def _answer(self, request: web.Request) -> web.StreamResponse:
-        self.calls += 1
+        self.requests += 1
         assert request.transport is not None
         router = self._router_of_port[request.transport.get_extra_info("sockname")[1]]
         async with self._one_at_a_time:
-            await asyncio.sleep(self.call_ms / 1000.0)
-        while router in self.cut_off:
+            await asyncio.sleep(self.request_delay_ms / 1000.0)
+        while router in self.partitioned_routers:
             await self._changed.wait()
         if self.is_down:
-            self.failed += 1
-            if self.failed % 2:
+            self.failed_requests += 1
+            if self.failed_requests % 2:
                 request.transport.abort()
             return web.Response(status=503)
         if request.query.get("watch") != "1":
@@ -165,7 +173,7 @@
         try:
             while True:
                 changed = self._changed
-                while router in self.cut_off:
+                while router in self.partitioned_routers:
                     await self._changed.wait()
                 if first or after < self.index:
                     body, entries = self._since(after, router)
--- a/starlingthread/emulator/faults.py
+++ b/starlingthread/emulator/faults.py
@@ -16,8 +16,8 @@
 from ..experiment.records import FaultRecord
 from ..experiment.scenario import Fault, Scenario, link_groups
 
-LEAVES_AFTER = 3.0  # s that a draining server has for what it holds
-FRONT_GRACE = 0.3  # s for which new connections still go to a router after SIGTERM
+DRAIN_PERIOD_S = 3.0  # s that a draining server has for what it holds
+FRONT_GRACE_S = 0.3  # s for which new connections still go to a router after SIGTERM
 
 
 class Testbed(Protocol):
@@ -25,37 +25,37 @@
 
     scenario: Scenario
 
-    async def server(self, number: int, method: str) -> None:
+    async def call_server(self, number: int, method: str) -> None:
         """Call a method of a server."""
 
-    async def server_set(self, number: int, name: str, value: float) -> None:
+    async def set_server_attribute(self, number: int, name: str, value: float) -> None:
         """Set a figure of a server."""
 
-    async def set_link(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
+    async def set_link_conditions(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
         """Change a server's links to some groups of routers, all if none is named."""
 
-    def cut_discovery(self, routers: set[int], is_cut: bool) -> None:
+    def partition_discovery(self, routers: set[int], is_cut: bool) -> None:
         """Cut routers off from discovery, or end that."""
 
-    def split_peers(self, routers: set[int], is_split: bool) -> None:
+    def partition_peers(self, routers: set[int], is_split: bool) -> None:
         """Let datagrams of some routers reach only one another, or end that."""
 
-    def list_server(self, number: int, status: str, restarted: bool = False) -> None:
+    def publish_status(self, number: int, status: str, restarted: bool = False) -> None:
         """Change a server's line at discovery."""
 
-    async def clients(self, method: str, *arguments: object) -> None:
+    async def call_clients(self, method: str, *arguments: object) -> None:
         """Call all processes that play clients."""
 
     async def bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
         """Start bad clients."""
 
-    def discovery_down(self, is_down: bool) -> None:
+    def set_discovery_down(self, is_down: bool) -> None:
         """Take discovery down, or up again."""
 
-    def drop_datagrams(self, share: float) -> None:
+    def set_datagram_loss(self, share: float) -> None:
         """Lose a share of the datagrams."""
 
-    def jam_origin(self, factor: float) -> None:
+    def slow_origin(self, factor: float) -> None:
         """Let the origin take so many times less."""
 
     async def kill_router(self, number: int) -> None:
@@ -70,7 +70,7 @@
     def signal_router(self, number: int, which: signal.Signals) -> None:
         """Send a signal to a router."""
 
-    def mark(self, marked: FaultRecord) -> None:
+    def record_fault(self, marked: FaultRecord) -> None:
         """Write down what was done when."""
 
 
@@ -122,7 +122,7 @@
 }
 
 
-class Faults:
+class FaultInjector:
     """Plays a scenario's faults on a testbed."""
 
     def __init__(self, testbed: Testbed, rng: np.random.Generator) -> None:
@@ -131,7 +131,7 @@
         self.plan = [(fault, targets(fault, self.scenario, rng)) for fault in self.scenario.faults]
         self._later: set[asyncio.Task[None]] = set()
 
-    async def play(self, started_at: float) -> None:
+    async def run(self, started_at: float) -> None:
         """Carry all of them out; ``started_at`` is the run's start in ms."""
         await asyncio.gather(*(self._one(fault, struck, started_at) for fault, struck in self.plan))
         await asyncio.gather(*self._later)
@@ -155,7 +155,7 @@
             await self._end(fault, struck)
         on_routers = fault.kind.endswith("-router") or fault.kind in ON_ROUTER_LINKS
         where = "servers " if fault.kind in ON_SERVERS else "routers " if on_routers else ""
-        self.testbed.mark(
+        self.testbed.record_fault(
             FaultRecord(
                 fault.label(),
                 fault.kind,
@@ -172,20 +172,20 @@
         testbed, kind, strength = self.testbed, fault.kind, fault.strength
         if kind in FIGURES:
             for number in struck:
-                await testbed.server_set(number, FIGURES[kind][0], strength)
+                await testbed.set_server_attribute(number, FIGURES[kind][0], strength)
         elif kind in LINKS or kind in ON_ROUTER_LINKS:
             await self._link(fault, struck, True)
         elif kind == "heavy-tail":
             for number in struck:
-                await testbed.server_set(number, "tail_share", fault.share)
-                await testbed.server_set(number, "tail", strength)
+                await testbed.set_server_attribute(number, "tail_share", fault.share)
+                await testbed.set_server_attribute(number, "tail_factor", strength)
         elif kind == "pauses":
             for place, number in enumerate(struck):
                 self.later(fault.every_s * place / len(struck), partial(self._pauses, fault, number))
         elif kind == "pause":
             await _each(testbed, struck, "freeze")
         elif kind in ("silent", "zone-dark"):
-            await _each(testbed, struck, "silence")
+            await _each(testbed, struck, "become_unreachable")
             self._list_later(struck, "terminated", self.scenario.discovery.crash_notice_ms)
         elif kind == "crash":
             await _each(testbed, struck, "crash")
@@ -198,18 +198,18 @@
         elif kind == "shrink":
             await _each(testbed, struck, "drain")
             self._list_later(struck, "terminating", self.scenario.discovery.notice_ms)
-            self.later(LEAVES_AFTER, lambda: _each(testbed, struck, "crash"))
-            self._list_later(struck, "terminated", LEAVES_AFTER * 1000.0 + self.scenario.discovery.notice_ms)
+            self.later(DRAIN_PERIOD_S, lambda: _each(testbed, struck, "crash"))
+            self._list_later(struck, "terminated", DRAIN_PERIOD_S * 1000.0 + self.scenario.discovery.notice_ms)
         elif kind in ("garbage-clients", "half-commands"):
             await testbed.bad_clients(strength, fault.length_s, kind == "half-commands")
         elif kind == "leaving-clients":
-            await testbed.clients("leave", strength)
+            await testbed.call_clients("leave", strength)
         elif kind == "lost-datagrams":
-            testbed.drop_datagrams(strength)
+            testbed.set_datagram_loss(strength)
         elif kind == "discovery-down":
-            testbed.discovery_down(True)
+            testbed.set_discovery_down(True)
         elif kind == "origin-jam":
-            testbed.jam_origin(strength)
+            testbed.slow_origin(strength)
         elif kind == "kill-router":
             for number in struck:
                 await testbed.kill_router(number)
@@ -223,28 +223,28 @@
         testbed, kind = self.testbed, fault.kind
         if kind in FIGURES:
             for number in struck:
-                await testbed.server_set(number, *FIGURES[kind])
+                await testbed.set_server_attribute(number, *FIGURES[kind])
         elif kind in LINKS or kind in ON_ROUTER_LINKS:
             await self._link(fault, struck, False)
         elif kind == "heavy-tail":
             for number in struck:
-                await testbed.server_set(number, "tail_share", 0.0)
+                await testbed.set_server_attribute(number, "tail_share", 0.0)
         elif kind == "pause":
-            await _each(testbed, struck, "thaw")
+            await _each(testbed, struck, "resume")
         elif kind in ("silent", "zone-dark"):
-            await _each(testbed, struck, "return_from_silence")
+            await _each(testbed, struck, "become_reachable")
             self._list_later(struck, "in_service", self.scenario.discovery.notice_ms)
         elif kind in ("crash", "shrink"):
             await _each(testbed, struck, "restart")
             self._list_later(struck, "in_service", self.scenario.discovery.notice_ms, restarted=True)
         elif kind == "leaving-clients":
-            await testbed.clients("leave", self.scenario.traffic.leave)
+            await testbed.call_clients("leave", self.scenario.traffic.leave)
         elif kind == "lost-datagrams":
-            testbed.drop_datagrams(0.0)
+            testbed.set_datagram_loss(0.0)
         elif kind == "discovery-down":
-            testbed.discovery_down(False)
+            testbed.set_discovery_down(False)
         elif kind == "origin-jam":
-            testbed.jam_origin(1.0)
+            testbed.slow_origin(1.0)
         elif kind == "kill-router":
             await asyncio.gather(*(testbed.start_router(number) for number in struck))
         elif kind == "stop-router":
@@ -254,50 +254,58 @@
     async def _link(self, fault: Fault, struck: tuple[int, ...], begins: bool) -> None:
         """Set what is wrong with the links between some routers and servers, discovery or one another."""
         if fault.kind == "discovery-cut":
-            return self.testbed.cut_discovery(set(struck), begins)
+            return self.testbed.partition_discovery(set(struck), begins)
         if fault.kind == "peers-cut":
-            return self.testbed.split_peers(set(struck), begins)
+            return self.testbed.partition_peers(set(struck), begins)
         figures: dict[str, float] = {LINKS[fault.kind]: fault.strength if begins else 0.0}
         if fault.kind == "link-cut":
-            figures = {"cut_in": begins and fault.way != "from-server", "cut_out": begins and fault.way != "to-server"}
+            figures = {
+                "inbound_blocked": begins and fault.way != "from-server",
+                "outbound_blocked": begins and fault.way != "to-server",
+            }
         for number in struck:
             with contextlib.suppress(ConnectionError):
-                await self.testbed.set_link(number, groups_of(fault, self.scenario), figures)
+                await self.testbed.set_link_conditions(number, groups_of(fault, self.scenario), figures)
 
     async def _pauses(self, fault: Fault, number: int) -> None:
         """Pause a server again and again; servers struck together pause one after another."""
         for _ in range(max(1, int(fault.length_s / fault.every_s))):
             await _each(self.testbed, (number,), "freeze")
             await asyncio.sleep(fault.strength / 1000.0)
-            await _each(self.testbed, (number,), "thaw")
+            await _each(self.testbed, (number,), "resume")
             await asyncio.sleep(max(0.0, fault.every_s - fault.strength / 1000.0))
 
     def _list_later(self, struck: tuple[int, ...], status: str, delay_ms: float, restarted: bool = False) -> None:
         async def change() -> None:
             for number in struck:
-                self.testbed.list_server(number, status, restarted)
+                self.testbed.publish_status(number, status, restarted)
 
         self.later(delay_ms / 1000.0, change)
 
 
 # What a fault sets on a server, and what stands there when it is over.
 FIGURES: dict[str, tuple[str, float]] = {
-    "slow": ("slow", 1.0),
-    "reset": ("reset_share", 0.0),
-    "late-reports": ("extra_delay", 0.0),
-    "spoilt": ("spoilt_share", 0.0),
-    "half-answers": ("half_share", 0.0),
+    "slow": ("slowdown", 1.0),
+    "reset": ("reset_rate", 0.0),
+    "late-reports": ("extra_report_delay_ms", 0.0),
+    "spoilt": ("corruption_rate", 0.0),
+    "half-answers": ("truncation_rate", 0.0),
 }
 
 
 # What a fault of a link sets at a server's address for some routers.
-LINKS = {"link-cut": "cut_in", "link-slow": "delay", "link-lossy": "loss", "link-broken": "broken"}
+LINKS = {
+    "link-cut": "inbound_blocked",
+    "link-slow": "delay_ms",
+    "link-lossy": "loss_rate",
+    "link-broken": "truncation_rate",
+}
 
 
 async def _each(testbed: Testbed, numbers: tuple[int, ...], method: str) -> None:
     for number in numbers:
         with contextlib.suppress(ConnectionError):
-            await testbed.server(number, method)
+            await testbed.call_server(number, method)
 
 
 async def _until(at: float) -> None:
--- a/starlingthread/emulator/truth.py
+++ b/starlingthread/emulator/load_oracle.py
@@ -6,9 +6,9 @@
 import struct
 from pathlib import Path
 
-VARIABLE = "STARLINGTHREAD_TRUTH"  # the environment's name for the file
-CELL = struct.Struct("=d")  # for each server: commands that wait or run, over its slots and its speed
-EVERY = 0.005  # s between two looks
+ORACLE_FILE_VARIABLE = "STARLINGTHREAD_TRUTH"  # the environment's name for the file
+LOAD_CELL = struct.Struct("=d")  # for each server: commands that wait or run, over its slots and its speed
+WRITE_PERIOD_S = 0.005  # s between two looks
 
 
 def server_name(number: int) -> str:
@@ -16,12 +16,12 @@
     return f"s-{number:04d}"
 
 
-def lay_out(path: Path, servers: int) -> None:
+def create_oracle_file(path: Path, servers: int) -> None:
     """Make the file."""
-    path.write_bytes(bytes(CELL.size * servers))
+    path.write_bytes(bytes(LOAD_CELL.size * servers))
 
 
-class Truth:
+class LoadOracleWriter:
     """The writing end; each server has a cell, and each process of servers writes its own."""
 
     def __init__(self, path: Path) -> None:
@@ -30,4 +30,4 @@
 
     def write(self, server: int, load: float) -> None:
         """Write down one server's load."""
-        CELL.pack_into(self._cells, server * CELL.size, load)
+        LOAD_CELL.pack_into(self._cells, server * LOAD_CELL.size, load)
--- a/starlingthread/emulator/routers.py
+++ b/starlingthread/emulator/router_process.py
@@ -17,11 +17,11 @@
 
 from ..experiment.records import Ledger, RouterEvent, RouterSample
 from ..experiment.scenario import Scenario
-from .ports import free_port
-from .truth import VARIABLE
+from .load_oracle import ORACLE_FILE_VARIABLE
+from .port_allocation import free_port
 
 READY_WITHIN = 30.0  # s
-TRUTH_FILE, OPTIONS_FILE = "truth", "options.toml"
+ORACLE_FILE, OPTIONS_FILE = "truth", "options.toml"
 PEER_PRICE = 0.01
 
 
@@ -29,7 +29,7 @@
     return f"{address[0]}:{address[1]}"
 
 
-def settings_of(scenario: Scenario, me: int) -> dict[str, Any]:
+def router_settings(scenario: Scenario, me: int) -> dict[str, Any]:
     """Return the settings object that a router is given for this scenario."""
     fleet, rules = scenario.fleet, scenario.rules
     grades = [
@@ -118,7 +118,7 @@
         """The process id, 0 when it does not run."""
         return self.process.pid if self.process is not None and self.process.returncode is None else 0
 
-    def event(self, what: str, code: int = 0) -> None:
+    def record_event(self, what: str, code: int = 0) -> None:
         """Write down what happened to it."""
         self.ledger.router_events.append(RouterEvent(self.number, what, time.monotonic() * 1000.0, code))
 
@@ -137,7 +137,7 @@
             "peers": [_text(p) for p in peers],
             "peers_all": _text(everyone),
             "known": known,
-            "settings": settings_of(self.scenario, self.number),
+            "settings": router_settings(self.scenario, self.number),
         }
         path = self.folder / f"{self.name}.json"
         path.write_text(json.dumps(config))
@@ -162,7 +162,7 @@
         command = routers.command or (sys.executable, "-m", "starlingthread")
         if routers.policy:
             command = (sys.executable, "-m", "starlingthread.baselines.router", routers.policy)
-            environment[VARIABLE] = str(self.folder / TRUTH_FILE)
+            environment[ORACLE_FILE_VARIABLE] = str(self.folder / ORACLE_FILE)
         self._log = (self.folder / f"{self.name}.log").open("ab")
         process = await asyncio.create_subprocess_exec(
             *command, env=environment, stdin=asyncio.subprocess.DEVNULL, stdout=self._log, stderr=self._log
@@ -189,7 +189,7 @@
             try:
                 writer.write(b"mn\r\n")
                 if await asyncio.wait_for(reader.readline(), 1.0) == b"MN\r\n":
-                    self.event("up")
+                    self.record_event("up")
                     return True
             except (OSError, TimeoutError):
                 pass
@@ -225,7 +225,7 @@
             self.expected_to_end = True
             self.signal(signal.SIGKILL)
             await self.process.wait()
-            self.event("killed")
+            self.record_event("killed")
         self._close_log()
 
     async def terminate(self, within: float) -> int:
@@ -233,14 +233,14 @@
         if not self.pid or self.process is None:
             return self.process.returncode or 0 if self.process is not None else 0
         self.expected_to_end = True
-        self.event("terminating")
+        self.record_event("terminating")
         self.signal(signal.SIGTERM)
         try:
             code = await asyncio.wait_for(self.process.wait(), within)
         except TimeoutError:
             await self.kill()
             return -9
-        self.event("exited", code)
+        self.record_event("exited", code)
         self._close_log()
         return code
 
--- a/starlingthread/emulator/channel.py
+++ b/starlingthread/emulator/rpc_channel.py
@@ -13,10 +13,12 @@
 MAX_HELLO = 64  # bytes of the first message; who sends more is none of ours
 
 
-class Channel(asyncio.Protocol):
+class RpcChannel(asyncio.Protocol):
     """One end. ``on_message`` gets each message, a list that begins with its kind."""
 
-    def __init__(self, on_message: Callable[[Channel, list[Any]], None], on_end: Callable[[Channel], None]) -> None:
+    def __init__(
+        self, on_message: Callable[[RpcChannel, list[Any]], None], on_end: Callable[[RpcChannel], None]
+    ) -> None:
         self.on_message, self.on_end = on_message, on_end
         self.transport: asyncio.Transport
         self.name = ""
--- a/starlingthread/emulator/links.py
+++ b/starlingthread/emulator/server_links.py
@@ -17,37 +17,41 @@
 from collections.abc import Callable
 
 from ..experiment.randomness import Chances
-from .model import Schedule
-from .ports import free_port
+from .port_allocation import free_port
+from .schedule import Schedule
 
-RESENT = 200.0  # ms until TCP sends a lost piece again: the least that Linux waits
+RETRANSMIT_TIMEOUT_MS = 200.0  # ms until TCP sends a lost piece again: the least that Linux waits
 BACKLOG = 512
 
 
-class Door:
+class ServerLink:
     """One address of a server, and the state of the link of those who know it."""
 
     def __init__(self, group: int, chances: Chances, delay: float = 0.0, part: tuple[int, int] = (0, 1)) -> None:
-        self.group, self.chances, self.part = group, chances, part
+        self.group, self.draws, self.port_stripe = group, chances, part
         self.port = 0
-        self.usual_delay = self.delay = delay  # ms one way: the distance, and what a fault adds
-        self.loss = self.broken = 0.0  # share of pieces that are lost at first; of answers cut in the middle
-        self.cut_in = self.cut_out = False  # nothing comes through to the server; from it
+        self.base_delay_ms = self.delay_ms = delay  # ms one way: the distance, and what a fault adds
+        self.loss_rate = self.truncation_rate = (
+            0.0  # share of pieces that are lost at first; of answers cut in the middle
+        )
+        self.inbound_blocked = self.outbound_blocked = False  # nothing comes through to the server; from it
         self._listener: asyncio.Server | None = None
-        self._deaf: list[socket.socket] = []
+        self._blackhole_sockets: list[socket.socket] = []
 
     @property
-    def is_plain(self) -> bool:
+    def is_transparent(self) -> bool:
         """Whether nothing is wrong with the link and it has no length."""
-        return not (self.delay or self.loss or self.broken or self.cut_in or self.cut_out)
+        return not (
+            self.delay_ms or self.loss_rate or self.truncation_rate or self.inbound_blocked or self.outbound_blocked
+        )
 
     async def open(self, connection: Callable[[], asyncio.Protocol]) -> None:
         """Listen, at the same address as before if there was one; a cut link's address answers nobody."""
-        self.port = self.port or free_port(socket.SOCK_STREAM, *self.part)
-        if self.cut_in or self.cut_out:
-            self.deafen()
+        self.port = self.port or free_port(socket.SOCK_STREAM, *self.port_stripe)
+        if self.inbound_blocked or self.outbound_blocked:
+            self.blackhole()
             return
-        self._undeafen()
+        self._clear_blackhole()
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listening.bind(("127.0.0.1", self.port))
@@ -58,9 +62,9 @@
         if self._listener is not None:
             self._listener.close()
             self._listener = None
-        self._undeafen()
+        self._clear_blackhole()
 
-    def deafen(self) -> None:
+    def blackhole(self) -> None:
         """Let new connections never come up.
 
         A listening socket whose one place is taken answers no SYN: that is how a missing machine looks.
@@ -74,33 +78,33 @@
         except OSError:  # the address is not free yet: new connections are refused instead
             deaf.close()
             return
-        self._deaf.append(deaf)
+        self._blackhole_sockets.append(deaf)
         for _ in range(2):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
-            self._deaf.append(filler)
+            self._blackhole_sockets.append(filler)
 
-    def _undeafen(self) -> None:
-        for sock in self._deaf:
+    def _clear_blackhole(self) -> None:
+        for sock in self._blackhole_sockets:
             with contextlib.suppress(OSError):
                 sock.close()
-        self._deaf = []
+        self._blackhole_sockets = []
 
 
-class Lane:
+class LinkDirection:
     """One direction of one connection: pieces go through in order, as late as the link makes them."""
 
     __slots__ = ("_deliver", "_door", "_is_out", "_schedule", "_waiting", "_woken")
 
-    def __init__(self, door: Door, is_out: bool, schedule: Schedule, deliver: Callable[[bytes], None]) -> None:
+    def __init__(self, door: ServerLink, is_out: bool, schedule: Schedule, deliver: Callable[[bytes], None]) -> None:
         self._door, self._is_out, self._schedule, self._deliver = door, is_out, schedule, deliver
         self._waiting: deque[tuple[float, bytes]] = deque()
         self._woken = False
 
     def push(self, data: bytes) -> None:
         """Send a piece."""
-        if not self._waiting and self._door.is_plain:
+        if not self._waiting and self._door.is_transparent:
             self._deliver(data)
             return
         self._waiting.append((self._due(), data))
@@ -108,12 +112,12 @@
 
     def _due(self) -> float:
         door = self._door
-        if door.cut_out if self._is_out else door.cut_in:
+        if door.outbound_blocked if self._is_out else door.inbound_blocked:
             return math.inf
-        lost = door.loss > 0 and door.chances.next() < door.loss
-        return self._schedule.now() + door.delay + (RESENT if lost else 0.0)
+        lost = door.loss_rate > 0 and door.draws.next() < door.loss_rate
+        return self._schedule.now() + door.delay_ms + (RETRANSMIT_TIMEOUT_MS if lost else 0.0)
 
-    def heal(self) -> None:
+    def resume(self) -> None:
         """The link is whole again: what was held is on its way now."""
         self._waiting = deque((self._due() if at == math.inf else at, data) for at, data in self._waiting)
         self._run()
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -18,14 +18,14 @@
 import tomli_w
 import uvloop
 
-from ..emulator.channel import Channel
-from ..emulator.discovery import DiscoveryServer, Entry
-from ..emulator.faults import FRONT_GRACE, Faults
-from ..emulator.model import OriginModel
-from ..emulator.relay import Relay
-from ..emulator.routers import OPTIONS_FILE, TRUTH_FILE, RouterProcess
-from ..emulator.servers import LoopSchedule
-from ..emulator.truth import lay_out, server_name
+from ..emulator.datagram_relay import DatagramRelay
+from ..emulator.discovery_server import DiscoveryServer, ListedServer
+from ..emulator.faults import FRONT_GRACE_S, FaultInjector
+from ..emulator.load_oracle import create_oracle_file, server_name
+from ..emulator.origin_model import OriginModel
+from ..emulator.router_process import OPTIONS_FILE, ORACLE_FILE, RouterProcess
+from ..emulator.rpc_channel import RpcChannel
+from ..emulator.schedule import EventLoopSchedule
 from ..experiment.randomness import streams
 from ..experiment.records import FaultRecord, Ledger, ServerEvent, StatusNotification
 from ..experiment.scenario import Scenario, descriptors_needed
@@ -76,14 +76,14 @@
         if scenario.routers.options:  # before any router starts: one that reads it half written would go without
             (folder / OPTIONS_FILE).write_text(tomli_w.dumps(scenario.routers.options))
         seeds = streams(scenario.seed + 1_000_003, 3)
-        self.schedule = LoopSchedule(asyncio.get_running_loop())
+        self.schedule = EventLoopSchedule(asyncio.get_running_loop())
         self.origin = OriginModel(scenario.origin, self.schedule, seeds[0])
         self.origin.on_write = self._wrote
-        self.relay = Relay(scenario.datagrams, seeds[1])
-        self.faults = Faults(self, seeds[2])
+        self.relay = DatagramRelay(scenario.datagrams, seeds[1])
+        self.faults = FaultInjector(self, seeds[2])
         self.discovery = DiscoveryServer(scenario.routers.count, scenario.discovery.call_ms, self.ledger.notifications)
         self.routers = [RouterProcess(n, scenario, folder, self.ledger) for n in range(scenario.routers.count)]
-        self.workers: dict[tuple[str, int], Channel] = {}
+        self.workers: dict[tuple[str, int], RpcChannel] = {}
         self._processes: list[asyncio.subprocess.Process] = []
         self._joined = asyncio.Event()
         self._front: set[asyncio.Task[None]] = set()
@@ -100,7 +100,7 @@
         clients = machine.load_processes if self.has_clients else 0
         return [*(("servers", n) for n in range(machine.server_processes)), *(("clients", n) for n in range(clients))]
 
-    def _message(self, channel: Channel, message: list[Any]) -> None:
+    def _message(self, channel: RpcChannel, message: list[Any]) -> None:
         kind = message[0]
         if not channel.name and kind != "hello":
             channel.transport.abort()
@@ -115,10 +115,10 @@
                 self._joined.set()
         elif kind == "fell":
             asyncio.get_running_loop().call_later(
-                self.scenario.discovery.crash_notice_ms / 1000.0, self.list_server, message[1], "terminated"
+                self.scenario.discovery.crash_notice_ms / 1000.0, self.publish_status, message[1], "terminated"
             )
 
-    def _ended(self, channel: Channel) -> None:
+    def _ended(self, channel: RpcChannel) -> None:
         if channel.name and not self._over and not self._failed.done():
             self._failed.set_exception(
                 RunError(f"process {channel.name} of the emulator has ended; see its trace above")
@@ -129,38 +129,38 @@
             if role == "servers":
                 channel.send("i", key)
 
-    def _server(self, number: int) -> Channel:
+    def _server(self, number: int) -> RpcChannel:
         return self.workers[("servers", number % self.scenario.machine.server_processes)]
 
     # the testbed, as faults see it
 
-    async def server(self, number: int, method: str) -> None:
+    async def call_server(self, number: int, method: str) -> None:
         await self._server(number).call("server", number, method, [])
 
-    async def server_set(self, number: int, name: str, value: float) -> None:
+    async def set_server_attribute(self, number: int, name: str, value: float) -> None:
         await self._server(number).call("set", number, name, value)
 
-    async def set_link(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
+    async def set_link_conditions(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
         await self._server(number).call("link", number, groups, figures)
 
-    def cut_discovery(self, routers: set[int], is_cut: bool) -> None:
-        self.discovery.cut(routers, is_cut)
+    def partition_discovery(self, routers: set[int], is_cut: bool) -> None:
+        self.discovery.partition(routers, is_cut)
 
-    def split_peers(self, routers: set[int], is_split: bool) -> None:
+    def partition_peers(self, routers: set[int], is_split: bool) -> None:
         if is_split:
-            self.relay.split.append(routers)
+            self.relay.partitions.append(routers)
         else:
-            self.relay.split.remove(routers)
+            self.relay.partitions.remove(routers)
 
-    def list_server(self, number: int, status: str, restarted: bool = False) -> None:
+    def publish_status(self, number: int, status: str, restarted: bool = False) -> None:
         entry = self._entries[number]
         entry.status = status
         if restarted:
             entry.since_ms, entry.started_at = int(time.time() * 1000.0), self.schedule.now()
-        self.discovery.put(entry)
+        self.discovery.publish(entry)
         self.ledger.server_events.append(ServerEvent(number, f"listed {status}", self.schedule.now()))
 
-    async def clients(self, method: str, *arguments: object) -> None:
+    async def call_clients(self, method: str, *arguments: object) -> None:
         for (role, _), channel in self.workers.items():
             if role == "clients":
                 await channel.call(method, *arguments)
@@ -168,16 +168,16 @@
     async def bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
         await self.workers[("clients", 0)].call("bad_clients", per_second, seconds, half)
 
-    def discovery_down(self, is_down: bool) -> None:
-        self.discovery.down(is_down)
+    def set_discovery_down(self, is_down: bool) -> None:
+        self.discovery.set_down(is_down)
 
-    def drop_datagrams(self, share: float) -> None:
-        self.relay.drop = share
+    def set_datagram_loss(self, share: float) -> None:
+        self.relay.extra_loss = share
 
-    def jam_origin(self, factor: float) -> None:
-        self.origin.jam = factor
+    def slow_origin(self, factor: float) -> None:
+        self.origin.slowdown = factor
 
-    def mark(self, marked: FaultRecord) -> None:
+    def record_fault(self, marked: FaultRecord) -> None:
         self.ledger.faults.append(marked)
 
     def _notice_later(self, number: int, delay: float) -> None:
@@ -186,7 +186,7 @@
         async def notice() -> None:
             await asyncio.sleep(delay)
             self._shunned.add(number)
-            await self.clients("front", number, False)
+            await self.call_clients("front", number, False)
 
         task = asyncio.create_task(notice())
         self._front.add(task)
@@ -198,7 +198,7 @@
             task.cancel()
         if number in self._shunned:
             self._shunned.discard(number)
-            await self.clients("front", number, True)
+            await self.call_clients("front", number, True)
 
     async def kill_router(self, number: int) -> None:
         self._notice_later(number, self.scenario.traffic.front_notices_ms / 1000.0)
@@ -209,7 +209,7 @@
         return (
             self.discovery.ports[number],
             self.relay.addresses,
-            self.relay.everyone,
+            self.relay.broadcast_address,
             self.discovery.snapshot(number),
         )
 
@@ -226,7 +226,7 @@
         await self._back(number)
 
     async def restart_router(self, number: int) -> None:
-        self._notice_later(number, FRONT_GRACE)
+        self._notice_later(number, FRONT_GRACE_S)
         longest = max(c.deadline_ms for c in self.scenario.traffic.classes) / 1000.0
         await self.routers[number].terminate(max(STOP_WITHIN, longest + 1.0))
         await self.start_router(number)
@@ -234,7 +234,7 @@
     def signal_router(self, number: int, which: signal.Signals) -> None:
         self.routers[number].signal(which)
         stopped = which == signal.SIGSTOP
-        self.routers[number].event("stopped" if stopped else "continued")
+        self.routers[number].record_event("stopped" if stopped else "continued")
         if stopped:
             self._notice_later(number, self.scenario.traffic.front_notices_ms / 1000.0)
         else:
@@ -266,7 +266,7 @@
                     path = router.configure(*self._place_of(router.number))
                     say(f"router {router.name}: LB_CONFIG={path} python -m starlingthread")
             self.ledger.started_at = self.schedule.now()
-            playing = asyncio.create_task(self.faults.play(self.ledger.started_at))
+            playing = asyncio.create_task(self.faults.run(self.ledger.started_at))
             try:
                 await asyncio.sleep(seconds if seconds is not None else 1e9)
             finally:
@@ -276,7 +276,7 @@
     async def _platform(self) -> AsyncIterator[None]:
         """Servers, discovery and relay, and all that was started taken down at the end."""
         server = await asyncio.get_running_loop().create_server(
-            lambda: Channel(self._message, self._ended), "127.0.0.1", 0
+            lambda: RpcChannel(self._message, self._ended), "127.0.0.1", 0
         )
         try:
             await self._set_up(server.sockets[0].getsockname()[1])
@@ -329,14 +329,14 @@
         plain = msgspec.to_builtins(scenario)
         truth = ""
         if scenario.routers.policy == "truth":
-            truth = str(self.folder / TRUTH_FILE)
-            lay_out(self.folder / TRUTH_FILE, scenario.fleet.servers)
+            truth = str(self.folder / ORACLE_FILE)
+            create_oracle_file(self.folder / ORACLE_FILE, scenario.fleet.servers)
         ports: dict[int, list[int]] = {}
         for number in range(scenario.machine.server_processes):
             ports.update(await self.workers[("servers", number)].call("setup", plain, truth))
         zones = scenario.fleet.zones
         self._entries = {
-            n: Entry(n, server_name(n), [f"127.0.0.1:{port}" for port in ports[n]], zones[n % len(zones)])
+            n: ListedServer(n, server_name(n), [f"127.0.0.1:{port}" for port in ports[n]], zones[n % len(zones)])
             for n in sorted(ports)
         }
         for number in range(scenario.fleet.cold_servers):
@@ -377,8 +377,8 @@
     async def _go(self) -> None:
         scenario = self.scenario
         started = self.ledger.started_at = self.schedule.now() + HEADROOM * 1000.0
-        await self.clients("begin", started)
-        playing = asyncio.create_task(self.faults.play(started))
+        await self.call_clients("begin", started)
+        playing = asyncio.create_task(self.faults.run(started))
         sampling = asyncio.create_task(self._sample(started))
         longest = max(c.deadline_ms for c in scenario.traffic.classes) / 1000.0
         finishing = asyncio.gather(
@@ -415,7 +415,7 @@
                 process = router.process
                 if process is not None and process.returncode is not None and not router.expected_to_end:
                     router.expected_to_end = True
-                    router.event("crashed", process.returncode)
+                    router.record_event("crashed", process.returncode)
             done = (self.schedule.now() - started) / 1000.0
             running = [f.label() for f in self.scenario.faults if f.start_s <= done < f.start_s + f.length_s]
             self.progress(max(0.0, min(done, length)), length, ", ".join(running) or "traffic")
@@ -427,7 +427,7 @@
         async def end(router: RouterProcess) -> None:
             router.signal(signal.SIGCONT)
             if code := await router.terminate(STOP_WITHIN):
-                router.event("bad-exit", code)
+                router.record_event("bad-exit", code)
 
         await asyncio.gather(*(end(router) for router in self.routers if router.pid))
         for channel in self.workers.values():
@@ -439,14 +439,14 @@
             {
                 "origin.fetches": origin.fetches,
                 "origin.writes": origin.writes,
-                "origin.repeats_dropped": origin.repeats,
+                "origin.repeats_dropped": origin.deduplicated_writes,
                 "origin.failures": origin.failures,
-                "discovery.calls": discovery.calls,
-                "discovery.failed": discovery.failed,
+                "discovery.calls": discovery.requests,
+                "discovery.failed": discovery.failed_requests,
                 "datagrams.sent": relay.sent,
                 "datagrams.delivered": relay.delivered,
                 "datagrams.dropped": relay.dropped,
-                "datagrams.too_long": relay.too_long,
+                "datagrams.too_long": relay.oversized,
             },
         )
 
--- a/starlingthread/testbed/worker.py
+++ b/starlingthread/testbed/worker.py
@@ -15,11 +15,12 @@
 import msgspec
 import uvloop
 
-from ..emulator.channel import Channel
-from ..emulator.links import Door
-from ..emulator.model import ServerModel
-from ..emulator.servers import CacheServer, LoopSchedule
-from ..emulator.truth import EVERY, Truth, server_name
+from ..emulator.cache_server import CacheServer
+from ..emulator.load_oracle import WRITE_PERIOD_S, LoadOracleWriter, server_name
+from ..emulator.rpc_channel import RpcChannel
+from ..emulator.schedule import EventLoopSchedule
+from ..emulator.server_links import ServerLink
+from ..emulator.server_model import ServerModel
 from ..experiment.randomness import Chances, server_speeds, streams
 from ..experiment.records import Ledger, ServerSample
 from ..experiment.scenario import Scenario, distance_ms, link_groups
@@ -33,7 +34,7 @@
 class RemoteOrigin:
     """The origin, which lives with the coordinator."""
 
-    def __init__(self, channel: Channel) -> None:
+    def __init__(self, channel: RpcChannel) -> None:
         self.channel = channel
         self._out: dict[int, Callable[[int | None], None]] = {}
         self._last = 0
@@ -61,8 +62,8 @@
     def __init__(self, number: int) -> None:
         self.number, self.ledger = number, Ledger()
         self.loop = asyncio.get_running_loop()
-        self.schedule = LoopSchedule(self.loop)
-        self.channel: Channel
+        self.schedule = EventLoopSchedule(self.loop)
+        self.channel: RpcChannel
         self.ended = asyncio.Event()
         self.longest_lag = 0.0
         self.scenario: Scenario
@@ -75,7 +76,7 @@
         self._looked_at = now
         self.loop.call_later(LAG_TICK, self.watch_lag)
 
-    def message(self, channel: Channel, message: list[Any]) -> None:
+    def message(self, channel: RpcChannel, message: list[Any]) -> None:
         """Take a message of the coordinator."""
         if message[0] == "c":
             self.loop.create_task(self._called(message[1], message[2], message[3]))
@@ -120,7 +121,7 @@
             chances = Chances(rngs[2 * number + 1])
             processes = self.scenario.machine.server_processes
             doors = [
-                Door(group, chances, distance_ms(self.scenario, number, group), (1 + self.number, 1 + processes))
+                ServerLink(group, chances, distance_ms(self.scenario, number, group), (1 + self.number, 1 + processes))
                 for group in range(link_groups(self.scenario))
             ]
             server = CacheServer(
@@ -133,7 +134,7 @@
                 rngs[2 * number + 1],
                 doors,
             )
-            model.on_fall = lambda pushed, server=server: self._fell(server, pushed)  # type: ignore[misc]
+            model.on_overload_crash = lambda pushed, server=server: self._fell(server, pushed)  # type: ignore[misc]
             self.servers[number] = server
             await server.start()
         if fleet.warm_keys:
@@ -141,11 +142,11 @@
         for number in range(fleet.cold_servers):
             if number in self.servers:
                 self.servers[number].model.boot(cold=True)
-                self.servers[number].event("cold")
+                self.servers[number].record_event("cold")
         self._sample()
         if truth:
-            self._tell(Truth(Path(truth)))
-        return {number: [door.port for door in server.doors] for number, server in self.servers.items()}
+            self._tell(LoadOracleWriter(Path(truth)))
+        return {number: [door.port for door in server.links] for number, server in self.servers.items()}
 
     def _warm(self) -> None:
         """Fill each server with a spread of the hottest keys, as after a day's work."""
@@ -153,13 +154,13 @@
         if self.scenario.traffic.direct:
             for key in hottest_first(self.scenario)[: fleet.memory_keys]:
                 for server in warm:
-                    server.model.keep(key_name(key), 0)
+                    server.model.store(key_name(key), 0)
             return
         for rank, key in enumerate(hottest_first(self.scenario)[: fleet.memory_keys * len(warm) // 2]):
-            warm[rank % len(warm)].model.keep(key_name(key), 0)
+            warm[rank % len(warm)].model.store(key_name(key), 0)
 
     def _fell(self, server: CacheServer, pushed: tuple[str, ...]) -> None:
-        server._fell(pushed)
+        server.crash_by_overload(pushed)
         self.channel.send("fell", server.number)
 
     def _sample(self) -> None:
@@ -169,7 +170,7 @@
                 ServerSample(
                     server.number,
                     self.schedule.now(),
-                    round(model.busy_share(), 4),
+                    round(model.utilization(), 4),
                     model.commands,
                     len(server.connections),
                 )
@@ -177,10 +178,10 @@
             model.commands = 0
         self.loop.call_later(SAMPLE_EVERY, self._sample)
 
-    def _tell(self, truth: Truth) -> None:
+    def _tell(self, truth: LoadOracleWriter) -> None:
         for server in self.servers.values():
-            truth.write(server.number, server.model.load())
-        self.loop.call_later(EVERY, self._tell, truth)
+            truth.write(server.number, server.model.true_load())
+        self.loop.call_later(WRITE_PERIOD_S, self._tell, truth)
 
     def received(self, message: list[Any]) -> None:
         """Take an answer of the origin, or the news that a write has voided copies."""
@@ -188,7 +189,7 @@
             self.origin.answered(message[1], message[2])
         elif message[0] == "i":
             for server in self.servers.values():
-                server.model.drop(message[1])
+                server.model.invalidate(message[1])
 
     async def do_server(self, number: int, method: str, arguments: list[Any]) -> None:
         """Call a method of a server."""
@@ -198,7 +199,7 @@
 
     async def do_link(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
         """Change a server's links to some groups of routers."""
-        await self.servers[number].set_link(groups, figures)
+        await self.servers[number].set_link_conditions(groups, figures)
 
     async def do_set(self, number: int, name: str, value: float) -> None:
         """Set what is wrong with a server, or with its model."""
@@ -256,7 +257,7 @@
     worker: Worker = Servers(number) if role == "servers" else Clients(number)
     loop = asyncio.get_running_loop()
     _, worker.channel = await loop.create_connection(
-        lambda: Channel(worker.message, lambda _: worker.ended.set()), "127.0.0.1", port
+        lambda: RpcChannel(worker.message, lambda _: worker.ended.set()), "127.0.0.1", port
     )
     worker.channel.name = "coordinator"
     worker.channel.send("hello", role, number)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,10 +21,12 @@
 from starlingthread.analysis import results
 from starlingthread.cli.main import main
 from starlingthread.emulator import faults
-from starlingthread.emulator.discovery import DiscoveryServer, Entry
-from starlingthread.emulator.model import Job, OriginModel, ServerModel
-from starlingthread.emulator.relay import Relay
-from starlingthread.emulator.servers import CacheServer, LoopSchedule
+from starlingthread.emulator.cache_server import CacheServer
+from starlingthread.emulator.datagram_relay import DatagramRelay
+from starlingthread.emulator.discovery_server import DiscoveryServer, ListedServer
+from starlingthread.emulator.origin_model import OriginModel
+from starlingthread.emulator.schedule import EventLoopSchedule
+from starlingthread.emulator.server_model import Job, ServerModel
 from starlingthread.experiment import scenario
 from starlingthread.experiment.records import FaultRecord, Ledger, StatusNotification
 from starlingthread.load import traffic
@@ -67,13 +69,13 @@
         self.ended: list[tuple[str, str, str, float]] = []
 
     def ask(self, rid: str, key: str = "k", write: bool = False, repeat_key: str = "") -> None:
-        self.model.arrive(
+        self.model.submit(
             Job(
                 rid,
                 key,
                 write,
                 repeat_key,
-                lambda job, how: self.ended.append((job.rid, how, job.note, round(self.clock.now(), 3))),
+                lambda job, how: self.ended.append((job.request_id, how, job.flags, round(self.clock.now(), 3))),
             )
         )
 
@@ -83,7 +85,7 @@
 
 def test_a_server_works_in_its_slots_then_lets_wait_then_turns_away() -> None:
     server = Server(EVEN)
-    server.model.keep("k", 0)
+    server.model.store("k", 0)
     for rid in "abcd":
         server.ask(rid)
     assert server.ended == [("d", "busy", "", 0.0)]
@@ -111,7 +113,7 @@
     server.clock.run()
     server.ask("c", write=True, repeat_key="x")
     server.clock.run()
-    assert (server.origin.writes, server.origin.repeats, server.origin.versions) == (1, 2, {"k": 1})
+    assert (server.origin.writes, server.origin.deduplicated_writes, server.origin.versions) == (1, 2, {"k": 1})
     assert [how for _, how, _, _ in server.ended] == ["served"] * 3
 
 
@@ -136,12 +138,12 @@
     for gap, falls in ((7.0, False), (4.0, True)):  # budget: 4 x 0.1 x 2 slots x 1000 ms of work; 4 ms a command
         server = Server(fleet)
         server.model.boot(cold=True)
-        server.model.on_fall = fell.append
+        server.model.on_overload_crash = fell.append
         for number in range(600):
             server.clock.run(number * gap)
-            if not server.model.fallen:
+            if not server.model.crashed:
                 server.ask(str(number), f"k{number}")
-        assert server.model.fallen == falls
+        assert server.model.crashed == falls
     assert len(fell) == 1 and len(fell[0]) > 200
 
 
@@ -152,7 +154,7 @@
     server.clock.run(1.0)
     for at in (100.0, 200.0, 300.0, 399.0):
         server.clock.run(at - 1e-6)
-        server.model.busy = 2
+        server.model.busy_slots = 2
         assert server.model.report()["inflight"] == 0.0
     server.clock.run(450.0)
     server.model.report()
@@ -167,13 +169,13 @@
     """A server on a real socket, and a connection to it."""
 
     async def up(self, fleet: scenario.Fleet = EVEN) -> Place:
-        schedule, self.ledger = LoopSchedule(asyncio.get_running_loop()), Ledger()
+        schedule, self.ledger = EventLoopSchedule(asyncio.get_running_loop()), Ledger()
         rng = np.random.default_rng(1)
         origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
         fleet = msgspec.structs.replace(fleet, hit_ms=1.0, handshake_ms=0.0)
         model = ServerModel(0, fleet, 1.0, schedule, origin, rng)
         self.server = CacheServer(model, "s-0", "a", 50, schedule, self.ledger, rng)
-        self.server.model.keep("k", 0)
+        self.server.model.store("k", 0)
         await self.server.start()
         return await self.connect()
 
@@ -232,29 +234,29 @@
         server = place.server
         server.freeze()
         assert await place.ask("1", 0.05) == b"nothing"
-        server.thaw()
+        server.resume()
         assert (await place.heard()).startswith(b"VA 50 O1")
-        server.half_share = 1.0
+        server.truncation_rate = 1.0
         half = await place.ask("2", 0.1)
         assert half.startswith(b"VA ") or half == b"nothing"
         assert len(half) < 60
-        server.half_share, server.spoilt_share = 0.0, 1.0
+        server.truncation_rate, server.corruption_rate = 0.0, 1.0
         answers = set()
         for _ in range(12):  # one of the five ways only shows behind the answer
             await place.connect()
             answers.add(await place.ask("3", 0.1))
-        server.spoilt_share = 0.0
+        server.corruption_rate = 0.0
         assert len(answers) >= 3
         await place.connect()
-        server.reset_share = 1.0
+        server.reset_rate = 1.0
         assert await place.ask("4") in (b"reset", b"")
-        server.reset_share = 0.0
+        server.reset_rate = 0.0
         await place.connect()
-        server.silence()
+        server.become_unreachable()
         assert await place.ask("5", 0.05) == b"nothing"
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.open_connection("127.0.0.1", server.port), 0.1)
-        await server.return_from_silence()
+        await server.become_reachable()
         assert await place.heard() in (b"reset", b"")
         await place.connect()
         server.drain()
@@ -264,7 +266,7 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", old)
         await server.restart()
-        assert server.port == old and server.model.share() < 0.3
+        assert server.port == old and server.model.capacity_share() < 0.3
         await place.connect()
         assert b" h0 " in await place.ask("7")
 
@@ -301,7 +303,7 @@
     async def whole() -> None:
         notified: list[StatusNotification] = []
         server = DiscoveryServer(2, 0.0, notified)
-        entries = [Entry(n, f"s-{n}", [f"127.0.0.1:{n + 1}"], "a") for n in range(3)]
+        entries = [ListedServer(n, f"s-{n}", [f"127.0.0.1:{n + 1}"], "a") for n in range(3)]
         server.entries = {e.number: e for e in entries}
         await server.start()
         _, status = await call(server.ports[0], "/registry/instances")
@@ -311,15 +313,15 @@
         line = await until(watch, b'"endpoints":')
         assert b'"snapshot": false' in line and b'"endpoints": []' in line
         entries[1].status = "terminating"
-        server.put(entries[1])
+        server.publish(entries[1])
         line = await until(watch, b"terminating")
         assert b'"index": 2' in line and notified[-1].router == 1 and notified[-1].status == "terminating"
-        server.down(True)
+        server.set_down(True)
         with contextlib.suppress(ConnectionError):
             await asyncio.wait_for(watch.read(), 5.0)
         statuses = {(await call(server.ports[0], "/registry/instances"))[1] for _ in range(2)}
         assert any(b"503" in s for s in statuses) and b"" in statuses
-        server.down(False)
+        server.set_down(False)
         _, status = await call(server.ports[0], "/registry/instances?watch=1&after=nine")
         assert b"400" in status
         await server.stop()
@@ -339,22 +341,22 @@
         loop = asyncio.get_running_loop()
         ends = [await loop.create_datagram_endpoint(End, local_addr=("127.0.0.1", 0)) for _ in range(4)]
         listeners = [t.get_extra_info("sockname")[:2] for t, _ in ends[:3]]
-        relay = Relay(scenario.Datagrams(0.0, 0.0, 1.0, 0.0), np.random.default_rng(2))
+        relay = DatagramRelay(scenario.Datagrams(0.0, 0.0, 1.0, 0.0), np.random.default_rng(2))
         await relay.start(listeners)
         ends[0][0].sendto(b"one", relay.addresses[1])
-        ends[0][0].sendto(b"all", relay.everyone)
-        ends[0][0].sendto(b"x" * 257, relay.everyone)
-        ends[3][0].sendto(b"stranger", relay.everyone)
-        while relay.delivered < 6 or relay.strangers < 1:
+        ends[0][0].sendto(b"all", relay.broadcast_address)
+        ends[0][0].sendto(b"x" * 257, relay.broadcast_address)
+        ends[3][0].sendto(b"stranger", relay.broadcast_address)
+        while relay.delivered < 6 or relay.unknown_senders < 1:
             await asyncio.sleep(0)
         while len(ends[1][1].got) + len(ends[2][1].got) < 6:
             await asyncio.sleep(0)
         seen = sorted(ends[1][1].got), sorted(ends[2][1].got)
         mine = relay.addresses[0][1]
         assert seen == ([(b"all", mine)] * 2 + [(b"one", mine)] * 2, [(b"all", mine)] * 2)
-        assert not ends[0][1].got and relay.too_long == 1
-        relay.drop = 1.0
-        ends[0][0].sendto(b"lost", relay.everyone)
+        assert not ends[0][1].got and relay.oversized == 1
+        relay.extra_loss = 1.0
+        ends[0][0].sendto(b"lost", relay.broadcast_address)
         while relay.dropped < 4:
             await asyncio.sleep(0)
         relay.stop()
@@ -373,37 +375,37 @@
         self.done: list[tuple[object, ...]] = []
         self.marks: list[FaultRecord] = []
 
-    async def server(self, number: int, method: str) -> None:
+    async def call_server(self, number: int, method: str) -> None:
         self.done.append((method, number))
 
-    async def server_set(self, number: int, name: str, value: float) -> None:
+    async def set_server_attribute(self, number: int, name: str, value: float) -> None:
         self.done.append((name, value))
 
-    def list_server(self, number: int, status: str, restarted: bool = False) -> None:
+    def publish_status(self, number: int, status: str, restarted: bool = False) -> None:
         self.done.append((status, restarted))
 
-    async def clients(self, method: str, *arguments: object) -> None:
+    async def call_clients(self, method: str, *arguments: object) -> None:
         self.done.append((method, *arguments))
 
     async def bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
         self.done.append(("bad", half))
 
-    async def set_link(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
+    async def set_link_conditions(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
         self.done.append(("link", number, " ".join(f"{name}={value:g}" for name, value in figures.items())))
 
-    def cut_discovery(self, routers: set[int], is_cut: bool) -> None:
+    def partition_discovery(self, routers: set[int], is_cut: bool) -> None:
         self.done.append(("discovery cut", *routers, is_cut))
 
-    def split_peers(self, routers: set[int], is_split: bool) -> None:
+    def partition_peers(self, routers: set[int], is_split: bool) -> None:
         self.done.append(("split", *routers, is_split))
 
-    def discovery_down(self, is_down: bool) -> None:
+    def set_discovery_down(self, is_down: bool) -> None:
         self.done.append(("down", is_down))
 
-    def drop_datagrams(self, share: float) -> None:
+    def set_datagram_loss(self, share: float) -> None:
         self.done.append(("drop", share))
 
-    def jam_origin(self, factor: float) -> None:
+    def slow_origin(self, factor: float) -> None:
         self.done.append(("jam", factor))
 
     async def kill_router(self, number: int) -> None:
@@ -418,22 +420,22 @@
     def signal_router(self, number: int, which: signal.Signals) -> None:
         self.done.append((which.name, number))
 
-    def mark(self, marked: FaultRecord) -> None:
+    def record_fault(self, marked: FaultRecord) -> None:
         self.marks.append(marked)
 
 
 EXPECTED: dict[str, list[tuple[object, ...]]] = {
-    "slow": [("slow", 2.0), ("slow", 1.0)],
-    "pause": [("freeze", 1), ("thaw", 1)],
-    "pauses": [("freeze", 1), ("thaw", 1)],
-    "heavy-tail": [("tail_share", 0.02), ("tail", 2.0), ("tail_share", 0.0)],
-    "silent": [("silence", 1), ("return_from_silence", 1), ("terminated", False), ("in_service", False)],
+    "slow": [("slowdown", 2.0), ("slowdown", 1.0)],
+    "pause": [("freeze", 1), ("resume", 1)],
+    "pauses": [("freeze", 1), ("resume", 1)],
+    "heavy-tail": [("tail_share", 0.02), ("tail_factor", 2.0), ("tail_share", 0.0)],
+    "silent": [("become_unreachable", 1), ("become_reachable", 1), ("terminated", False), ("in_service", False)],
     "crash": [("crash", 1), ("restart", 1), ("terminated", False), ("in_service", True)],
     "replace": [("crash", 1), ("restart", 1), ("in_service", True)],
-    "reset": [("reset_share", 0.5), ("reset_share", 0.0)],
-    "late-reports": [("extra_delay", 2.0), ("extra_delay", 0.0)],
-    "spoilt": [("spoilt_share", 0.5), ("spoilt_share", 0.0)],
-    "half-answers": [("half_share", 0.5), ("half_share", 0.0)],
+    "reset": [("reset_rate", 0.5), ("reset_rate", 0.0)],
+    "late-reports": [("extra_report_delay_ms", 2.0), ("extra_report_delay_ms", 0.0)],
+    "spoilt": [("corruption_rate", 0.5), ("corruption_rate", 0.0)],
+    "half-answers": [("truncation_rate", 0.5), ("truncation_rate", 0.0)],
     "garbage-clients": [("bad", False)],
     "half-commands": [("bad", True)],
     "leaving-clients": [("leave", 0.5), ("leave", 0.0)],
@@ -450,13 +452,16 @@
         ("crash", 1),
         ("terminated", False),
     ],
-    "zone-dark": [("silence", 1), ("return_from_silence", 1), ("terminated", False), ("in_service", False)],
+    "zone-dark": [("become_unreachable", 1), ("become_reachable", 1), ("terminated", False), ("in_service", False)],
     "origin-jam": [("jam", 2.0), ("jam", 1.0)],
     "surge": [],
-    "link-cut": [("link", 1, "cut_in=1 cut_out=1"), ("link", 1, "cut_in=0 cut_out=0")],
-    "link-slow": [("link", 1, "delay=2"), ("link", 1, "delay=0")],
-    "link-lossy": [("link", 1, "loss=0.5"), ("link", 1, "loss=0")],
-    "link-broken": [("link", 1, "broken=0.5"), ("link", 1, "broken=0")],
+    "link-cut": [
+        ("link", 1, "inbound_blocked=1 outbound_blocked=1"),
+        ("link", 1, "inbound_blocked=0 outbound_blocked=0"),
+    ],
+    "link-slow": [("link", 1, "delay_ms=2"), ("link", 1, "delay_ms=0")],
+    "link-lossy": [("link", 1, "loss_rate=0.5"), ("link", 1, "loss_rate=0")],
+    "link-broken": [("link", 1, "truncation_rate=0.5"), ("link", 1, "truncation_rate=0")],
     "discovery-cut": [("discovery cut", 1, True), ("discovery cut", 1, False)],
     "peers-cut": [("split", 1, True), ("split", 1, False)],
 }
@@ -464,7 +469,7 @@
 
 @pytest.mark.parametrize("kind", EXPECTED)
 def test_each_fault_is_carried_out_and_taken_back(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(faults, "LEAVES_AFTER", 0.0)
+    monkeypatch.setattr(faults, "DRAIN_PERIOD_S", 0.0)
     least, most, _ = scenario.STRENGTHS.get(kind, (0.0, 0.0, ""))
     strength = 0.5 if most == 1.0 else min(2.0, most)
     fault = scenario.Fault(
@@ -480,7 +485,7 @@
     quick = scenario.Discovery(notice_ms=0.0, crash_notice_ms=0.0)
     played = msgspec.structs.replace(CALM, faults=(fault,), discovery=quick, fleet=scenario.Fleet(servers=2))
     notes = Notes(played)
-    asyncio.run(faults.Faults(notes, np.random.default_rng(1)).play(0.0))
+    asyncio.run(faults.FaultInjector(notes, np.random.default_rng(1)).run(0.0))
     assert sorted(notes.done, key=str) == sorted(EXPECTED[kind], key=str)
     assert [m.kind for m in notes.marks] == [kind]
 
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -9,7 +9,7 @@
 import psutil
 import pytest
 
-from starlingthread.emulator.routers import RouterProcess
+from starlingthread.emulator.router_process import RouterProcess
 from starlingthread.experiment.records import Ledger
 from starlingthread.experiment.scenario import parse
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -13,10 +13,12 @@
 
 from starlingthread.analysis import evenness
 from starlingthread.baselines.policies import POLICIES
-from starlingthread.emulator.links import RESENT, Door, Lane
-from starlingthread.emulator.model import OriginModel, ServerModel
-from starlingthread.emulator.ports import free_port
-from starlingthread.emulator.servers import CacheServer, LoopSchedule
+from starlingthread.emulator.cache_server import CacheServer
+from starlingthread.emulator.origin_model import OriginModel
+from starlingthread.emulator.port_allocation import free_port
+from starlingthread.emulator.schedule import EventLoopSchedule
+from starlingthread.emulator.server_links import RETRANSMIT_TIMEOUT_MS, LinkDirection, ServerLink
+from starlingthread.emulator.server_model import ServerModel
 from starlingthread.events import EndpointList, EndpointListKind, Request
 from starlingthread.experiment import scenario
 from starlingthread.experiment.randomness import Chances, server_speeds
@@ -49,53 +51,53 @@
         self.time = until
 
 
-def lane(is_out: bool = False, **figures: float) -> tuple[Hand, Door, Lane, list[bytes]]:
+def lane(is_out: bool = False, **figures: float) -> tuple[Hand, ServerLink, LinkDirection, list[bytes]]:
     hand = Hand()
     got: list[bytes] = []
-    door = Door(0, Chances(np.random.default_rng(1)))
+    door = ServerLink(0, Chances(np.random.default_rng(1)))
     for name, value in figures.items():
         setattr(door, name, value)
-    return hand, door, Lane(door, is_out, hand, got.append), got
+    return hand, door, LinkDirection(door, is_out, hand, got.append), got
 
 
 def test_a_plain_link_holds_nothing_up_and_a_slow_or_lossy_one_keeps_the_order() -> None:
     _, _, plain, got = lane()
     plain.push(b"1")
     assert got == [b"1"]
-    hand, door, slow, got = lane(delay=30.0)
+    hand, door, slow, got = lane(delay_ms=30.0)
     slow.push(b"1")
-    door.loss = 1.0
+    door.loss_rate = 1.0
     hand.go(10.0)
     slow.push(b"2")
-    door.loss = door.delay = 0.0
+    door.loss_rate = door.delay_ms = 0.0
     slow.push(b"3")  # would overtake
     hand.go(29.0)
     assert got == []
     hand.go(31.0)
     assert got == [b"1"]
-    hand.go(10.0 + 30.0 + RESENT + 1.0)
+    hand.go(10.0 + 30.0 + RETRANSMIT_TIMEOUT_MS + 1.0)
     assert got == [b"1", b"2", b"3"]
 
 
 def test_what_a_cut_holds_arrives_when_it_heals_and_the_other_way_is_as_it_was() -> None:
-    hand, door, inward, got = lane(cut_in=True)
+    hand, door, inward, got = lane(inbound_blocked=True)
     answers: list[bytes] = []
-    outward = Lane(door, True, hand, answers.append)
+    outward = LinkDirection(door, True, hand, answers.append)
     inward.push(b"1")
     outward.push(b"a")
     hand.go(5000.0)
     assert got == [] and answers == [b"a"]
-    door.cut_in = False
-    inward.heal()
+    door.inbound_blocked = False
+    inward.resume()
     assert got == [b"1"]
 
 
 def test_a_cut_link_is_cut_for_its_group_alone_and_new_connections_do_not_come_up() -> None:
     async def script() -> None:
-        schedule, rng = LoopSchedule(asyncio.get_running_loop()), np.random.default_rng(1)
+        schedule, rng = EventLoopSchedule(asyncio.get_running_loop()), np.random.default_rng(1)
         fleet = scenario.Fleet(hit_ms=1.0, handshake_ms=0.0, work_cv=0.0)
         origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
-        doors = [Door(group, Chances(rng)) for group in range(2)]
+        doors = [ServerLink(group, Chances(rng)) for group in range(2)]
         model = ServerModel(0, fleet, 1.0, schedule, origin, rng)
         server = CacheServer(model, "s-0", "a", 50, schedule, Ledger(), rng, doors)
         await server.start()
@@ -111,15 +113,15 @@
                 return False
 
         assert await answered(0, 1) and await answered(1, 2)
-        await server.set_link([1], {"cut_in": False, "cut_out": True})
+        await server.set_link_conditions([1], {"inbound_blocked": False, "outbound_blocked": True})
         assert await answered(0, 3) and not await answered(1, 4)
         assert len(server.ledger.deliveries) == 4  # one way: it came, and only the answer did not
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.open_connection("127.0.0.1", doors[1].port), 0.1)
-        await server.set_link([1], {"cut_in": False, "cut_out": False})
+        await server.set_link_conditions([1], {"inbound_blocked": False, "outbound_blocked": False})
         assert (await asyncio.wait_for(sides[1][0].readline(), 1.0)).startswith(b"VA 50 O4 ")
         await sides[1][0].readline()
-        await server.set_link([], {"broken": 1.0})
+        await server.set_link_conditions([], {"truncation_rate": 1.0})
         sides[1][1].write(b"mg k v O5 Pc=read,d=480\r\n")
         cut_off = await asyncio.wait_for(sides[1][0].read(), 1.0)
         assert 0 < len(cut_off) < 60
