--- a/starlingthread/emulator/discovery_server.py
+++ b/starlingthread/emulator/discovery_server.py
@@ -1,4 +1,7 @@
-"""Discovery: the list and the watch over HTTP, one port a router so that it is known who was told what."""
+"""Discovery: the endpoint list and its watch over HTTP.
+
+Each router has a port of its own, so that the run knows which router was notified of what.
+"""
 
 from __future__ import annotations
 
@@ -6,30 +9,34 @@
 import contextlib
 import json
 import time
-from typing import Any
+from typing import Any, NamedTuple
 
 from aiohttp import web
 
 from ..experiment.records import StatusNotification
 
-HEARTBEAT = 2.0  # s between empty lines on a watch
-KEPT_CHANGES = 1000
+HEARTBEAT_S = 2.0  # between empty lines on a watch
+_REMOVALS_REMEMBERED = 1000
 
 
 class ListedServer:
-    """A line of the list. Each group of routers knows the server by an address of its own."""
+    """A server on the endpoint list. Each group of routers knows it by an address of its own."""
 
     def __init__(self, number: int, name: str, addresses: list[str], zone: str) -> None:
-        self.number, self.name, self.addresses, self.zone = number, name, addresses, zone
-        self.status, self.since_ms, self.changed_at_index = "in_service", 0, 1
-        self.started_at = 0.0  # the same moment on the machine's monotonic clock
+        self.number = number
+        self.name = name
+        self.addresses = addresses
+        self.zone = zone
+        self.status = "in_service"
+        self.since_ms = 0  # when it started, by the wall clock
+        self.started_at = 0.0  # the same moment by the machine's monotonic clock, ms
+        self.changed_at_index = 1
 
     def endpoint_line(self, router: int = 0) -> dict[str, Any]:
-        """Return it in the form of the protocol, as one router is told it."""
-        address = self.addresses[router % len(self.addresses)]
+        """Return the server in the form of the protocol, as one router sees it."""
         return {
             "name": self.name,
-            "address": address,
+            "address": self.addresses[router % len(self.addresses)],
             "zone": self.zone,
             "type": "std",
             "group": 0,
@@ -39,28 +46,36 @@
         }
 
 
+class _Removal(NamedTuple):
+    at_index: int
+    server: ListedServer
+
+
 class DiscoveryServer:
-    """All routers' view of the fleet. ``notified`` gets a record for each line written to a router."""
+    """All routers' view of the fleet. ``notifications`` gets a record for each endpoint line written to a router."""
 
-    def __init__(self, routers: int, call_ms: float, notified: list[StatusNotification]) -> None:
-        self.notifications, self.request_delay_ms = notified, call_ms
+    def __init__(self, routers: int, request_delay_ms: float, notifications: list[StatusNotification]) -> None:
+        self.notifications = notifications
+        self.request_delay_ms = request_delay_ms
         self.index = 1
         self.entries: dict[int, ListedServer] = {}
         self.is_down = False
-        self.partitioned_routers: set[int] = set()  # routers whose calls hear nothing
-        self.requests = self.failed_requests = 0
+        self.partitioned_routers: set[int] = set()  # their requests stall
+        self.requests = 0
+        self.failed_requests = 0
         self.ports: list[int] = []
-        self._routers, self._router_of_port = routers, {0: 0}
-        self._one_at_a_time = asyncio.Lock()
+        self._routers = routers
+        self._router_of_port = {0: 0}
+        self._request_lock = asyncio.Lock()  # requests are handled one after another
         self._changed = asyncio.Event()
-        self._gone: list[tuple[int, ListedServer]] = []
+        self._removals: list[_Removal] = []
         self._watches: set[asyncio.Task[Any]] = set()
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
         """Listen on one port for each router."""
         app = web.Application()
-        app.router.add_get("/registry/instances", self._answer)
+        app.router.add_get("/registry/instances", self._handle_request)
         self._runner = web.AppRunner(app, access_log=None, handle_signals=False, shutdown_timeout=0.1)
         await self._runner.setup()
         for router in range(self._routers):
@@ -74,116 +89,115 @@
 
     async def stop(self) -> None:
         """End all watches and stop listening."""
-        for task in list(self._watches):
-            task.cancel()
+        self._cancel_watches()
         if self._runner is not None:
             await self._runner.cleanup()
 
+    def _cancel_watches(self) -> None:
+        for task in list(self._watches):
+            task.cancel()
+
     # changes
 
-    def publish(self, entry: ListedServer) -> None:
-        """Enter a server, or its change of state, under a new version."""
+    def publish(self, server: ListedServer) -> None:
+        """List a server, or its changed status, under a new index; a terminated one leaves the list."""
         self.index += 1
-        entry.changed_at_index = self.index
-        if entry.status == "terminated":
-            self.entries.pop(entry.number, None)
-            self._gone.append((self.index, entry))
-            del self._gone[:-KEPT_CHANGES]
+        server.changed_at_index = self.index
+        if server.status == "terminated":
+            self.entries.pop(server.number, None)
+            self._removals.append(_Removal(self.index, server))
+            del self._removals[:-_REMOVALS_REMEMBERED]
         else:
-            self.entries[entry.number] = entry
+            self.entries[server.number] = server
+        self._wake_watches()
+
+    def _wake_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
     def set_down(self, is_down: bool) -> None:
-        """Go down, which ends the watches, or come back."""
+        """Go down, which ends the watches and fails requests, or recover."""
         self.is_down = is_down
         if is_down:
-            for task in list(self._watches):
-                task.cancel()
+            self._cancel_watches()
 
-    def partition(self, routers: set[int], is_cut: bool) -> None:
-        """Cut some routers off, or let them hear again: their calls and watches stand still meanwhile."""
-        self.partitioned_routers = self.partitioned_routers | routers if is_cut else self.partitioned_routers - routers
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def partition(self, routers: set[int], is_partitioned: bool) -> None:
+        """Partition some routers from discovery, so that their requests and watches stall, or end that."""
+        if is_partitioned:
+            self.partitioned_routers |= routers
+        else:
+            self.partitioned_routers -= routers
+        self._wake_watches()
 
     def snapshot(self, router: int = 0) -> dict[str, Any]:
-        """Return the whole list in the form of the protocol, as one router is told it."""
-        return {
-            "index": self.index,
-            "snapshot": True,
-            "endpoints": [entry.endpoint_line(router) for entry in self.entries.values()],
-        }
-
-    def _since(self, index: int, router: int = 0) -> tuple[dict[str, Any], list[ListedServer]]:
-        if index <= 0 or index > self.index or (len(self._gone) == KEPT_CHANGES and self._gone[0][0] > index):
-            entries = list(self.entries.values())
-            return {
-                "index": self.index,
-                "snapshot": True,
-                "endpoints": [e.endpoint_line(router) for e in entries],
-            }, entries
-        entries = [e for e in self.entries.values() if e.changed_at_index > index]
-        back = {e.number for e in entries}
-        entries += [e for at, e in self._gone if at > index and e.number not in back and e.number not in self.entries]
-        return {
-            "index": self.index,
-            "snapshot": False,
-            "endpoints": [e.endpoint_line(router) for e in entries],
-        }, entries
-
-    def _note(self, router: int, entries: list[ListedServer]) -> None:
+        """Return the complete list in the form of the protocol, as one router sees it."""
+        return self._endpoint_list(list(self.entries.values()), router, is_snapshot=True)
+
+    def _endpoint_list(self, servers: list[ListedServer], router: int, is_snapshot: bool) -> dict[str, Any]:
+        endpoints = [server.endpoint_line(router) for server in servers]
+        return {"index": self.index, "snapshot": is_snapshot, "endpoints": endpoints}
+
+    def _is_too_old(self, index: int) -> bool:
+        """Return whether changes since an index are unknown, so that only a snapshot can be sent."""
+        if index <= 0 or index > self.index:
+            return True
+        return len(self._removals) == _REMOVALS_REMEMBERED and self._removals[0].at_index > index
+
+    def _changed_since(self, index: int) -> list[ListedServer]:
+        changed = [server for server in self.entries.values() if server.changed_at_index > index]
+        removed = [
+            removal.server
+            for removal in self._removals
+            if removal.at_index > index and removal.server.number not in self.entries
+        ]
+        return changed + removed
+
+    def _record_notified(self, router: int, servers: list[ListedServer]) -> None:
         at = time.monotonic() * 1000.0
-        self.notifications.extend(StatusNotification(router, e.number, e.status, at, e.started_at) for e in entries)
+        self.notifications.extend(StatusNotification(router, s.number, s.status, at, s.started_at) for s in servers)
 
-    # calls
+    # requests
 
-    async def _answer(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_request(self, request: web.Request) -> web.StreamResponse:
         self.requests += 1
         assert request.transport is not None
         router = self._router_of_port[request.transport.get_extra_info("sockname")[1]]
-        async with self._one_at_a_time:
+        async with self._request_lock:
             await asyncio.sleep(self.request_delay_ms / 1000.0)
         while router in self.partitioned_routers:
             await self._changed.wait()
         if self.is_down:
-            self.failed_requests += 1
-            if self.failed_requests % 2:
-                request.transport.abort()
-            return web.Response(status=503)
+            return self._fail(request.transport)
         if request.query.get("watch") != "1":
-            entries = list(self.entries.values())
-            body = json.dumps(self.snapshot(router))
-            self._note(router, entries)
-            return web.Response(text=body, content_type="application/json")
+            return self._list(router)
         try:
             after = int(request.query.get("after", "0"))
         except ValueError:
             return web.Response(status=400, text="after: expected a number")
         return await self._watch(request, router, after)
 
+    def _fail(self, transport: asyncio.Transport) -> web.Response:
+        """Fail a request: every other one by aborting the connection, the others by an error status."""
+        self.failed_requests += 1
+        if self.failed_requests % 2:
+            transport.abort()
+        return web.Response(status=503)
+
+    def _list(self, router: int) -> web.Response:
+        body = json.dumps(self.snapshot(router))
+        self._record_notified(router, list(self.entries.values()))
+        return web.Response(text=body, content_type="application/json")
+
     async def _watch(self, request: web.Request, router: int, after: int) -> web.StreamResponse:
+        """Stream changes after an index until the router leaves or discovery goes down."""
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
         response.enable_chunked_encoding()
         await response.prepare(request)
         task = asyncio.current_task()
         assert task is not None
         self._watches.add(task)
-        first = True
         try:
-            while True:
-                changed = self._changed
-                while router in self.partitioned_routers:
-                    await self._changed.wait()
-                if first or after < self.index:
-                    body, entries = self._since(after, router)
-                    after, first = self.index, False
-                    await response.write(json.dumps(body).encode() + b"\n")
-                    self._note(router, entries)
-                try:
-                    await asyncio.wait_for(changed.wait(), HEARTBEAT)
-                except TimeoutError:
-                    await response.write(b"\n")
+            await self._stream_changes(response, router, after)
         except asyncio.CancelledError:
             if request.transport is not None:
                 request.transport.abort()
@@ -194,3 +208,22 @@
         with contextlib.suppress(ConnectionError, RuntimeError):
             await response.write_eof()
         return response
+
+    async def _stream_changes(self, response: web.StreamResponse, router: int, after: int) -> None:
+        is_first = True
+        while True:
+            changed = self._changed
+            while router in self.partitioned_routers:
+                await self._changed.wait()
+            if is_first or after < self.index:
+                is_snapshot = self._is_too_old(after)
+                servers = list(self.entries.values()) if is_snapshot else self._changed_since(after)
+                body = self._endpoint_list(servers, router, is_snapshot)
+                after = self.index
+                is_first = False
+                await response.write(json.dumps(body).encode() + b"\n")
+                self._record_notified(router, servers)
+            try:
+                await asyncio.wait_for(changed.wait(), HEARTBEAT_S)
+            except TimeoutError:
+                await response.write(b"\n")
--- a/starlingthread/emulator/origin_model.py
+++ b/starlingthread/emulator/origin_model.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 from functools import partial
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import numpy as np
 
@@ -15,85 +15,107 @@
 
 _RECEIPT_TTL_MS = 60000.0
 
+VersionCallback = Callable[[int | None], None]  # gets the value's version, or None if the request failed
+
 
 class OriginClient(Protocol):
-    """The origin as a server sees it; ``then`` gets the value's version, or None when the fetch failed."""
+    """The origin as a server sees it."""
 
-    def fetch(self, key: str, then: Callable[[int | None], None]) -> None:
+    def fetch(self, key: str, then: VersionCallback) -> None:
         """Read a key."""
 
-    def write(self, key: str, repeat_key: str, then: Callable[[int | None], None]) -> None:
-        """Write a key; all servers drop their copies. A repeat of ``repeat_key`` gets the first one's version."""
+    def write(self, key: str, idempotency_key: str, then: VersionCallback) -> None:
+        """Write a key, so that all servers invalidate it. A retry with the same idempotency key does not write again.
+
+        An empty idempotency key stands for a write that is not idempotent.
+        """
+
+
+class _Receipt(NamedTuple):
+    written_at: float
+    version: int
+
+
+class _Request(NamedTuple):
+    key: str
+    is_write: bool
+    then: VersionCallback
 
 
 class OriginModel:
-    """A finite number of workers, a queue of finite length, and what is beyond it fails at once."""
+    """A finite number of workers behind a bounded queue; requests beyond the queue fail at once."""
 
     def __init__(self, spec: Origin, schedule: Schedule, rng: np.random.Generator) -> None:
-        self.spec, self.schedule = spec, schedule
-        self.slowdown = 1.0  # how many times less it takes
-        self.fetches = self.writes = self.failures = 0
-        self.versions: dict[str, int] = {}
-        self.receipts: OrderedDict[str, tuple[float, int]] = OrderedDict()
+        self.spec = spec
+        self.schedule = schedule
+        self.slowdown = 1.0  # factor on the duration of requests
+        self.fetches = 0
+        self.writes = 0
+        self.failures = 0
         self.deduplicated_writes = 0
-        self._writing: dict[str, list[Callable[[int | None], None]]] = {}
+        self.versions: dict[str, int] = {}
         self.on_write: Callable[[str], None] = lambda key: None
-        self._draws = Draws(rng, spec.cv)
-        self._queue: deque[tuple[str, bool, Callable[[int | None], None]]] = deque()
-        self._busy = 0
+        self._receipts: OrderedDict[str, _Receipt] = OrderedDict()  # of writes, by idempotency key
+        self._writes_in_flight: dict[str, list[VersionCallback]] = {}  # callbacks by idempotency key
+        self._work_factors = Draws(rng, spec.cv)
+        self._queue: deque[_Request] = deque()
+        self._busy_workers = 0
 
-    def fetch(self, key: str, then: Callable[[int | None], None]) -> None:
+    def fetch(self, key: str, then: VersionCallback) -> None:
         """Read a key."""
         self.fetches += 1
-        self._enter(key, False, then)
+        self._enqueue(_Request(key, False, then))
 
-    def write(self, key: str, repeat_key: str, then: Callable[[int | None], None]) -> None:
-        """Write a key. A repeat never runs again: it gets the version of the first, or waits for it."""
-        if not repeat_key:
+    def write(self, key: str, idempotency_key: str, then: VersionCallback) -> None:
+        """Write a key. A retry with the same idempotency key waits for the first write and gets its version."""
+        if not idempotency_key:
             self.writes += 1
-            self._enter(key, True, then)
+            self._enqueue(_Request(key, True, then))
             return
-        now = self.schedule.now()
-        while self.receipts and next(iter(self.receipts.values()))[0] < now - _RECEIPT_TTL_MS:
-            self.receipts.popitem(last=False)
-        if repeat_key in self.receipts:
+        self._expire_receipts()
+        receipt = self._receipts.get(idempotency_key)
+        if receipt is not None:
             self.deduplicated_writes += 1
-            then(self.receipts[repeat_key][1])
+            then(receipt.version)
             return
-        if repeat_key in self._writing:
+        if idempotency_key in self._writes_in_flight:
             self.deduplicated_writes += 1
-            self._writing[repeat_key].append(then)
+            self._writes_in_flight[idempotency_key].append(then)
             return
-        self._writing[repeat_key] = [then]
+        self._writes_in_flight[idempotency_key] = [then]
+        self.writes += 1
+        self._enqueue(_Request(key, True, partial(self._finish_idempotent_write, idempotency_key)))
 
-        def written(version: int | None) -> None:
-            if version is not None:
-                self.receipts[repeat_key] = (self.schedule.now(), version)
-            for one in self._writing.pop(repeat_key):
-                one(version)
+    def _expire_receipts(self) -> None:
+        oldest_kept = self.schedule.now() - _RECEIPT_TTL_MS
+        while self._receipts and next(iter(self._receipts.values())).written_at < oldest_kept:
+            self._receipts.popitem(last=False)
 
-        self.writes += 1
-        self._enter(key, True, written)
+    def _finish_idempotent_write(self, idempotency_key: str, version: int | None) -> None:
+        if version is not None:
+            self._receipts[idempotency_key] = _Receipt(self.schedule.now(), version)
+        for then in self._writes_in_flight.pop(idempotency_key):
+            then(version)
 
-    def _enter(self, key: str, write: bool, then: Callable[[int | None], None]) -> None:
+    def _enqueue(self, request: _Request) -> None:
         if len(self._queue) >= self.spec.queue:
             self.failures += 1
-            then(None)
+            request.then(None)
             return
-        self._queue.append((key, write, then))
-        self._begin()
-
-    def _begin(self) -> None:
-        while self._queue and self._busy < self.spec.slots:
-            key, write, then = self._queue.popleft()
-            self._busy += 1
-            work = self.spec.fetch_ms * self._draws.next() * self.slowdown
-            self.schedule.after(work, partial(self._done, key, write, then))
-
-    def _done(self, key: str, write: bool, then: Callable[[int | None], None]) -> None:
-        self._busy -= 1
-        if write:
-            self.versions[key] = self.versions.get(key, 0) + 1
-            self.on_write(key)
-        then(self.versions.get(key, 0))
-        self._begin()
+        self._queue.append(request)
+        self._start_queued()
+
+    def _start_queued(self) -> None:
+        while self._queue and self._busy_workers < self.spec.slots:
+            request = self._queue.popleft()
+            self._busy_workers += 1
+            duration = self.spec.fetch_ms * self._work_factors.next() * self.slowdown
+            self.schedule.after(duration, partial(self._complete, request))
+
+    def _complete(self, request: _Request) -> None:
+        self._busy_workers -= 1
+        if request.is_write:
+            self.versions[request.key] = self.versions.get(request.key, 0) + 1
+            self.on_write(request.key)
+        request.then(self.versions.get(request.key, 0))
+        self._start_queued()
--- a/starlingthread/emulator/rpc_channel.py
+++ b/starlingthread/emulator/rpc_channel.py
@@ -1,4 +1,4 @@
-"""Messages between the processes of a run: length-framed MessagePack over one loopback connection each."""
+"""A channel between two processes of a run: messages and calls, as length-prefixed MessagePack over TCP."""
 
 from __future__ import annotations
 
@@ -8,76 +8,97 @@
 
 import msgspec
 
+from .messages import Call, Reply
+
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder().decode
-MAX_HELLO = 64  # bytes of the first message; who sends more is none of ours
+_REPLY_TAG = "r"
+_HEADER_BYTES = 4  # the length of the message, little-endian
+_MAX_HELLO_BYTES = 64  # of the first message; a peer that sends more is no worker of this run
 
 
 class RpcChannel(asyncio.Protocol):
-    """One end. ``on_message`` gets each message, a list that begins with its kind."""
+    """One end of a channel. ``on_message`` gets each message as a list that begins with its tag."""
 
     def __init__(
         self, on_message: Callable[[RpcChannel, list[Any]], None], on_end: Callable[[RpcChannel], None]
     ) -> None:
-        self.on_message, self.on_end = on_message, on_end
+        self.on_message = on_message
+        self.on_end = on_end
         self.transport: asyncio.Transport
-        self.name = ""
+        self.name = ""  # of the other end, empty until it has introduced itself
         self._buffer = bytearray()
-        self._asked: dict[int, asyncio.Future[Any]] = {}
-        self._last = 0
+        self._calls_in_flight: dict[int, asyncio.Future[Any]] = {}
+        self._last_call = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are not of that class
 
     def connection_lost(self, exc: Exception | None) -> None:
-        for future in self._asked.values():
+        """Fail the calls in flight with a ConnectionError."""
+        for future in self._calls_in_flight.values():
             if not future.done():
                 future.set_exception(ConnectionError(f"process {self.name} has ended"))
-        self._asked.clear()
+        self._calls_in_flight.clear()
         self.on_end(self)
 
     def data_received(self, data: bytes) -> None:
+        """Handle all messages that are complete."""
         self._buffer += data
-        at = 0
-        while len(self._buffer) - at >= 4:
-            size = int.from_bytes(self._buffer[at : at + 4], "little")
-            if not self.name and size > MAX_HELLO:
-                self.transport.abort()  # a stranger, such as a router that takes this port for a server that is gone
+        position = 0
+        while len(self._buffer) - position >= _HEADER_BYTES:
+            body_start = position + _HEADER_BYTES
+            body_size = int.from_bytes(self._buffer[position:body_start], "little")
+            if not self.name and body_size > _MAX_HELLO_BYTES:
+                self.transport.abort()  # such as a router that takes this port for one of a server that has ended
                 return
-            if len(self._buffer) - at - 4 < size:
+            if len(self._buffer) - body_start < body_size:
                 break
-            message = _decode(bytes(self._buffer[at + 4 : at + 4 + size]))
-            at += 4 + size
-            if message[0] == "r":
-                self._answered(message[1], message[2], message[3])
-            else:
-                self.on_message(self, message)
-        del self._buffer[:at]
-
-    def send(self, *message: Any) -> None:
-        """Send a message."""
-        if self.transport.is_closing():
-            return
-        data = _encode(message)
-        self.transport.write(len(data).to_bytes(4, "little") + data)
+            message = _decode(bytes(self._buffer[body_start : body_start + body_size]))
+            position = body_start + body_size
+            self._handle(message)
+        del self._buffer[:position]
+
+    def _handle(self, message: list[Any]) -> None:
+        if message[0] == _REPLY_TAG:
+            self._resolve(msgspec.convert(message, Reply))
+        else:
+            self.on_message(self, message)
+
+    def send(self, *parts: Any) -> None:
+        """Send a message given by its tag and fields."""
+        self._send_encoded(_encode(parts))
+
+    def send_message(self, message: msgspec.Struct) -> None:
+        """Send a typed message."""
+        self._send_encoded(_encode(message))
+
+    def _send_encoded(self, body: bytes) -> None:
+        if not self.transport.is_closing():
+            self.transport.write(len(body).to_bytes(_HEADER_BYTES, "little") + body)
 
     # calls
 
     async def call(self, method: str, *arguments: Any) -> Any:
-        """Have the other end do something; return its result. Raise RuntimeError with its words if it failed."""
-        self._last += 1
-        future = self._asked[self._last] = asyncio.get_running_loop().create_future()
-        self.send("c", self._last, method, arguments)
+        """Call a method of the other end; return its result.
+
+        Raise a RuntimeError with the text of the other end's error, and a ConnectionError if its process ends.
+        """
+        self._last_call += 1
+        future = self._calls_in_flight[self._last_call] = asyncio.get_running_loop().create_future()
+        self.send_message(Call(self._last_call, method, list(arguments)))
         return await future
 
-    def _answered(self, number: int, ok: bool, result: Any) -> None:
-        future = self._asked.pop(number, None)
-        if future is not None and not future.done():
-            if ok:
-                future.set_result(result)
-            else:
-                future.set_exception(RuntimeError(str(result)))
-
-    def reply(self, number: int, ok: bool, result: Any) -> None:
-        """Answer a call of the other end."""
-        self.send("r", number, ok, result)
+    def _resolve(self, reply: Reply) -> None:
+        future = self._calls_in_flight.pop(reply.number, None)
+        if future is None or future.done():
+            return
+        if reply.is_ok:
+            future.set_result(reply.result)
+        else:
+            future.set_exception(RuntimeError(str(reply.result)))
+
+    def reply(self, call: Call, is_ok: bool, result: Any) -> None:
+        """Answer a call of the other end by its result, or the text of its error."""
+        self.send_message(Reply(call.number, is_ok, result))
--- a/starlingthread/emulator/schedule.py
+++ b/starlingthread/emulator/schedule.py
@@ -7,15 +7,17 @@
 from collections.abc import Callable
 from typing import Protocol
 
+_SHORTEST_TIMER_MS = 0.5  # the event loop's timers have a resolution of a millisecond
+
 
 class Schedule(Protocol):
-    """A clock, and calls at times to come."""
+    """A clock, and callbacks at later times."""
 
     def now(self) -> float:
         """Return the time in milliseconds."""
 
     def after(self, delay: float, then: Callable[[], None]) -> None:
-        """Call something in so many milliseconds."""
+        """Call a function after a delay in milliseconds."""
 
 
 class EventLoopSchedule:
@@ -29,8 +31,8 @@
         return time.monotonic() * 1000.0  # the loop's own time may be a millisecond old
 
     def after(self, delay: float, then: Callable[[], None]) -> None:
-        """Call something in so many milliseconds; the loop's timers know whole ones only."""
-        if delay < 0.5:
+        """Call a function after a delay in milliseconds, or at once if the loop's timers can't measure the delay."""
+        if delay < _SHORTEST_TIMER_MS:
             self._loop.call_soon(then)
         else:
             self._loop.call_later(delay / 1000.0, then)
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -1,12 +1,13 @@
-"""How a cache server and the origin behave, without sockets or a clock of their own.
+"""How a cache server behaves, without sockets or a clock of its own.
 
-The same objects serve the emulator (on the event loop's clock) and a model in virtual time: they see only a
-``Schedule``. Times are milliseconds. A server is a queue in front of ``slots`` workers whose speed ramps up from a
-cold start; the origin is a queue in front of workers that all servers share.
+The same objects serve the emulator (on the event loop's clock) and models in virtual time: they see only a
+``Schedule``. All times are milliseconds. A server is a queue in front of ``slots`` workers whose speed ramps up
+after a cold start, with an LRU cache in memory and the origin behind it.
 """
 
 from __future__ import annotations
 
+import enum
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
@@ -14,253 +15,267 @@
 
 from ..experiment.randomness import Chances, Draws
 from ..experiment.scenario import Fleet
+from .load_reports import LoadReport, LoadReporter
 from .origin_model import OriginClient
 from .schedule import Schedule
+from .warm_up import WarmUp
 
+HIT_FLAGS = "h1"
+MISS_FLAGS = "h0"
+COALESCED_MISS_FLAGS = "h0 Z"  # a miss that shares the origin fetch of an earlier one
+_HIT_RATE_GAIN = 0.02  # of the exponentially weighted moving average
 
-class Job:
-    """One command in a server. ``finish`` is called once, with ``served``, ``failed`` or ``busy``."""
+
+class CommandOutcome(enum.Enum):
+    """How a command ended at a server."""
+
+    SERVED = "served"
+    FAILED = "failed"
+    BUSY = "busy"
+
+
+class Command:
+    """A read or write at a server. ``on_finish`` is called once, unless the server restarts before."""
 
     __slots__ = (
-        "is_started",
-        "finish",
-        "key",
         "flags",
-        "is_cancelled",
         "idempotency_key",
+        "is_cancelled",
+        "is_started",
+        "is_write",
+        "key",
+        "on_finish",
         "request_id",
         "version",
-        "is_write",
     )
 
-    def __init__(self, rid: str, key: str, write: bool, repeat_key: str, finish: Callable[[Job, str], None]) -> None:
-        self.request_id, self.key, self.is_write, self.idempotency_key, self.finish = (
-            rid,
-            key,
-            write,
-            repeat_key,
-            finish,
-        )
-        self.flags = ""
+    def __init__(
+        self,
+        request_id: str,
+        key: str,
+        is_write: bool,
+        idempotency_key: str,
+        on_finish: Callable[[Command, CommandOutcome], None],
+    ) -> None:
+        self.request_id = request_id
+        self.key = key
+        self.is_write = is_write
+        self.idempotency_key = idempotency_key
+        self.on_finish = on_finish
+        self.flags = ""  # hit or miss, as the answer's flags say it
         self.version = 0
-        self.is_started = False  # it has started to run
-        self.is_cancelled = False  # nobody waits for it any more
+        self.is_started = False
+        self.is_cancelled = False
+
+    def finish(self, outcome: CommandOutcome) -> None:
+        """End the command with an outcome."""
+        self.on_finish(self, outcome)
 
 
 class ServerModel:
-    """One cache server: slots, waiting room, speed, LRU memory, ramp, fall and load reports."""
+    """One cache server: worker slots, a bounded queue, LRU memory, warm-up, overload crashes and load reports."""
 
     def __init__(
         self, number: int, spec: Fleet, speed: float, schedule: Schedule, origin: OriginClient, rng: np.random.Generator
     ) -> None:
-        self.number, self.spec, self.schedule, self.origin = number, spec, schedule, origin
+        self.number = number
+        self.spec = spec
+        self.schedule = schedule
+        self.origin = origin
         self.base_speed = speed
-        self.slowdown = 1.0  # how many times slower it is now
-        self.tail_factor, self.tail_share = 1.0, 0.0  # how many times longer a share of the commands takes
-        self.extra_report_delay_ms = 0.0  # ms by which reports are older
-        self.on_overload_crash: Callable[[tuple[str, ...]], None] = lambda rids: None
-        self._draws, self._chances = Draws(rng, spec.work_cv), Chances(rng)
-        self._noise = Draws(rng, spec.report_noise)
-        self.commands = 0
+        self.slowdown = 1.0  # factor on the duration of all work
+        self.tail_factor = 1.0  # factor on the duration of a ``tail_share`` of the commands
+        self.tail_share = 0.0
+        self.extra_report_delay_ms = 0.0
+        self.on_overload_crash: Callable[[tuple[str, ...]], None] = lambda request_ids: None
+        self.commands = 0  # since the last sample, which resets it
+        self._work_factors = Draws(rng, spec.work_cv)
+        self._draws = Chances(rng)
+        self._report_noise = Draws(rng, spec.report_noise)
         self.boot(cold=False)
 
     def boot(self, cold: bool) -> None:
-        """Start from nothing: whatever it held and did is gone."""
+        """Start with an empty memory and queue; a server that is not ``cold`` is warmed up at once."""
         now = self.schedule.now()
-        self.started_at = now if cold else -1e12
-        self.incarnation = object()  # work begun in an earlier life ends in nothing
+        self.incarnation = object()  # work that was begun in an earlier incarnation has no effect
         self.cache: OrderedDict[str, int] = OrderedDict()
-        self.fetches_in_flight: dict[str, list[Job]] = {}
-        self.queue: deque[Job] = deque()
+        self.fetches_in_flight: dict[str, list[Command]] = {}
+        self.queue: deque[Command] = deque()
         self.busy_slots = 0
-        self.draining = self.crashed = False
-        self._window: deque[tuple[float, float, str]] = deque()
-        self._pushed = 0.0
-        self._hits = 0.5
-        self._busy_since, self._busy_time, self._util_at, self._util = now, 0.0, now, 0.0
-        self._reports: deque[tuple[float, tuple[float, ...]]] = deque()
-
-    # capacity
+        self.draining = False
+        self.crashed = False
+        self._warm_up = WarmUp(self.spec, self.base_speed, now if cold else None)
+        self._reporter = LoadReporter(self.spec, self._report_noise)
+        self._hit_rate = 0.5
+        self._busy_accounted_at = now
+        self._busy_time = 0.0
+        self._utilization_since = now
 
     def capacity_share(self) -> float:
-        """Return its present capacity as a share of that when warm."""
-        age = self.schedule.now() - self.started_at
-        if age >= self.spec.cold_ms:
-            return 1.0
-        return self.spec.cold_from + (1.0 - self.spec.cold_from) * age / self.spec.cold_ms
-
-    def _mean_work(self, write: bool) -> float:
-        return self.spec.write_ms if write else self.spec.hit_ms
-
-    def _push(self, rid: str, work: float) -> bool:
-        """Count work against a cold server's budget; True if that makes it fall."""
-        share = self.capacity_share()
-        if share >= 1.0:
-            self._window.clear()
-            self._pushed = 0.0
-            return False
-        now, length = self.schedule.now(), self.spec.tip_after_ms
-        self._window.append((now, work, rid))
-        self._pushed += work
-        while self._window[0][0] <= now - length:
-            self._pushed -= self._window.popleft()[1]
-        budget = self.spec.overload_factor * share * self.spec.slots * self.base_speed * length
-        return self._pushed > budget
+        """Return the present capacity as a share of the capacity when warmed up."""
+        return self._warm_up.capacity_share(self.schedule.now())
 
     # commands
 
-    def submit(self, job: Job) -> None:
-        """Take a command whose last byte has come."""
+    def submit(self, command: Command) -> None:
+        """Accept, queue or reject a command that has been received completely."""
         self.commands += 1
-        if self._push(job.request_id, self._mean_work(job.is_write)):
+        mean_work = self.spec.write_ms if command.is_write else self.spec.hit_ms
+        if self._warm_up.is_overloaded_by(self.schedule.now(), command.request_id, mean_work):
             self.crashed = True
-            self.on_overload_crash(tuple(rid for _, _, rid in self._window))
+            self.on_overload_crash(self._warm_up.recent_request_ids())
             return
         if self.draining or (len(self.queue) >= self.spec.waiting and self.busy_slots >= self.spec.slots):
-            job.finish(job, "busy")
+            command.finish(CommandOutcome.BUSY)
             return
         if self.busy_slots >= self.spec.slots:
-            self.queue.append(job)
+            self.queue.append(command)
             return
-        self._begin(job)
+        self._start(command)
 
     def handshake(self) -> None:
-        """A new connection costs work: it keeps a slot busy for a while, or delays what waits."""
+        """Charge the work of a new connection to a slot, if one is free."""
         if self.spec.handshake_ms <= 0 or self.busy_slots >= self.spec.slots:
             return
-        self._occupy()
-        life = self.incarnation
-        self.schedule.after(self._duration(self.spec.handshake_ms), lambda: self._free(life))
+        self._occupy_slot()
+        incarnation = self.incarnation
+        self.schedule.after(self._duration(self.spec.handshake_ms), lambda: self._release_slot(incarnation))
 
-    def cancel(self, job: Job) -> None:
-        """Nobody waits for a command any more: one that has not begun never runs."""
-        job.is_cancelled = True
+    def cancel(self, command: Command) -> None:
+        """Give up a command: if it has not started, it never runs."""
+        command.is_cancelled = True
 
     def _duration(self, work: float) -> float:
         return work * self.slowdown / (self.base_speed * self.capacity_share())
 
-    def _begin(self, job: Job) -> None:
-        job.is_started = True
-        self._occupy()
-        if job.is_write:
+    def _start(self, command: Command) -> None:
+        command.is_started = True
+        self._occupy_slot()
+        if command.is_write:
             work = self.spec.write_ms
         else:
-            self._note(job)
-            work = self.spec.hit_ms + (0.0 if job.flags == "h1" else self.spec.miss_ms)
-        if self.tail_share and self._chances.next() < self.tail_share:
+            self._record_lookup(command)
+            work = self.spec.hit_ms + (0.0 if command.flags == HIT_FLAGS else self.spec.miss_ms)
+        if self.tail_share and self._draws.next() < self.tail_share:
             work *= self.tail_factor
-        life = self.incarnation
-        self.schedule.after(self._duration(work * self._draws.next()), lambda: self._worked(life, job))
-
-    def _note(self, job: Job) -> None:
-        hit = job.key in self.cache
-        job.flags = "h1" if hit else "h0 Z" if job.key in self.fetches_in_flight else "h0"
-        self._hits += 0.02 * ((1.0 if hit else 0.0) - self._hits)
+        incarnation = self.incarnation
+        duration = self._duration(work * self._work_factors.next())
+        self.schedule.after(duration, lambda: self._finish_work(incarnation, command))
+
+    def _record_lookup(self, command: Command) -> None:
+        is_hit = command.key in self.cache
+        if is_hit:
+            command.flags = HIT_FLAGS
+        elif command.key in self.fetches_in_flight:
+            command.flags = COALESCED_MISS_FLAGS
+        else:
+            command.flags = MISS_FLAGS
+        self._hit_rate += _HIT_RATE_GAIN * ((1.0 if is_hit else 0.0) - self._hit_rate)
 
-    def _worked(self, life: object, job: Job) -> None:
-        if life is not self.incarnation:
+    def _finish_work(self, incarnation: object, command: Command) -> None:
+        if incarnation is not self.incarnation:
             return
-        self._free(life)  # a slot is for the server's own work; waiting for the origin holds the request only
-        if self.spec.error_rate and self._chances.next() < self.spec.error_rate:
-            job.finish(job, "failed")
-        elif job.is_write:
-            self._write(life, job)
+        self._release_slot(incarnation)  # a command that waits for the origin occupies no slot
+        if self.spec.error_rate and self._draws.next() < self.spec.error_rate:
+            command.finish(CommandOutcome.FAILED)
+        elif command.is_write:
+            self._write(incarnation, command)
         else:
-            self._read(life, job)
+            self._read(incarnation, command)
 
-    def _read(self, life: object, job: Job) -> None:
-        version = self.cache.get(job.key)
+    def _read(self, incarnation: object, command: Command) -> None:
+        version = self.cache.get(command.key)
         if version is not None:
-            self.cache.move_to_end(job.key)
-            job.version = version
-            job.finish(job, "served")
+            self.cache.move_to_end(command.key)
+            command.version = version
+            command.finish(CommandOutcome.SERVED)
             return
-        waiting = self.fetches_in_flight.get(job.key)
+        waiting = self.fetches_in_flight.get(command.key)
         if waiting is not None:
-            waiting.append(job)
+            waiting.append(command)
             return
-        self.fetches_in_flight[job.key] = [job]
+        self.fetches_in_flight[command.key] = [command]
 
-        def fetched(version: int | None) -> None:
-            if life is not self.incarnation:
+        def on_fetched(version: int | None) -> None:
+            if incarnation is not self.incarnation:
                 return
-            jobs = self.fetches_in_flight.pop(job.key, [])
+            commands = self.fetches_in_flight.pop(command.key, [])
             if version is not None:
-                self.store(job.key, version)
-            for one in jobs:
-                one.version = version or 0
-                one.finish(one, "failed" if version is None else "served")
+                self.store(command.key, version)
+            for waiting_command in commands:
+                self._finish_with_version(waiting_command, version)
 
-        self.origin.fetch(job.key, fetched)
+        self.origin.fetch(command.key, on_fetched)
 
-    def _write(self, life: object, job: Job) -> None:
-        def written(version: int | None) -> None:
-            if life is not self.incarnation:
+    def _write(self, incarnation: object, command: Command) -> None:
+        def on_written(version: int | None) -> None:
+            if incarnation is not self.incarnation:
                 return
             if version is not None:
-                self.cache.pop(job.key, None)
-            job.version = version or 0
-            job.finish(job, "failed" if version is None else "served")
+                self.invalidate(command.key)
+            self._finish_with_version(command, version)
 
-        self.origin.write(job.key, job.idempotency_key, written)
+        self.origin.write(command.key, command.idempotency_key, on_written)
+
+    def _finish_with_version(self, command: Command, version: int | None) -> None:
+        """End a command with what the origin answered: a version, or None if the origin failed."""
+        command.version = version or 0
+        command.finish(CommandOutcome.FAILED if version is None else CommandOutcome.SERVED)
+
+    # memory
 
     def store(self, key: str, version: int) -> None:
-        """Keep a value; the one used longest ago goes."""
+        """Cache a value; evict the least recently used one if the memory is full."""
         self.cache[key] = version
         self.cache.move_to_end(key)
         if len(self.cache) > self.spec.memory_keys:
             self.cache.popitem(last=False)
 
     def invalidate(self, key: str) -> None:
-        """A write elsewhere has voided a copy."""
+        """Evict a value that a write has made stale."""
         self.cache.pop(key, None)
 
     # slots
 
-    def _clock_busy(self) -> None:
+    def _account_busy_time(self) -> None:
         now = self.schedule.now()
-        self._busy_time += self.busy_slots * (now - self._busy_since)
-        self._busy_since = now
+        self._busy_time += self.busy_slots * (now - self._busy_accounted_at)
+        self._busy_accounted_at = now
 
-    def _occupy(self) -> None:
-        self._clock_busy()
+    def _occupy_slot(self) -> None:
+        self._account_busy_time()
         self.busy_slots += 1
 
-    def _free(self, life: object) -> None:
-        if life is not self.incarnation:
+    def _release_slot(self, incarnation: object) -> None:
+        if incarnation is not self.incarnation:
             return
-        self._clock_busy()
+        self._account_busy_time()
         self.busy_slots -= 1
         while self.queue and self.busy_slots < self.spec.slots:
-            job = self.queue.popleft()
-            if not job.is_cancelled:
-                self._begin(job)
+            command = self.queue.popleft()
+            if not command.is_cancelled:
+                self._start(command)
+
+    # measurements
 
     def utilization(self) -> float:
-        """Return the mean share of its slots in use since the last call."""
-        self._clock_busy()
+        """Return the mean share of slots in use since the last call."""
+        self._account_busy_time()
         now = self.schedule.now()
-        span = max(1e-9, now - self._util_at)
-        self._util = self._busy_time / (span * self.spec.slots)
-        self._util_at, self._busy_time = now, 0.0
-        return self._util
-
-    # reports
+        span = max(1e-9, now - self._utilization_since)
+        utilization = self._busy_time / (span * self.spec.slots)
+        self._utilization_since = now
+        self._busy_time = 0.0
+        return utilization
 
     def true_load(self) -> float:
-        """Return how many commands wait or run, over its slots and the speed it has now."""
+        """Return the number of queued and running commands, relative to the slots and their present speed."""
         return (self.busy_slots + len(self.queue)) * self.slowdown / (self.spec.slots * self.base_speed)
 
-    def report(self) -> dict[str, float]:
-        """Return the load report that goes out now: old by the delay, and noisy."""
-        now = self.schedule.now()
-        if not self._reports or now - self._reports[-1][0] >= self.spec.report_period_ms:
-            held = self.busy_slots + sum(len(jobs) for jobs in self.fetches_in_flight.values())
-            self._reports.append((now, (float(held), float(len(self.queue)), self._hits)))
-        wanted = now - self.spec.report_delay_ms - self.extra_report_delay_ms
-        while len(self._reports) > 1 and self._reports[1][0] <= wanted:
-            self._reports.popleft()
-        values = self._reports[0][1]
-        return {
-            name: value * self._noise.next() for name, value in zip(("inflight", "queue", "x0"), values, strict=True)
-        }
+    def report(self) -> LoadReport:
+        """Return the load report that an answer carries now: delayed and noisy."""
+        return self._reporter.report(self.schedule.now(), self.extra_report_delay_ms, self._measure_load)
+
+    def _measure_load(self) -> LoadReport:
+        in_flight = self.busy_slots + sum(len(commands) for commands in self.fetches_in_flight.values())
+        return LoadReport(float(in_flight), float(len(self.queue)), self._hit_rate)
--- /dev/null
+++ b/starlingthread/testbed/client_worker.py
@@ -0,0 +1,69 @@
+"""The worker process that plays some of the clients."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from ..experiment.randomness import streams
+from ..experiment.scenario import Scenario
+from ..load.client import Load
+from ..load.traffic import draw
+from .worker_base import Worker
+
+_SEED_OFFSET = 9_000_003  # apart from the seeds of other parts of the run
+
+
+class ClientWorker(Worker):
+    """Some of the clients."""
+
+    role = "clients"
+
+    def __init__(self, number: int) -> None:
+        super().__init__(number)
+        self.load: Load
+        self.commands |= {
+            "setup": self.set_up,
+            "begin": self.begin,
+            "finish": self.finish,
+            "front": self.set_router_alive,
+            "leave": self.set_leave_share,
+            "bad_clients": self.start_bad_clients,
+        }
+
+    async def set_up(self, scenario: dict[str, Any], routers: list[tuple[str, int]]) -> None:
+        """Draw the arrivals and open the connections."""
+        self.scenario = msgspec.convert(scenario, Scenario)
+        rng = streams(self.scenario.seed + _SEED_OFFSET, self.scenario.machine.load_processes)[self.number]
+        addresses = [(host, port) for host, port in routers]
+        self.load = Load(self.scenario, self.number, draw(self.scenario), addresses, rng, self.ledger)
+        await self.load.connect_ahead()
+
+    async def begin(self, started_at: float) -> None:
+        """Send requests from a time (ms) on."""
+        self.load.begin(started_at)
+
+    async def finish(self) -> None:
+        """Wait until every operation has ended."""
+        await self.load.done.wait()
+
+    async def set_router_alive(self, router: int, is_alive: bool) -> None:
+        """Let the load balancer in front of the routers notice that one has stopped responding, or responds again."""
+        self.load.alive[router] = is_alive
+
+    async def set_leave_share(self, share: float) -> None:
+        """Set the share of requests whose client leaves before the answer."""
+        self.load.leave = share
+
+    async def start_bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
+        """Start clients that send garbage, or half commands, for a while."""
+        self.load.bad_clients(per_second, seconds, half)
+
+    async def collect(self) -> bytes:
+        """Return the encoded ledger; the clients stop."""
+        self.ledger.bad_client_outcomes = dict(self.load.garbage)
+        if self.load.out_of_connections:
+            self.ledger.bad_client_outcomes["out-of-connections"] = self.load.out_of_connections
+        self.load.stop()
+        return await super().collect()
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -20,7 +20,7 @@
 
 from ..emulator.datagram_relay import DatagramRelay
 from ..emulator.discovery_server import DiscoveryServer, ListedServer
-from ..emulator.faults import FRONT_GRACE_S, FaultInjector
+from ..emulator.fault_injector import FRONT_GRACE_S, FaultInjector
 from ..emulator.load_oracle import create_oracle_file, server_name
 from ..emulator.origin_model import OriginModel
 from ..emulator.router_process import OPTIONS_FILE, ORACLE_FILE, RouterProcess
--- /dev/null
+++ b/starlingthread/testbed/server_worker.py
@@ -0,0 +1,186 @@
+"""The worker process that plays some of the servers."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import numpy as np
+
+from ..emulator.cache_server import CacheServer
+from ..emulator.load_oracle import WRITE_PERIOD_S, LoadOracleWriter
+from ..emulator.messages import CoordinatorMessage, KeyWritten, OriginAnswer, OriginFetch, OriginWrite, OverloadCrash
+from ..emulator.origin_model import VersionCallback
+from ..emulator.port_allocation import PortStripe
+from ..emulator.rpc_channel import RpcChannel
+from ..emulator.server_links import ServerLink
+from ..emulator.server_model import ServerModel
+from ..experiment.randomness import Chances, server_speeds, streams
+from ..experiment.records import ServerSample
+from ..experiment.scenario import Scenario, distance_ms, link_groups
+from ..load.traffic import hottest_first, key_name
+from .worker_base import Worker
+
+_SEED_OFFSET = 7_000_003  # apart from the seeds of other parts of the run
+_SAMPLE_PERIOD_S = 1.0
+
+_SERVER_METHODS: dict[str, Callable[[CacheServer], Awaitable[None] | None]] = {
+    "crash": CacheServer.crash,
+    "restart": CacheServer.restart,
+    "drain": CacheServer.drain,
+    "freeze": CacheServer.freeze,
+    "resume": CacheServer.resume,
+    "become_unreachable": CacheServer.become_unreachable,
+    "become_reachable": CacheServer.become_reachable,
+}
+_MODEL_ATTRIBUTES = frozenset({"slowdown", "tail_factor", "tail_share", "extra_report_delay_ms"})
+_ANSWER_FAULT_ATTRIBUTES = frozenset({"reset_rate", "truncation_rate", "corruption_rate"})
+
+
+class RemoteOrigin:
+    """The origin, which the coordinator plays."""
+
+    def __init__(self, channel: RpcChannel) -> None:
+        self._channel = channel
+        self._in_flight: dict[int, VersionCallback] = {}
+        self._last_request = 0
+
+    def fetch(self, key: str, then: VersionCallback) -> None:
+        """Read a key."""
+        self._channel.send_message(OriginFetch(self._register(then), key))
+
+    def write(self, key: str, idempotency_key: str, then: VersionCallback) -> None:
+        """Write a key."""
+        self._channel.send_message(OriginWrite(self._register(then), key, idempotency_key))
+
+    def _register(self, then: VersionCallback) -> int:
+        self._last_request += 1
+        self._in_flight[self._last_request] = then
+        return self._last_request
+
+    def on_answer(self, answer: OriginAnswer) -> None:
+        """Hand an answer to the server that waits for it."""
+        self._in_flight.pop(answer.number)(answer.version)
+
+
+class ServerWorker(Worker):
+    """Some of the servers."""
+
+    role = "servers"
+
+    def __init__(self, number: int) -> None:
+        super().__init__(number)
+        self.origin: RemoteOrigin
+        self.servers: dict[int, CacheServer] = {}
+        self.commands |= {
+            "setup": self.set_up,
+            "server": self.call_server,
+            "set": self.set_server_attribute,
+            "link": self.set_link_conditions,
+        }
+
+    async def set_up(self, scenario: dict[str, Any], oracle_file: str) -> dict[int, list[int]]:
+        """Start the servers of this process; return the ports of each, one for each group of routers.
+
+        Their true load is written to the ``oracle_file``, unless its path is empty.
+        """
+        self.scenario = msgspec.convert(scenario, Scenario)
+        self.origin = RemoteOrigin(self.channel)
+        fleet = self.scenario.fleet
+        rngs = streams(self.scenario.seed + _SEED_OFFSET, fleet.servers * 2)
+        speeds = server_speeds(self.scenario)
+        for number in range(self.number, fleet.servers, self.scenario.machine.server_processes):
+            model = ServerModel(number, fleet, speeds[number], self.schedule, self.origin, rngs[2 * number])
+            server = self._make_server(model, rngs[2 * number + 1])
+            self.servers[number] = server
+            await server.start()
+        if fleet.warm_keys:
+            self._warm_caches()
+        self._start_cold_servers()
+        self._sample()
+        if oracle_file:
+            self._write_true_loads(LoadOracleWriter(Path(oracle_file)))
+        return {number: [link.port for link in server.links] for number, server in self.servers.items()}
+
+    def _make_server(self, model: ServerModel, rng: np.random.Generator) -> CacheServer:
+        link_draws = Chances(rng)
+        stripe = PortStripe(1 + self.number, 1 + self.scenario.machine.server_processes)  # 0 is the coordinator's
+        links = [
+            ServerLink(group, link_draws, distance_ms(self.scenario, model.number, group), stripe)
+            for group in range(link_groups(self.scenario))
+        ]
+        server = CacheServer(model, self.scenario.traffic.value_bytes, self.schedule, self.ledger, rng, links)
+
+        def on_overload_crash(request_ids: tuple[str, ...]) -> None:
+            server.crash_by_overload(request_ids)
+            self.channel.send_message(OverloadCrash(server.number))
+
+        model.on_overload_crash = on_overload_crash
+        return server
+
+    def _warm_caches(self) -> None:
+        """Fill the caches with the hottest keys, as after a day's work."""
+        memory_keys = self.scenario.fleet.memory_keys
+        servers = list(self.servers.values())
+        hottest = hottest_first(self.scenario)
+        if self.scenario.traffic.direct:  # any server may get any key
+            for key in hottest[:memory_keys]:
+                for server in servers:
+                    server.model.store(key_name(key), 0)
+            return
+        for rank, key in enumerate(hottest[: memory_keys * len(servers) // 2]):
+            servers[rank % len(servers)].model.store(key_name(key), 0)
+
+    def _start_cold_servers(self) -> None:
+        for number in range(self.scenario.fleet.cold_servers):
+            if number in self.servers:
+                self.servers[number].model.boot(cold=True)
+                self.servers[number].record_event("cold")
+
+    def _sample(self) -> None:
+        for server in self.servers.values():
+            model = server.model
+            utilization = round(model.utilization(), 4)
+            self.ledger.server_samples.append(
+                ServerSample(server.number, self.schedule.now(), utilization, model.commands, len(server.connections))
+            )
+            model.commands = 0
+        self.loop.call_later(_SAMPLE_PERIOD_S, self._sample)
+
+    def _write_true_loads(self, oracle: LoadOracleWriter) -> None:
+        for server in self.servers.values():
+            oracle.write(server.number, server.model.true_load())
+        self.loop.call_later(WRITE_PERIOD_S, self._write_true_loads, oracle)
+
+    def on_event(self, event: CoordinatorMessage) -> None:
+        """Handle an answer of the origin, or a write that makes cached values stale."""
+        if isinstance(event, OriginAnswer):
+            self.origin.on_answer(event)
+        elif isinstance(event, KeyWritten):
+            for server in self.servers.values():
+                server.model.invalidate(event.key)
+
+    # commands
+
+    async def call_server(self, number: int, method: str, arguments: list[Any]) -> None:
+        """Call a method of a server; there are none with arguments."""
+        result = _SERVER_METHODS[method](self.servers[number], *arguments)
+        if asyncio.iscoroutine(result):
+            await result
+
+    async def set_link_conditions(self, number: int, groups: list[int], conditions: dict[str, float]) -> None:
+        """Change a server's links to some groups of routers."""
+        await self.servers[number].set_link_conditions(groups, conditions)
+
+    async def set_server_attribute(self, number: int, name: str, value: float) -> None:
+        """Set an attribute by which a fault acts on a server. Raise a ValueError if there is none of that name."""
+        server = self.servers[number]
+        if name in _MODEL_ATTRIBUTES:
+            setattr(server.model, name, value)
+        elif name in _ANSWER_FAULT_ATTRIBUTES:
+            setattr(server.answer_faults, name, value)
+        else:
+            raise ValueError(f"a server has no attribute {name!r} for faults")
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -15,7 +15,7 @@
 from starlingthread.baselines.policies import POLICIES
 from starlingthread.emulator.cache_server import CacheServer
 from starlingthread.emulator.origin_model import OriginModel
-from starlingthread.emulator.port_allocation import free_port
+from starlingthread.emulator.port_allocation import PortStripe, free_port
 from starlingthread.emulator.schedule import EventLoopSchedule
 from starlingthread.emulator.server_links import RETRANSMIT_TIMEOUT_MS, LinkDirection, ServerLink
 from starlingthread.emulator.server_model import ServerModel
@@ -99,7 +99,7 @@
         origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
         doors = [ServerLink(group, Chances(rng)) for group in range(2)]
         model = ServerModel(0, fleet, 1.0, schedule, origin, rng)
-        server = CacheServer(model, "s-0", "a", 50, schedule, Ledger(), rng, doors)
+        server = CacheServer(model, 50, schedule, Ledger(), rng, doors)
         await server.start()
         sides = [await asyncio.open_connection("127.0.0.1", door.port) for door in doors]
 
@@ -131,7 +131,7 @@
 
 
 def test_processes_of_a_run_never_choose_the_same_port() -> None:
-    chosen = [{free_port(socket.SOCK_STREAM, part, 3) for _ in range(100)} for part in range(3)]
+    chosen = [{free_port(socket.SOCK_STREAM, PortStripe(part, 3)) for _ in range(100)} for part in range(3)]
     assert not chosen[0] & chosen[1] and not chosen[1] & chosen[2] and not chosen[0] & chosen[2]
 
 
