--- a/starlingthread/emulator/__init__.py
+++ b/starlingthread/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""The platform on loopback sockets: cache servers, origin, discovery, relay, faults, and a judge of what happened.
+"""The platform on loopback sockets: cache servers, origin, discovery, datagram relay, router processes and faults.
 
 Needs the extra ``lab``; the router never imports anything from here.
 """
--- a/starlingthread/emulator/cache_server.py
+++ b/starlingthread/emulator/cache_server.py
@@ -82,7 +82,7 @@
         self._stop_listening()
         self.resume(discard=True)
         self._reset_connections()
-        self.model.boot(cold=True)
+        self.model.boot(is_warm=False)
 
     def crash_by_overload(self, request_ids: tuple[str, ...]) -> None:
         """Crash under the work of some requests."""
@@ -91,7 +91,7 @@
 
     async def restart(self) -> None:
         """Start a new process at the same addresses, with an empty memory."""
-        self.model.boot(cold=True)
+        self.model.boot(is_warm=False)
         self.record_event("cold")
         await self.start()
 
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -92,10 +92,10 @@
         self._work_factors = Draws(rng, spec.work_cv)
         self._draws = Chances(rng)
         self._report_noise = Draws(rng, spec.report_noise)
-        self.boot(cold=False)
+        self.boot(is_warm=True)
 
-    def boot(self, cold: bool) -> None:
-        """Start with an empty memory and queue; a server that is not ``cold`` is warmed up at once."""
+    def boot(self, is_warm: bool) -> None:
+        """Start with an empty memory and queue, and at full capacity if the server ``is_warm``."""
         now = self.schedule.now()
         self.incarnation = object()  # work that was begun in an earlier incarnation has no effect
         self.cache: OrderedDict[str, int] = OrderedDict()
@@ -104,7 +104,7 @@
         self.busy_slots = 0
         self.draining = False
         self.crashed = False
-        self._warm_up = WarmUp(self.spec, self.base_speed, now if cold else None)
+        self._warm_up = WarmUp(self.spec, self.base_speed, None if is_warm else now)
         self._reporter = LoadReporter(self.spec, self._report_noise)
         self._hit_rate = 0.5
         self._busy_accounted_at = now
--- a/starlingthread/emulator/testbed_interface.py
+++ b/starlingthread/emulator/testbed_interface.py
@@ -20,7 +20,7 @@
     async def set_server_attribute(self, number: int, name: str, value: float) -> None:
         """Set an attribute of a server."""
 
-    async def set_link_conditions(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
+    async def set_link_conditions(self, number: int, groups: list[int], conditions: dict[str, float], /) -> None:
         """Change a server's links to some groups of routers, all if none is named."""
 
     def publish_status(self, number: int, status: str, restarted: bool = False) -> None:
@@ -29,10 +29,10 @@
     def set_discovery_down(self, is_down: bool) -> None:
         """Take discovery down, or up again."""
 
-    def partition_discovery(self, routers: set[int], is_cut: bool) -> None:
+    def partition_discovery(self, routers: set[int], is_partitioned: bool, /) -> None:
         """Partition routers from discovery, or end that."""
 
-    def partition_peers(self, routers: set[int], is_split: bool) -> None:
+    def partition_peers(self, routers: set[int], is_partitioned: bool, /) -> None:
         """Partition routers from their peers, so that datagrams reach only one another, or end that."""
 
     def set_datagram_loss(self, share: float) -> None:
@@ -44,7 +44,7 @@
     async def call_clients(self, method: str, *arguments: object) -> None:
         """Call a method of all processes that play clients."""
 
-    async def bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
+    async def bad_clients(self, per_second: float, seconds: float, half_commands: bool, /) -> None:
         """Start clients that send garbage, or half commands."""
 
     async def kill_router(self, number: int) -> None:
@@ -56,8 +56,8 @@
     async def restart_router(self, number: int) -> None:
         """Shut a router down gracefully and start its successor."""
 
-    def signal_router(self, number: int, which: signal.Signals) -> None:
+    def signal_router(self, number: int, which: signal.Signals, /) -> None:
         """Send a signal to a router."""
 
-    def record_fault(self, marked: FaultRecord) -> None:
+    def record_fault(self, record: FaultRecord, /) -> None:
         """Write a fault that was injected to the ledger."""
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -137,7 +137,7 @@
     def _start_cold_servers(self) -> None:
         for number in range(self.scenario.fleet.cold_servers):
             if number in self.servers:
-                self.servers[number].model.boot(cold=True)
+                self.servers[number].model.boot(is_warm=False)
                 self.servers[number].record_event("cold")
 
     def _sample(self) -> None:
--- a/tests/test_datagram_relay.py
+++ b/tests/test_datagram_relay.py
@@ -20,24 +20,24 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        ends = [await loop.create_datagram_endpoint(Receiver, local_addr=("127.0.0.1", 0)) for _ in range(4)]
-        listeners = [t.get_extra_info("sockname")[:2] for t, _ in ends[:3]]
+        endpoints = [await loop.create_datagram_endpoint(Receiver, local_addr=("127.0.0.1", 0)) for _ in range(4)]
+        listeners = [transport.get_extra_info("sockname")[:2] for transport, _ in endpoints[:3]]
         relay = DatagramRelay(scenario.Datagrams(0.0, 0.0, 1.0, 0.0), np.random.default_rng(2))
         await relay.start(listeners)
-        ends[0][0].sendto(b"one", relay.addresses[1])
-        ends[0][0].sendto(b"all", relay.broadcast_address)
-        ends[0][0].sendto(b"x" * 257, relay.broadcast_address)
-        ends[3][0].sendto(b"stranger", relay.broadcast_address)
+        endpoints[0][0].sendto(b"one", relay.addresses[1])
+        endpoints[0][0].sendto(b"all", relay.broadcast_address)
+        endpoints[0][0].sendto(b"x" * 257, relay.broadcast_address)
+        endpoints[3][0].sendto(b"stranger", relay.broadcast_address)
         while relay.delivered < 6 or relay.unknown_senders < 1:
             await asyncio.sleep(0)
-        while len(ends[1][1].received) + len(ends[2][1].received) < 6:
+        while len(endpoints[1][1].received) + len(endpoints[2][1].received) < 6:
             await asyncio.sleep(0)
-        received = sorted(ends[1][1].received), sorted(ends[2][1].received)
+        received = sorted(endpoints[1][1].received), sorted(endpoints[2][1].received)
         sender = relay.addresses[0][1]
         assert received == ([(b"all", sender)] * 2 + [(b"one", sender)] * 2, [(b"all", sender)] * 2)
-        assert not ends[0][1].received and relay.oversized == 1
+        assert not endpoints[0][1].received and relay.oversized == 1
         relay.extra_loss = 1.0
-        ends[0][0].sendto(b"lost", relay.broadcast_address)
+        endpoints[0][0].sendto(b"lost", relay.broadcast_address)
         while relay.dropped < 4:
             await asyncio.sleep(0)
         relay.stop()
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -27,10 +27,10 @@
         notifications: list[StatusNotification] = []
         discovery = DiscoveryServer(2, 0.0, notifications)
         servers = [ListedServer(n, f"s-{n}", [f"127.0.0.1:{n + 1}"], "a") for n in range(3)]
-        discovery.entries = {e.number: e for e in servers}
+        discovery.entries = {server.number: server for server in servers}
         await discovery.start()
         _, status = await call(discovery.ports[0], "/registry/instances")
-        assert b"200" in status and {(t.router, t.server) for t in notifications} == {(0, 0), (0, 1), (0, 2)}
+        assert b"200" in status and {(sent.router, sent.server) for sent in notifications} == {(0, 0), (0, 1), (0, 2)}
         watch, status = await call(discovery.ports[1], "/registry/instances?watch=1&after=1")
         assert b"200" in status
         line = await until(watch, b'"endpoints":')
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -38,26 +38,26 @@
     async def call_clients(self, method: str, *arguments: object) -> None:
         self.actions.append((method, *arguments))
 
-    async def bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
-        self.actions.append(("bad", half))
+    async def bad_clients(self, per_second: float, seconds: float, half_commands: bool) -> None:
+        self.actions.append(("bad clients", half_commands))
 
-    async def set_link_conditions(self, number: int, groups: list[int], figures: dict[str, float]) -> None:
-        self.actions.append(("link", number, " ".join(f"{name}={value:g}" for name, value in figures.items())))
+    async def set_link_conditions(self, number: int, groups: list[int], conditions: dict[str, float]) -> None:
+        self.actions.append(("link", number, " ".join(f"{name}={value:g}" for name, value in conditions.items())))
 
-    def partition_discovery(self, routers: set[int], is_cut: bool) -> None:
-        self.actions.append(("discovery cut", *routers, is_cut))
+    def partition_discovery(self, routers: set[int], is_partitioned: bool) -> None:
+        self.actions.append(("partition discovery", *routers, is_partitioned))
 
-    def partition_peers(self, routers: set[int], is_split: bool) -> None:
-        self.actions.append(("split", *routers, is_split))
+    def partition_peers(self, routers: set[int], is_partitioned: bool) -> None:
+        self.actions.append(("partition peers", *routers, is_partitioned))
 
     def set_discovery_down(self, is_down: bool) -> None:
-        self.actions.append(("down", is_down))
+        self.actions.append(("discovery down", is_down))
 
     def set_datagram_loss(self, share: float) -> None:
-        self.actions.append(("drop", share))
+        self.actions.append(("datagram loss", share))
 
     def slow_origin(self, factor: float) -> None:
-        self.actions.append(("jam", factor))
+        self.actions.append(("slow origin", factor))
 
     async def kill_router(self, number: int) -> None:
         self.actions.append(("kill", number))
@@ -71,8 +71,8 @@
     def signal_router(self, number: int, which: signal.Signals) -> None:
         self.actions.append((which.name, number))
 
-    def record_fault(self, marked: FaultRecord) -> None:
-        self.records.append(marked)
+    def record_fault(self, record: FaultRecord) -> None:
+        self.records.append(record)
 
 
 EXPECTED: dict[str, list[tuple[object, ...]]] = {
@@ -87,11 +87,11 @@
     "late-reports": [("extra_report_delay_ms", 2.0), ("extra_report_delay_ms", 0.0)],
     "spoilt": [("corruption_rate", 0.5), ("corruption_rate", 0.0)],
     "half-answers": [("truncation_rate", 0.5), ("truncation_rate", 0.0)],
-    "garbage-clients": [("bad", False)],
-    "half-commands": [("bad", True)],
+    "garbage-clients": [("bad clients", False)],
+    "half-commands": [("bad clients", True)],
     "leaving-clients": [("leave", 0.5), ("leave", 0.0)],
-    "lost-datagrams": [("drop", 0.5), ("drop", 0.0)],
-    "discovery-down": [("down", True), ("down", False)],
+    "lost-datagrams": [("datagram loss", 0.5), ("datagram loss", 0.0)],
+    "discovery-down": [("discovery down", True), ("discovery down", False)],
     "kill-router": [("kill", 1), ("start", 1)],
     "stop-router": [("SIGSTOP", 1), ("SIGCONT", 1)],
     "restart-router": [("restart-router", 1)],
@@ -104,7 +104,7 @@
         ("terminated", False),
     ],
     "zone-dark": [("become_unreachable", 1), ("become_reachable", 1), ("terminated", False), ("in_service", False)],
-    "origin-jam": [("jam", 2.0), ("jam", 1.0)],
+    "origin-jam": [("slow origin", 2.0), ("slow origin", 1.0)],
     "surge": [],
     "link-cut": [
         ("link", 1, "inbound_blocked=1 outbound_blocked=1"),
@@ -113,21 +113,21 @@
     "link-slow": [("link", 1, "delay_ms=2"), ("link", 1, "delay_ms=0")],
     "link-lossy": [("link", 1, "loss_rate=0.5"), ("link", 1, "loss_rate=0")],
     "link-broken": [("link", 1, "truncation_rate=0.5"), ("link", 1, "truncation_rate=0")],
-    "discovery-cut": [("discovery cut", 1, True), ("discovery cut", 1, False)],
-    "peers-cut": [("split", 1, True), ("split", 1, False)],
+    "discovery-cut": [("partition discovery", 1, True), ("partition discovery", 1, False)],
+    "peers-cut": [("partition peers", 1, True), ("partition peers", 1, False)],
 }
 
 
 @pytest.mark.parametrize("kind", EXPECTED)
 def test_each_fault_begins_and_ends(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_faults, "DRAIN_PERIOD_S", 0.0)
-    least, most, _ = scenario.STRENGTHS.get(kind, (0.0, 0.0, ""))
-    strength = 0.5 if most == 1.0 else min(2.0, most)
+    minimum, maximum, _ = scenario.STRENGTHS.get(kind, (0.0, 0.0, ""))
+    strength = 0.5 if maximum == 1.0 else min(2.0, maximum)
     fault = scenario.Fault(
         kind,  # type: ignore[arg-type]
         0.0,
         0.001,
-        max(least, strength),
+        max(minimum, strength),
         servers=(1,),
         routers=(1,),
         zone="bloco-b",
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -120,7 +120,7 @@
     crashes: list[tuple[str, ...]] = []
     for gap, is_crash in ((7.0, False), (4.0, True)):  # budget: 4 x 0.1 x 2 slots x 1000 ms of work; 4 ms a command
         server = ModelServer(fleet)
-        server.model.boot(cold=True)
+        server.model.boot(is_warm=False)
         server.model.on_overload_crash = crashes.append
         for number in range(600):
             server.clock.run(number * gap)
