--- /dev/null
+++ b/starlingthread/net/clients/idle.py
@@ -0,0 +1,53 @@
+"""In which order idle connections are evicted when descriptors run out."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import NamedTuple
+
+from .context import ConnectionState
+from .limits import SHORT_IDLE_TIMEOUT_MS, SILENT_CONNECTION_MS, STALLED_COMMAND_MS
+
+
+class EvictionClass(IntEnum):
+    """How useful a connection is to keep, the least useful first."""
+
+    LINGERING = -1  # all its responses are written
+    SILENT = 0  # no command since it was accepted, or a partial one that has stalled
+    LONG_IDLE = 1
+    SLOW_COMMAND = 2
+    IDLE = 3
+    NEW = 4  # just accepted
+    RECEIVING = 5  # a command began a moment ago
+
+
+class EvictionRank(NamedTuple):
+    """The place of a connection in the order of eviction; the least goes first."""
+
+    eviction_class: EvictionClass
+    since: float  # clock time
+
+
+def eviction_rank(state: ConnectionState, owes_responses: bool, now: float) -> EvictionRank | None:
+    """Return a connection's rank in the order of eviction; None if it must stay."""
+    if state.lingering:
+        return EvictionRank(EvictionClass.LINGERING, state.last_used_at)
+    if owes_responses or state.closing or state.framing_lost or state.disconnected:
+        return None
+    if state.partial_since is not None:
+        return EvictionRank(_class_of_partial_command(now - state.partial_since), state.partial_since)
+    idle_ms = now - state.last_used_at
+    if not state.commands:
+        eviction_class = EvictionClass.SILENT if idle_ms >= SILENT_CONNECTION_MS else EvictionClass.NEW
+    else:
+        eviction_class = EvictionClass.LONG_IDLE if idle_ms >= SHORT_IDLE_TIMEOUT_MS else EvictionClass.IDLE
+    return EvictionRank(eviction_class, state.last_used_at)
+
+
+def _class_of_partial_command(age_ms: float) -> EvictionClass:
+    """Guards against crowds that send half a command: they held all descriptors until their time was up."""
+    if age_ms >= STALLED_COMMAND_MS:
+        return EvictionClass.SILENT
+    if age_ms >= SILENT_CONNECTION_MS:
+        return EvictionClass.SLOW_COMMAND
+    return EvictionClass.RECEIVING
--- /dev/null
+++ b/starlingthread/net/clients/reader.py
@@ -0,0 +1,99 @@
+"""Reading a client's commands, with back-pressure."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ...core.pipe import Pipe
+from .. import meta
+from ..streams import PEER_CLOSED_EVENTS, has_poll_event
+from .context import ConnectionState, ListenerContext
+from .limits import READ_BYTES
+from .requests import ClientRequests
+from .responses import ResponseQueue
+
+
+class ClientReader:
+    """Reads commands from a client's stream and hands them to its requests."""
+
+    __slots__ = ("_listener", "_on_disconnect", "_parser", "_requests", "_responses", "_state", "_stream", "_writer")
+
+    def __init__(
+        self,
+        listener: ListenerContext,
+        state: ConnectionState,
+        requests: ClientRequests,
+        responses: ResponseQueue,
+        stream: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        on_disconnect: Callable[[], None],
+    ) -> None:
+        self._listener = listener
+        self._state = state
+        self._requests = requests
+        self._responses = responses
+        self._stream = stream
+        self._writer = writer
+        self._on_disconnect = on_disconnect
+        self._parser = meta.CommandParser()
+
+    async def run(self) -> None:
+        """Read until the client closes or framing is lost."""
+        try:
+            await self._read_commands()
+        except OSError:
+            self._listener.counters.increment("clients.reset")
+        if not self._state.framing_lost:
+            self._on_disconnect()
+        self._responses.mailbox.wake()
+
+    async def _read_commands(self) -> None:
+        state = self._state
+        while not state.framing_lost and (data := await self._stream.read(READ_BYTES)):
+            for item in self._parser.feed(data):
+                if isinstance(item, meta.ValueChunk):
+                    self._requests.accept_chunk(item)
+                    continue
+                if self._responses.is_full() and not await self._wait_for_slot():
+                    return
+                state.partial_since = None
+                self._requests.accept(item)
+                if state.framing_lost:
+                    break
+            self._update_partial_since()
+            incoming = self._requests.incoming
+            if incoming is not None and incoming.pipe.is_full():
+                await self._wait_for_pipe(incoming.pipe)
+
+    async def _wait_for_slot(self) -> bool:
+        """Wait until a response is written; return False if the client disconnects before.
+
+        Guards memory against a client that sends on and on without reading its responses.
+        """
+        while self._responses.is_full() and not self._state.disconnected:
+            self._responses.has_room.clear()
+            self._listener.watch_for_disconnect(self)
+            await self._responses.has_room.wait()
+        return not self._responses.is_full()
+
+    def _update_partial_since(self) -> None:
+        if not self._parser.has_partial_input():
+            self._state.partial_since = None
+        elif self._state.partial_since is None or self._requests.incoming is not None:
+            self._state.partial_since = self._listener.clock.now()
+
+    async def _wait_for_pipe(self, pipe: Pipe) -> None:
+        """Wait until more of the incoming value may be read."""
+        self._listener.watch_for_disconnect(self)
+        await pipe.until_not_full()
+        self._state.partial_since = self._listener.clock.now()
+
+    def check_for_disconnect(self) -> bool:
+        """Poll whether the client has closed while reading is paused; return whether to go on polling."""
+        transport = self._writer.transport
+        if self._state.disconnected or transport.is_closing():
+            return False
+        if not transport.is_reading() and has_poll_event(self._writer, PEER_CLOSED_EVENTS):  # type: ignore[attr-defined]
+            self._on_disconnect()
+        return not self._state.disconnected and (self._responses.is_full() or self._requests.incoming is not None)
--- /dev/null
+++ b/starlingthread/net/clients/writer.py
@@ -0,0 +1,85 @@
+"""Writing responses to a client, bounded for clients that read slowly."""
+
+from __future__ import annotations
+
+import asyncio
+
+from ...core.pipe import Pipe
+from .context import ConnectionState, ListenerContext
+from .limits import MAX_UNSENT_BYTES, WRITE_STALL_TIMEOUT_MS
+from .responses import ResponseSlot
+
+
+class ResponseWriter:
+    """Writes one response at a time to a client's stream."""
+
+    __slots__ = ("_listener", "_state", "_streaming", "_writer")
+
+    def __init__(self, listener: ListenerContext, state: ConnectionState, writer: asyncio.StreamWriter) -> None:
+        self._listener = listener
+        self._state = state
+        self._writer = writer
+        self._streaming: Pipe | None = None  # the chunked value that is being written
+
+    async def write(self, slot: ResponseSlot, parts: tuple[bytes, ...]) -> None:
+        """Write one response; a large one part by part, so that a client has little unsent at any time."""
+        self._state.last_used_at = self._listener.clock.now()
+        if slot.reserved_bytes <= MAX_UNSENT_BYTES:
+            self._writer.writelines(parts)
+            if self._has_much_unsent():
+                await self._drain()
+        else:
+            for part in parts:
+                self._writer.writelines((part,))
+                if self._has_much_unsent():
+                    await self._drain()
+        if slot.pipe is not None:
+            await self._stream(slot.pipe)
+
+    async def _stream(self, pipe: Pipe) -> None:
+        """Write a chunked value as its chunks arrive.
+
+        Raises ConnectionAbortedError if it breaks off: the client must see it, so the connection goes with it.
+        """
+        self._streaming = pipe
+        if self._state.disconnected:
+            pipe.abandon()
+        while not pipe.is_finished():
+            for chunk in pipe.take():
+                self._writer.write(chunk)
+                if self._has_much_unsent():
+                    await self._drain()
+            await pipe.until_more()
+        self._streaming = None
+        self._state.last_used_at = self._listener.clock.now()
+        if not pipe.complete or pipe.abandoned:
+            self._listener.counters.increment("clients.value_broke_off")
+            self._writer.transport.abort()
+            raise ConnectionAbortedError
+
+    def _has_much_unsent(self) -> bool:
+        return self._writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES
+
+    async def _drain(self) -> None:
+        """Wait for a slow client, for a while: its responses take memory, and its connection a descriptor."""
+        timer = self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._cut_off)
+        try:
+            await self._writer.drain()
+        finally:
+            self._listener.deadlines.clear(timer)
+
+    def abandon_value(self) -> None:
+        """Take no more of the value that is being written, as the client has disconnected."""
+        if self._streaming is not None:
+            self._streaming.abandon()
+
+    def close(self) -> None:
+        """Close the stream; what is unsent still goes out, within a time."""
+        self._writer.close()
+        if self._writer.transport.get_write_buffer_size():
+            self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._cut_off)
+
+    def _cut_off(self) -> None:
+        if not self._writer.transport.is_closing() or self._writer.transport.get_write_buffer_size():
+            self._listener.counters.increment("clients.cut_off")
+            self._writer.transport.abort()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -87,7 +87,12 @@
         self.front = ClientListener(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.writer.on_eof = self.reader.feed_eof  # it closes in turn
-        self.actor = ClientConnectionActor(self.front, self.reader, self.writer)  # type: ignore[arg-type]
+        self.actor = ClientConnectionActor(
+            self.front,
+            self.reader,
+            self.writer,  # type: ignore[arg-type]
+            self.front.connections.discard,
+        )
         self.front.connections.add(self.actor)
         self.watcher.start(self.actor.run(), "client", lambda _: None)
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -17,12 +17,12 @@
     async def script(now: Talk) -> None:
         now.reader.feed_data(READS)
         first, second = (m.request for m in await now.settle())
-        now.actor.answer(second, Rejected(250.0))
+        now.actor.requests.answer(second, Rejected(250.0))
         await now.settle()
         assert not now.writer.transport.sent
         value = meta.ServerAnswer(meta.AnswerKind.VALUE, b"1", (b"VA 1 O1\r\n", b"x\r\n"))
-        now.actor.answer(first, Served(value))
-        now.actor.answer(first, Failed())  # a second answer is not sent
+        now.actor.requests.answer(first, Served(value))
+        now.actor.requests.answer(first, Failed())  # a second answer is not sent
 
     assert talk(script) == b"VA 1 O1\r\nx\r\nSERVER_ERROR busy 250\r\nMN\r\n"
 
@@ -52,8 +52,8 @@
     async def script(now: Talk) -> None:
         now.reader.feed_data(b"".join(b"mg a v O%d Pc=read,d=500\r\n" % n for n in range(40)))
         assert len(await now.settle()) == 16
-        while now.actor.by_request:
-            now.actor.answer(next(iter(now.actor.by_request)), Failed())
+        while now.actor.requests.slots_by_request:
+            now.actor.requests.answer(next(iter(now.actor.requests.slots_by_request)), Failed())
             await now.settle()
 
     assert talk(script) == b"SERVER_ERROR failed\r\n" * 40
@@ -66,7 +66,7 @@
         now.actor.close_when_idle()
         await now.settle()
         assert isinstance(message, RequestReceived) and not now.writer.transport.gone
-        now.actor.answer(message.request, Failed())
+        now.actor.requests.answer(message.request, Failed())
         await now.settle()
         assert now.writer.transport.gone
 
@@ -154,11 +154,11 @@
             reader.feed_data(b"mn\r\n")
             await now.settle()
             now.router.clock.time += 10.0  # type: ignore[attr-defined]
-        now.front._look()
+        now.front._check_idle_connections()
         await now.settle()
         assert len(now.front.connections) == 4
         now.router.clock.time += 85.0  # type: ignore[attr-defined]
-        now.front._look()  # two have been idle for long enough, and there are two too many
+        now.front._check_idle_connections()  # two have been idle for long enough, and there are two too many
         await now.settle()
         assert {a.reader for a in now.front.connections} == {now.reader, readers[2]}
 
@@ -172,7 +172,7 @@
         await now.settle()
         assert not now.writer.transport.gone
         now.writer.mine.recv(100)
-        now.actor.mailbox.wake()
+        now.actor.responses.mailbox.wake()
         await now.settle()
         assert now.writer.transport.gone
 
@@ -188,7 +188,7 @@
         now.reader.feed_data(READS[:25])
         (asked,) = await now.settle()
         assert not now.writer.transport.gone and not now.writer.transport.paused
-        now.actor.answer(asked.request, Failed())
+        now.actor.requests.answer(asked.request, Failed())
 
     assert talk(script) == b"SERVER_ERROR failed\r\n"
 
@@ -197,7 +197,7 @@
     async def script(now: Talk) -> None:
         now.reader.feed_data(READS[:25] * 2)
         (first,) = await now.settle()
-        now.actor.answer(first.request, Failed())
+        now.actor.requests.answer(first.request, Failed())
         await now.settle()
         now.reader.feed_data(READS[:25])
         assert len(await now.settle()) == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,8 +20,8 @@
 
 from starlingthread.core.messages import AttemptEnded
 from starlingthread.events import AttemptResult
-from starlingthread.net import clients
-from starlingthread.net.clients import MAX_PIPELINED
+from starlingthread.net.clients import limits
+from starlingthread.net.clients.limits import MAX_PIPELINED
 from starlingthread.net.upstreams import messages
 from starlingthread.router_process import shutdown
 
@@ -80,7 +80,7 @@
             await until(lambda: not transport.is_reading())
             getattr(client, how)()
             await step()
-            now.router.clock._base += clients.LOOK_FOR_ENDS
+            now.router.clock._base += limits.DISCONNECT_CHECK_INTERVAL_MS
             now.router.mailbox.wake()
             await until(lambda: now.counters["requests.withdrawn"] == MAX_PIPELINED)
             await until(lambda: not now.program.actors.clients.connections)
@@ -106,7 +106,7 @@
             await one.send(b"VA 60000 O1 h1\r\n" + b"x" * 60000 + b"\r\n")
             await until(
                 lambda: (
-                    actor.writer.transport.get_write_buffer_size() > clients.MAX_UNSENT
+                    actor.writer.transport.get_write_buffer_size() > limits.MAX_UNSENT_BYTES
                     and now.counters["attempts.ok"] == 1
                 )
             )
@@ -165,7 +165,7 @@
             await client.send(read(1))
             await until(lambda: bool(held))
             (actor,) = now.program.actors.clients.connections
-            request = next(iter(actor.by_request))
+            request = next(iter(actor.requests.slots_by_request))
             request.cancelled = True  # the client has left; the router has not taken that in
             tell(held[0])
             await until(lambda: now.counters["attempts.not_sent"] == 1)
@@ -219,7 +219,7 @@
             client = await now.client()
             await client.send(b"mn\r\nms k nine O1\r\n" + b"x" * 60000)
             actor = now.actor_of(client)
-            await until(lambda: actor.lingering)
+            await until(lambda: actor.state.lingering)
             await client.send(b"x" * 60000)
             assert await client.rest() == b"MN\r\nCLIENT_ERROR bad data length\r\n"
             client.half_close()
@@ -262,7 +262,7 @@
             assert await client.receive() == b""
             await step()
             assert now.program.actors.clients.connections
-            now.router.clock._base += clients.LINGER
+            now.router.clock._base += limits.LINGER_TIMEOUT_MS
             now.router.mailbox.wake()
             await until(lambda: not now.program.actors.clients.connections)
 
@@ -285,7 +285,7 @@
     server = await now.server.accept()
     await server.until(b"\r\n")
     await server.send(b"VA 60000 O1 h1\r\n" + b"x" * 60000 + b"\r\n")
-    await until(lambda: now.counters["attempts.ok"] == 1 and not actor.slots)
+    await until(lambda: now.counters["attempts.ok"] == 1 and not actor.responses.slots)
     assert actor.writer.transport.get_write_buffer_size()
     actor.close_when_idle()
     await step()
@@ -361,7 +361,7 @@
                 close()
 
             actor.writer.close = closes  # type: ignore[method-assign]
-            actor.close_idle()
+            actor.evict()
             await until(lambda: bool(told))
             assert told == [True]
 
@@ -510,7 +510,7 @@
             client = await now.client()
             await client.send(b"ms k 100000 O1 Pc=keyed,d=5000\r\n")
             actor = now.actor_of(client)
-            await until(lambda: actor.unsubmitted is not None)
+            await until(lambda: actor.requests.unsubmitted is not None)
             now.reload(CLASSES[:1])
             await client.send(b"x" * 100000 + b"\r\n")
             assert await client.until(b"\r\n") == b"SERVER_ERROR failed\r\n"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,8 +17,9 @@
 from starlingthread.core.watcher import Watcher
 from starlingthread.handover.actor import Handover
 from starlingthread.handover.channel import SOCKET_NAME, HandoverListener, request_handover, send_offer
-from starlingthread.net import clients, meta
+from starlingthread.net import meta
 from starlingthread.net.clients import ClientConnectionActor, ClientListener
+from starlingthread.net.clients.listener import bind
 from starlingthread.net.peers import PeerActor
 
 from .standins import READS, Talk, talk
@@ -215,7 +216,7 @@
         now.front.pause_accepting()
         await now.settle()
         assert not now.writer.transport.gone
-        now.actor.answer(asked.request, Rejected(0.0))
+        now.actor.requests.answer(asked.request, Rejected(0.0))
         await now.settle()
         assert now.writer.transport.gone
 
@@ -277,5 +278,5 @@
 
 
 def test_two_processes_can_bind_the_same_address_without_a_handover() -> None:
-    with clients.bind("127.0.0.1", 0) as first, clients.bind(*first.getsockname()) as second:
+    with bind("127.0.0.1", 0) as first, bind(*first.getsockname()) as second:
         assert first.getsockname() == second.getsockname()
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -21,7 +21,7 @@
 from starlingthread.core.telemetry import End
 from starlingthread.events import AttemptResult, CacheStatus, Request
 from starlingthread.net import meta
-from starlingthread.net.clients import MIDWAY
+from starlingthread.net.clients.limits import COMMAND_TIMEOUT_MS
 from starlingthread.net.upstreams import messages
 
 from .standins import Held, Talk, talk
@@ -192,7 +192,7 @@
     pipe = Pipe(now.front.budget)
     pipe.put(piece)
     answer = meta.ServerAnswer(meta.AnswerKind.VALUE, b"1", (GOT,), length=LONG)
-    now.actor.answer(asked.request, Served(answer, pipe))
+    now.actor.requests.answer(asked.request, Served(answer, pipe))
     await now.settle()
     assert bytes(now.writer.transport.sent) == GOT + piece
     return pipe
@@ -262,7 +262,7 @@
         (whole,) = await now.settle()
         assert isinstance(whole, BodyReceived) and whole.deadline == now.front.clock.now() + 500.0 - 4.0
         assert b"".join(pipe.take()) == VALUE[-9:] + b"\r\n" and pipe.complete
-        now.actor.answer(request, Failed())
+        now.actor.requests.answer(request, Failed())
 
     assert talk(script) == meta.FAILED_LINE + meta.READY_LINE
 
@@ -272,7 +272,7 @@
         now.reader.feed_data(PUT + VALUE[:7])
         (asked,) = await now.settle()
         asked.request.body.abandon()
-        now.actor.answer(asked.request, Rejected(100.0))
+        now.actor.requests.answer(asked.request, Rejected(100.0))
         await now.settle()
         assert not now.writer.transport.sent
         now.reader.feed_data(VALUE[7:] + b"\r\n" + b"mn\r\n")
@@ -294,7 +294,7 @@
                 now.reader.feed_eof()
             else:
                 asked.request.body.take()
-                now.router.clock.time += MIDWAY  # type: ignore[attr-defined]
+                now.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
                 now.actor.check_idle(now.front.clock.now(), False)
             (gone,) = await now.settle()
             assert isinstance(gone, ClientDisconnected) and asked.request.body.complete is False
@@ -310,7 +310,7 @@
         now.front.budget.limit = 1 << 20
         now.reader.feed_data(PUT + VALUE[:7])
         assert await now.settle() == []
-        now.router.clock.time += MIDWAY  # type: ignore[attr-defined]
+        now.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
         now.actor.check_idle(now.front.clock.now(), False)
         assert await now.settle() == [] and now.writer.transport.gone
         assert not now.front.open_ids and now.front.budget.used == now.router.telemetry.inflight == 0
@@ -323,7 +323,7 @@
         now.reader.feed_data(PUT + VALUE[:7])
         (asked,) = await now.settle()
         assert asked.request.body.is_full()
-        now.router.clock.time += 2 * MIDWAY  # type: ignore[attr-defined]
+        now.router.clock.time += 2 * COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
         now.actor.check_idle(now.front.clock.now(), False)
         assert await now.settle() == []
         asked.request.body.abandon()
