--- /dev/null
+++ b/starlingthread/net/meta/answers.py
@@ -0,0 +1,209 @@
+"""Parser of cache servers' answers."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterator
+from enum import Enum
+from typing import NamedTuple
+
+from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
+from .responses import CRLF
+
+_LOAD_VALUE = re.compile(rb"\d{1,6}(?:\.\d{1,9})?")  # no server holds a million requests
+_LOAD_NAME = re.compile(rb"[a-z0-9_]{1,32}")
+_RECEIPT = re.compile(rb"c[!-~]{1,64}")
+_RETRY_AFTER = re.compile(rb"\d{1,9}")
+_MAX_LENGTH_DIGITS = 7
+_MAX_QUOTED_BYTES = 80  # of a line that is no answer
+
+
+class AnswerKind(Enum):
+    """What a line of a cache server says."""
+
+    VALUE = 1
+    RECEIPT = 2
+    BUSY = 3
+    FAILED = 4
+    READY = 5
+    STAT = 6
+    END = 7
+    OTHER = 8
+
+
+class ServerAnswer(NamedTuple):
+    """One answer of a cache server."""
+
+    kind: AnswerKind
+    request_id: bytes = b""
+    parts: tuple[bytes, ...] = ()  # what a client gets of it; of OTHER what was malformed
+    cache_note: str = ""  # "h1", "h0" or "h0 Z"
+    load: dict[str, float] | None = None  # its load report
+    length: int = -1  # bytes of its value
+
+    @property
+    def is_chunked(self) -> bool:
+        """Whether its value follows in chunks."""
+        return self.length > MAX_UNCHUNKED_BYTES
+
+
+def _malformed(text: bytes) -> ServerAnswer:
+    return ServerAnswer(AnswerKind.OTHER, parts=(text,))
+
+
+def _parse_load_report(text: bytes) -> dict[str, float] | None:
+    """Return the values of a load report, or None if any of it is malformed: then none is trusted."""
+    load = {}
+    for item in text.split(b","):
+        name, _, value = item.partition(b"=")
+        if not _LOAD_VALUE.fullmatch(value) or not _LOAD_NAME.fullmatch(name):
+            return None
+        load[name.decode("ascii")] = float(value)
+    return load
+
+
+def _id_flag(flags: list[bytes]) -> bytes | None:
+    """Return the flag that names the request, with its letter; None unless there is exactly one."""
+    ids = [flag for flag in flags if flag[:1] == b"O"]
+    return ids[0] if len(ids) == 1 else None
+
+
+def _cache_note(flags: list[bytes]) -> str:
+    hits = [flag for flag in flags if flag in (b"h0", b"h1")]
+    if not hits:
+        return ""
+    return hits[0].decode() + (" Z" if b"Z" in flags else "")
+
+
+def _parse_value_head(words: list[bytes], load: dict[str, float] | None) -> ServerAnswer | None:
+    """Parse the line before a value; None if it is malformed."""
+    if len(words) < 3 or not words[1].isdigit() or len(words[1]) > _MAX_LENGTH_DIGITS:
+        return None
+    length = int(words[1])
+    flags = words[2:]
+    id_flag = _id_flag(flags)
+    if id_flag is None or length > MAX_VALUE_BYTES:
+        return None
+    head = b"VA %d %b\r\n" % (length, id_flag)
+    return ServerAnswer(AnswerKind.VALUE, id_flag[1:], (head,), _cache_note(flags), load, length)
+
+
+def _parse_receipt(words: list[bytes], load: dict[str, float] | None) -> ServerAnswer | None:
+    """Parse the receipt of a write; None if it is malformed."""
+    flags = words[1:]
+    id_flag = _id_flag(flags)
+    receipts = [flag for flag in flags if flag[:1] == b"c"]
+    if id_flag is None or len(receipts) != 1 or not _RECEIPT.fullmatch(receipts[0]):
+        return None
+    line = b"HD %b %b\r\n" % (id_flag, receipts[0])
+    return ServerAnswer(AnswerKind.RECEIPT, id_flag[1:], (line,), _cache_note(flags), load)
+
+
+def _is_busy(words: list[bytes]) -> bool:
+    """Guards the never-twice rule: 'busy' proves that a request never ran, so it must say that and no more."""
+    if words[:2] != [b"SERVER_ERROR", b"busy"]:
+        return False
+    return len(words) == 2 or (len(words) == 3 and _RETRY_AFTER.fullmatch(words[2]) is not None)
+
+
+def _parse_status(words: list[bytes], load: dict[str, float] | None) -> ServerAnswer | None:
+    """Parse a line that is neither a value nor a receipt; None if it is malformed."""
+    if _is_busy(words):
+        return ServerAnswer(AnswerKind.BUSY, load=load)
+    if words == [b"SERVER_ERROR", b"failed"]:
+        return ServerAnswer(AnswerKind.FAILED, load=load)
+    if words == [b"MN"]:
+        return ServerAnswer(AnswerKind.READY, load=load)
+    if words == [b"END"]:
+        return ServerAnswer(AnswerKind.END)
+    if words[0] == b"STAT" and len(words) == 3:
+        return ServerAnswer(AnswerKind.STAT, load=_parse_load_report(words[1] + b"=" + words[2]))
+    return None
+
+
+def _parse_line(line: bytes) -> ServerAnswer:
+    words = line.split(b" ")
+    load = None
+    if len(words) > 1 and words[-1][:1] == b"L":
+        load = _parse_load_report(words.pop()[1:])  # a malformed one spoils nothing but itself
+    if words[0] == b"VA":
+        answer = _parse_value_head(words, load)
+    elif words[0] == b"HD":
+        answer = _parse_receipt(words, load)
+    else:
+        answer = _parse_status(words, load)
+    return answer or _malformed(line[:_MAX_QUOTED_BYTES])
+
+
+class AnswerParser:
+    """An incremental parser of what a cache server sends."""
+
+    def __init__(self) -> None:
+        self._buffer = LineBuffer()
+        self._pending: ServerAnswer | None = None  # an answer whose value is incomplete
+        self._value_parts: list[bytes] = []  # of that value, as they came: large ones are never joined
+        self._value_bytes_left = 0  # of that value, with its CRLF
+        self._chunk_bytes_left = 0  # of a chunked value, with its CRLF
+        self._failed = False
+
+    def has_partial_input(self) -> bool:
+        """Return whether there is more than complete answers: a part of one, or what nobody asked for."""
+        return self._pending is not None or self._chunk_bytes_left > 0 or self._buffer.unread_bytes() > 0
+
+    def feed(self, data: bytes) -> Iterator[ServerAnswer | ValueChunk]:
+        """Take in some bytes; yield what is complete. After OTHER the connection is of no more use, nor the rest.
+
+        Guards against a line that never ends: it was reported for ever, as nothing was taken from the buffer.
+        """
+        if self._failed:
+            return
+        self._buffer.append(data)
+        while not self._failed and (answer := self._next()) is not None:
+            self._failed = isinstance(answer, ServerAnswer) and answer.kind == AnswerKind.OTHER
+            yield answer
+
+    def _next(self) -> ServerAnswer | ValueChunk | None:
+        if self._chunk_bytes_left:
+            return self._next_chunk()
+        if self._pending is None:
+            answer = self._next_line()
+            if self._pending is None:
+                return answer
+        return self._complete_pending(self._pending)
+
+    def _next_chunk(self) -> ServerAnswer | ValueChunk | None:
+        chunk = self._buffer.read_chunk(self._chunk_bytes_left)
+        if chunk is None:
+            return None
+        self._chunk_bytes_left -= len(chunk.data)
+        return chunk if not chunk.last or chunk.data.endswith(CRLF) else _malformed(b"bad data chunk")
+
+    def _next_line(self) -> ServerAnswer | None:
+        """Parse the next line; None if it is incomplete, or is an answer that is pending until its value has come."""
+        line = self._buffer.read_line()
+        if line is None:
+            return _malformed(b"line too long") if self._buffer.unread_bytes() > MAX_HEAD_BYTES else None
+        if len(line) > MAX_HEAD_BYTES:
+            return _malformed(b"line too long")
+        answer = _parse_line(line)
+        if answer.kind != AnswerKind.VALUE:
+            return answer
+        if answer.is_chunked:
+            self._chunk_bytes_left = answer.length + 2
+            return answer
+        self._pending = answer
+        self._value_bytes_left = answer.length + 2
+        return None
+
+    def _complete_pending(self, answer: ServerAnswer) -> ServerAnswer | None:
+        if block := self._buffer.read_available(self._value_bytes_left):
+            self._value_parts.append(block)
+            self._value_bytes_left -= len(block)
+        if self._value_bytes_left:
+            return None
+        parts = self._value_parts
+        self._value_parts = []
+        self._pending = None
+        if not b"".join(part[-2:] for part in parts[-2:]).endswith(CRLF):
+            return _malformed(b"bad data chunk")
+        return answer._replace(parts=(*answer.parts, *parts))
--- /dev/null
+++ b/starlingthread/net/meta/commands.py
@@ -0,0 +1,201 @@
+"""Parser and writer of clients' commands."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterator
+from enum import Enum
+from typing import NamedTuple, TypeAlias
+
+from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
+from .responses import CRLF, ERROR_LINE
+
+NUMBER = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # in the fields of a command
+
+# One head in one match, with the positions of its parts: they are read where they lie, and a head is written
+# out again as the bytes around the one number that changes.
+_HEAD = re.compile(rb"m(?:g ([!-~]{1,250}) v|s ([!-~]{1,250}) (\d{1,9}))((?: [!-~]+)*) *")
+_SET_LENGTH = re.compile(rb"ms [!-~]+ (\d{1,9})(?: |$)")
+_ID_FLAG = re.compile(rb" O([!-~]{1,64})(?= |$)")
+_FIELDS_FLAG = re.compile(rb" P([!-~]+)(?= |$)")
+_TIMEOUT_FIELD = re.compile(rb"(?:^|,)d=(\d{1,9}(?:\.\d{1,9})?)(?=,|$)")
+
+
+class Command(NamedTuple):
+    """A client's mg or ms."""
+
+    head: bytes
+    key: bytes
+    request_id: bytes
+    timeout_ms: float
+    timeout_span: tuple[int, int]  # where the number of d stands in the head
+    fields: dict[str, str]  # the names and values of the P list
+    value: bytes | None  # of an ms, with its CRLF; None for an mg, and where the value follows in chunks
+    length: int = -1  # bytes of the value of an ms, without its CRLF
+
+    @property
+    def is_write(self) -> bool:
+        """Whether it is an ms."""
+        return self.length >= 0
+
+    @property
+    def is_chunked(self) -> bool:
+        """Whether its value follows in chunks."""
+        return self.length > MAX_UNCHUNKED_BYTES
+
+
+class ControlCommand(Enum):
+    """A command without arguments."""
+
+    READY = "mn"
+    LOAD = "stats load"
+
+
+class MalformedCommand(NamedTuple):
+    """Input that is no command, and the line that answers it."""
+
+    line: bytes
+    framing_lost: bool  # where the next command begins is unknown
+
+
+Input: TypeAlias = Command | ValueChunk | ControlCommand | MalformedCommand
+
+
+def client_error(why: str, framing_lost: bool = False) -> MalformedCommand:
+    """Return a malformed command and its answer."""
+    return MalformedCommand(b"CLIENT_ERROR " + why.encode() + CRLF, framing_lost)
+
+
+def forward_command(command: Command, timeout_ms: float) -> tuple[bytes, ...]:
+    """Return the parts of a command for a cache server: as it came, but with the time-out of this attempt."""
+    begin, end = command.timeout_span
+    parts = (command.head[:begin], b"%d" % max(1, int(timeout_ms)), command.head[end:], CRLF)
+    return parts if command.value is None else (*parts, command.value)
+
+
+def _parse_head(head: bytes) -> Command | MalformedCommand:
+    """Parse the head of an mg or ms; the value is still to come."""
+    match = _HEAD.fullmatch(head)
+    if not match:
+        return client_error("bad command line format")
+    flags_start = match.start(4)
+    ids = _ID_FLAG.findall(head, flags_start)
+    field_lists = list(_FIELDS_FLAG.finditer(head, flags_start))
+    if len(ids) != 1 or len(field_lists) != 1:
+        return client_error("one O and one P are needed")
+    start = field_lists[0].start(1)
+    text = field_lists[0].group(1)
+    timeouts = list(_TIMEOUT_FIELD.finditer(text))
+    if len(timeouts) != 1:
+        return client_error("one d is needed")
+    fields = dict(item.partition("=")[::2] for item in text.decode("ascii").split(","))
+    timeout = timeouts[0]
+    span = (start + timeout.start(1), start + timeout.end(1))
+    key = match.group(1) or match.group(2)
+    return Command(head, key, ids[0], float(timeout.group(1)), span, fields, None)
+
+
+class CommandParser:
+    """An incremental parser of what a client sends."""
+
+    def __init__(self) -> None:
+        self._buffer = LineBuffer()
+        self._pending: Command | None = None  # an ms whose value is incomplete
+        self._chunk_bytes_left = 0  # of a chunked value, with its CRLF
+        self._skip_bytes_left = 0  # of the value of an ms that was answered already, with its CRLF
+        self._framing_lost = False
+
+    def has_partial_input(self) -> bool:
+        """Return whether a part of a command has come, and not yet the rest."""
+        return (
+            self._pending is not None
+            or self._skip_bytes_left > 0
+            or self._chunk_bytes_left > 0
+            or self._buffer.unread_bytes() > 0
+        )
+
+    def feed(self, data: bytes) -> Iterator[Input]:
+        """Take in some bytes; yield what is complete. After framing is lost the rest is dropped."""
+        if self._framing_lost:
+            return
+        self._buffer.append(data)
+        while (item := self._next()) is not None:
+            self._framing_lost = isinstance(item, MalformedCommand) and item.framing_lost
+            yield item
+            if self._framing_lost:
+                self._buffer = LineBuffer()
+                return
+
+    def _next(self) -> Input | None:
+        if self._skip_bytes_left:
+            error = self._skip_value()
+            if error is not None or self._skip_bytes_left:
+                return error
+        if self._chunk_bytes_left:
+            return self._next_chunk()
+        if self._pending is None:
+            item = self._next_line()
+            if self._pending is None:
+                return item
+        return self._complete_pending(self._pending)
+
+    def _skip_value(self) -> MalformedCommand | None:
+        """Drop the value of a malformed head as it comes; framing is lost if it doesn't end with its length."""
+        self._skip_bytes_left -= len(self._buffer.read_available(self._skip_bytes_left - 2))
+        if self._skip_bytes_left > 2 or (end := self._buffer.read_block(2)) is None:
+            return None
+        self._skip_bytes_left = 0
+        return None if end == CRLF else client_error("bad data chunk", True)
+
+    def _next_chunk(self) -> ValueChunk | MalformedCommand | None:
+        chunk = self._buffer.read_chunk(self._chunk_bytes_left)
+        if chunk is None:
+            return None
+        self._chunk_bytes_left -= len(chunk.data)
+        return chunk if not chunk.last or chunk.data.endswith(CRLF) else client_error("bad data chunk", True)
+
+    def _next_line(self) -> Command | ControlCommand | MalformedCommand | None:
+        """Parse the next line; None if it is incomplete, or is a head that is pending until its value has come."""
+        line = self._buffer.read_line()
+        # Guards memory: a peer that never ends its line is cut off, as is one whose line is too long.
+        if line is None:
+            return client_error("line too long", True) if self._buffer.unread_bytes() > MAX_HEAD_BYTES else None
+        if len(line) > MAX_HEAD_BYTES:
+            return client_error("line too long", True)
+        if line == b"mn":
+            return ControlCommand.READY
+        if line == b"stats load":
+            return ControlCommand.LOAD
+        if line.startswith(b"mg "):
+            return _parse_head(line)
+        if line.startswith(b"ms "):
+            return self._begin_set(line)
+        return MalformedCommand(ERROR_LINE, False)
+
+    def _begin_set(self, line: bytes) -> Command | MalformedCommand | None:
+        """Parse the head of an ms; None if it is pending until its value has come."""
+        match = _SET_LENGTH.match(line)
+        if match is None:
+            return client_error("bad data length", True)  # nobody knows where the value ends
+        length = int(match.group(1))
+        if length > MAX_VALUE_BYTES:
+            return client_error("value too large", True)
+        command = _parse_head(line)
+        if isinstance(command, MalformedCommand):
+            self._skip_bytes_left = length + 2
+            return command
+        command = command._replace(length=length)
+        if command.is_chunked:
+            self._chunk_bytes_left = length + 2
+            return command
+        self._pending = command
+        return None
+
+    def _complete_pending(self, command: Command) -> Command | MalformedCommand | None:
+        value = self._buffer.read_block(command.length + 2)
+        if value is None:
+            return None
+        self._pending = None
+        if not value.endswith(CRLF):
+            return client_error("bad data chunk", True)
+        return command._replace(value=value)
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -99,7 +99,7 @@
             assert item.line.endswith(b"\r\n")
             assert item.line.startswith((b"CLIENT_ERROR", b"ERROR"))
     cut(answered.feed, data, places)
-    assert asked._lines.unread() <= meta.MAX_VALUE_BYTES + meta.MAX_HEAD_BYTES
+    assert asked._buffer.unread_bytes() <= meta.MAX_VALUE_BYTES + meta.MAX_HEAD_BYTES
 
 
 @FIXED
@@ -138,7 +138,7 @@
     (item,) = parser.feed(b"ms k 10000 O1 Pc=put,d=soon\r\n")
     assert isinstance(item, MalformedCommand) and not item.framing_lost
     assert [i for n in range(0, 10000, 900) for i in parser.feed(value[n : n + 900])] == []
-    assert parser.has_partial_input() and parser._lines.unread() == 0
+    assert parser.has_partial_input() and parser._buffer.unread_bytes() == 0
     assert list(parser.feed(b"\r\nmn\r\n")) == [ControlCommand.READY] and not parser.has_partial_input()
 
 
