--- a/tests/peers.py
+++ b/tests/peers.py
@@ -164,7 +164,7 @@
 ]
 
 
-class Stand:
+class RouterHarness:
     """A router, its discovery and one cache server 's-1'; clients come as a script calls for them."""
 
     def __init__(self, folder: Path, servers: int, change: dict[str, Any]) -> None:
@@ -254,9 +254,11 @@
 
 
 @asynccontextmanager
-async def stand(folder: Path, servers: int = 1, wait: bool = True, **change: Any) -> AsyncIterator[Stand]:
+async def running_router(
+    folder: Path, servers: int = 1, wait: bool = True, **change: Any
+) -> AsyncIterator[RouterHarness]:
     """Run a router between scripted peers; 'change' names places of its file, as settings__discovery="automatic"."""
-    now = Stand(folder, servers, {place.replace("__", "."): value for place, value in change.items()})
+    now = RouterHarness(folder, servers, {place.replace("__", "."): value for place, value in change.items()})
     thresholds = gc.get_threshold()
     task = asyncio.create_task(now.program.run())
     try:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -78,7 +78,7 @@
         self.other.close()
 
 
-class Talk:
+class ClientHarness:
     """A client's connection to a front whose router is never run: tests answer."""
 
     def __init__(self) -> None:
@@ -102,11 +102,11 @@
         return list(self.router.mailbox.take())
 
 
-def talk(script: Callable[[Talk], Any]) -> bytes:
+def run_client_script(script: Callable[[ClientHarness], Any]) -> bytes:
     """Run a script against a client actor; return what the client was sent."""
 
     async def play() -> bytes:
-        now = Talk()
+        now = ClientHarness()
         await script(now)
         await now.settle()
         await now.watcher.stop()
@@ -119,7 +119,7 @@
 READS = b"mg a v O1 Pc=read,d=500\r\nmg b v O2 Pc=read,d=500\r\nmn\r\n"
 
 
-class Held:
+class ServerActorHarness:
     """A server actor with one connection in its pool, driven message by message."""
 
     def __init__(self) -> None:
@@ -143,11 +143,11 @@
         )
         return Attempt(request, 0, 1, now, now + 400.0)
 
-    def take(self, message: messages.Message) -> list[Any]:
+    def deliver(self, message: messages.Message) -> list[Any]:
         self.actor._take_in(message)
         return list(self.place.router.mailbox.take())
 
-    def hear(self, data: bytes) -> list[Any]:
+    def receive(self, data: bytes) -> list[Any]:
         """Have the connection's reader take in some bytes, and the actor what it makes of them."""
         if not self.actor.reader.heard(self.connection, data):
             self.actor.tell(messages.Broken(self.connection))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -10,11 +10,11 @@
 from starlingthread.net import meta
 from starlingthread.net.clients import ClientConnectionActor, key_number
 
-from .standins import READS, Talk, Writer, talk
+from .standins import READS, ClientHarness, Writer, run_client_script
 
 
 def test_answers_come_in_the_order_of_the_commands() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(READS)
         first, second = (m.request for m in await now.settle())
         now.actor.requests.answer(second, Rejected(250.0))
@@ -24,11 +24,11 @@
         now.actor.requests.answer(first, Served(value))
         now.actor.requests.answer(first, Failed())  # a second answer is not sent
 
-    assert talk(script) == b"VA 1 O1\r\nx\r\nSERVER_ERROR busy 250\r\nMN\r\n"
+    assert run_client_script(script) == b"VA 1 O1\r\nx\r\nSERVER_ERROR busy 250\r\nMN\r\n"
 
 
 def test_a_client_that_leaves_withdraws_what_is_out() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(READS)
         asked = await now.settle()
         now.reader.feed_eof()
@@ -36,31 +36,31 @@
         assert [m.request for m in gone] == [m.request for m in asked]
         assert all(isinstance(m, ClientDisconnected) for m in gone) and now.writer.transport.gone
 
-    talk(script)
+    run_client_script(script)
 
 
 def test_lost_framing_is_answered_and_the_connection_closed() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(b"mg a v O1 Pc=what,d=5\r\nms k nine O1\r\nmn\r\n")
         await now.settle()
         assert now.writer.transport.gone
 
-    assert talk(script) == b"CLIENT_ERROR unknown class\r\nCLIENT_ERROR bad data length\r\n"
+    assert run_client_script(script) == b"CLIENT_ERROR unknown class\r\nCLIENT_ERROR bad data length\r\n"
 
 
 def test_a_client_that_sends_on_and_on_is_not_read_past_its_share() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(b"".join(b"mg a v O%d Pc=read,d=500\r\n" % n for n in range(40)))
         assert len(await now.settle()) == 16
         while now.actor.requests.slots_by_request:
             now.actor.requests.answer(next(iter(now.actor.requests.slots_by_request)), Failed())
             await now.settle()
 
-    assert talk(script) == b"SERVER_ERROR failed\r\n" * 40
+    assert run_client_script(script) == b"SERVER_ERROR failed\r\n" * 40
 
 
 def test_closing_waits_for_what_is_owed() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(READS[:25])
         (message,) = await now.settle()
         now.actor.close_when_idle()
@@ -70,11 +70,11 @@
         await now.settle()
         assert now.writer.transport.gone
 
-    assert talk(script) == b"SERVER_ERROR failed\r\n"
+    assert run_client_script(script) == b"SERVER_ERROR failed\r\n"
 
 
 def test_a_client_that_reads_nothing_is_cut_off() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.writer.transport.unsent = 1 << 20
         now.reader.feed_data(b"mn\r\n")
         await now.settle()
@@ -84,7 +84,7 @@
         now.front.deadlines.sweep(now.front.clock.now() + 10000.0)
         assert now.writer.transport.gone and now.front.counters["clients.cut_off"] == 1
 
-    talk(script)
+    run_client_script(script)
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
 def test_a_connection_that_asks_for_nothing_is_closed(sent: bytes, after: float, answer: bytes) -> None:
     """Guards descriptors and memory against clients that hold their connection and say nothing, or half."""
 
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(sent)
         await now.settle()
         now.router.clock.time += after - 1.0  # type: ignore[attr-defined]
@@ -111,11 +111,11 @@
         await now.settle()
         assert now.writer.transport.gone
 
-    assert talk(script) == answer
+    assert run_client_script(script) == answer
 
 
 def test_when_descriptors_are_out_those_who_said_nothing_go_first() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         def join(sent: bytes) -> ClientConnectionActor:
             reader = asyncio.StreamReader()
             now.front._accept(reader, Writer())  # type: ignore[arg-type]
@@ -139,13 +139,13 @@
         now.front._accept(asyncio.StreamReader(), (last := Writer()))  # type: ignore[arg-type]
         assert last.transport.gone and now.front.counters["clients.turned_away"] == 1
 
-    talk(script)
+    run_client_script(script)
 
 
 def test_clients_that_keep_connections_for_good_leave_some_for_those_who_ask() -> None:
     """Guards against clients that find no connection left, of which a router hears nothing."""
 
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.front.idle_client_threshold = 2
         now.reader.feed_data(READS[:25])
         readers = [asyncio.StreamReader() for _ in range(3)]
@@ -162,11 +162,11 @@
         await now.settle()
         assert {a.reader for a in now.front.connections} == {now.reader, readers[2]}
 
-    talk(script)
+    run_client_script(script)
 
 
 def test_a_connection_is_not_closed_while_bytes_lie_unread_in_its_socket() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.writer.other.send(b"mg a v O1 Pc=read,d=500")  # the system has them, the reader has not
         now.actor.close_when_idle()
         await now.settle()
@@ -176,13 +176,13 @@
         await now.settle()
         assert now.writer.transport.gone
 
-    assert talk(script) == b""
+    assert run_client_script(script) == b""
 
 
 def test_a_request_that_crosses_our_close_is_answered_if_it_was_taken_off_the_socket() -> None:
     """Guards against a loss: nobody else can read that request any more, and its client would see a close."""
 
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         await now.settle()
         now.actor.close_when_idle()  # the actor's turn to close comes before the reader's
         now.reader.feed_data(READS[:25])
@@ -190,11 +190,11 @@
         assert not now.writer.transport.gone and not now.writer.transport.paused
         now.actor.requests.answer(asked.request, Failed())
 
-    assert talk(script) == b"SERVER_ERROR failed\r\n"
+    assert run_client_script(script) == b"SERVER_ERROR failed\r\n"
 
 
 def test_an_id_that_is_open_is_an_error_and_free_again_after_its_answer() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(READS[:25] * 2)
         (first,) = await now.settle()
         now.actor.requests.answer(first.request, Failed())
@@ -202,16 +202,16 @@
         now.reader.feed_data(READS[:25])
         assert len(await now.settle()) == 1
 
-    assert talk(script) == b"SERVER_ERROR failed\r\nCLIENT_ERROR id in use\r\n"
+    assert run_client_script(script) == b"SERVER_ERROR failed\r\nCLIENT_ERROR id in use\r\n"
 
 
 def test_who_sends_nothing_but_nonsense_is_not_listened_to_for_ever() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(b"what\r\n" * 100)
         await now.settle()
         assert now.writer.transport.gone
 
-    assert talk(script) == b"ERROR\r\n" * 8
+    assert run_client_script(script) == b"ERROR\r\n" * 8
 
 
 def test_a_key_is_the_same_number_everywhere() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,7 +25,7 @@
 from starlingthread.net.upstreams import messages
 from starlingthread.router_process import shutdown
 
-from .peers import CLASSES, LIMIT, Peer, Stand, free_port, stand, step, until
+from .peers import CLASSES, LIMIT, Peer, RouterHarness, free_port, running_router, step, until
 
 
 def read(number: int, key: str = "k", wait: float = 5000.0) -> bytes:
@@ -38,7 +38,7 @@
     return b"VA 1 O%d h1\r\nx\r\n" % number
 
 
-async def asked(now: Stand, number: int = 1) -> tuple[Peer, Peer]:
+async def asked(now: RouterHarness, number: int = 1) -> tuple[Peer, Peer]:
     """Have a client ask, and the request reach the cache server; return both ends."""
     client = await now.client()
     await client.send(read(number))
@@ -55,7 +55,7 @@
     """Its commands wait for room, so nobody reads on: what it asked was sent on, and again when it failed."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await now.client()
             await client.send(b"".join(read(n) for n in range(MAX_PIPELINED + 4)))
             await until(lambda: now.counters["attempts.started"] == MAX_PIPELINED)
@@ -72,7 +72,7 @@
     """Its end of file lies behind bytes that nobody reads, so only the system can tell of it."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await now.client()
             client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
             await client.send(b"".join(read(n) for n in range(5000)))
@@ -93,7 +93,7 @@
     """The writer waited up to 10 s for it to read on, and its other requests went out meanwhile."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await now.client(buffer=4096)
             (actor,) = now.program.actors.clients.connections
             actor.writer.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -122,7 +122,7 @@
     """A failure that was told before it had the module try again; the message that the client left came behind."""
 
     async def play() -> None:
-        async with stand(tmp_path, 2) as now:
+        async with running_router(tmp_path, 2) as now:
             client, _ = await asked_any(now)
             (request,) = now.router.requests.values()
             (attempt,) = now.router.attempts[request.id]
@@ -138,7 +138,7 @@
     asyncio.run(play())
 
 
-async def asked_any(now: Stand) -> tuple[Peer, Peer]:
+async def asked_any(now: RouterHarness) -> tuple[Peer, Peer]:
     """Have a client ask; return its end, and that of whichever cache server was asked."""
     client = await now.client()
     await client.send(read(1))
@@ -152,7 +152,7 @@
 
 def test_nothing_is_written_on_a_connection_that_comes_up_after_the_client_left(tmp_path: Path) -> None:
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             held: list[messages.Opened] = []
             (server,) = now.program.actors.fleet.actors.values()
             tell = server.tell
@@ -180,7 +180,7 @@
 
 def test_a_command_that_its_client_left_behind_is_not_begun(tmp_path: Path) -> None:
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await now.client()
             (actor,) = now.program.actors.clients.connections
             actor.on_disconnect()
@@ -199,7 +199,7 @@
     """What the system holds back is lost with a reset; of accepted sockets asyncio does not see that they are TCP."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             socket_of_ours = now.actor_of(await now.client()).writer.get_extra_info("socket")
             assert socket_of_ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             await asked(now)
@@ -215,7 +215,7 @@
     """A close over unread bytes is a reset, and takes what the client has not read yet with it."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await now.client()
             await client.send(b"mn\r\nms k nine O1\r\n" + b"x" * 60000)
             actor = now.actor_of(client)
@@ -228,7 +228,7 @@
     asyncio.run(play())
 
 
-async def resting(now: Stand) -> Peer:
+async def resting(now: RouterHarness) -> Peer:
     """Return a client that has had an answer and rests."""
     client = await now.client()
     await client.send(b"mn\r\n")
@@ -240,7 +240,7 @@
     """Its client sends it again elsewhere: sent on as well, it would run twice, and its answer be lost."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await resting(now)
             now.actor_of(client).close_when_idle()
             assert await client.receive() == b""  # our end of file
@@ -256,7 +256,7 @@
 
 def test_a_client_that_never_closes_in_turn_is_let_go(tmp_path: Path) -> None:
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await resting(now)
             now.actor_of(client).close_when_idle()
             assert await client.receive() == b""
@@ -276,7 +276,7 @@
     return raised
 
 
-async def closing_with_bytes_unsent(now: Stand) -> tuple[Peer, Any]:
+async def closing_with_bytes_unsent(now: RouterHarness) -> tuple[Peer, Any]:
     """Have a client be closed behind an answer that it has not read; return it, and the router's transport to it."""
     client = await now.client(buffer=4096)
     actor = now.actor_of(client)
@@ -298,7 +298,7 @@
 
     async def play() -> None:
         raised = exceptions()
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client, _ = await closing_with_bytes_unsent(now)
             await client.receive()
             getattr(client, how)()
@@ -331,7 +331,7 @@
 def test_a_reset_between_the_last_byte_and_our_end_of_file_raises_nothing(tmp_path: Path) -> None:
     async def play() -> None:
         raised = exceptions()
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client, transport = await closing_with_bytes_unsent(now)
             transport._sock = BreaksOff(transport._sock, client)
             while client.socket.fileno() >= 0:
@@ -349,7 +349,7 @@
     """What came between that step and the close of the socket, a turn later, was lost with no end of file before."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await resting(now)
             actor, told = now.actor_of(client), []
             close = actor.writer.close
@@ -370,7 +370,7 @@
 
 def test_who_lingers_makes_room_before_anybody_else(tmp_path: Path) -> None:
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             first, other = await resting(now), await resting(now)
             now.actor_of(first).close_when_idle()
             assert await first.receive() == b""
@@ -392,7 +392,7 @@
     monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             now.program.stop_requested.set()
             peers = []
             for number in range(60):  # in one step of the loop: nobody accepts meanwhile
@@ -417,7 +417,7 @@
     monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client, _ = await asked(now)
             now.program.stop_requested.set()
             await until(lambda: now.program.actors.clients._server is None)
@@ -436,7 +436,7 @@
     monkeypatch.setattr(shutdown, "DRAIN_TIMEOUT_S", 0.05)
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client, _ = await asked(now)
             classes = tuple(cls._replace(deadline=1.0) for cls in now.router.settings.classes)
             now.router.settings = now.router.settings._replace(classes=classes)
@@ -452,7 +452,7 @@
     monkeypatch.setattr(shutdown, "DRAIN_TIMEOUT_S", 0.0)
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client, server = await asked(now)
             now.program.stop_requested.set()
             await until(lambda: now.program.actors.clients._server is None)
@@ -471,7 +471,7 @@
 
     async def play() -> None:
         grades = [{**CLASSES[1], "memorySpanMs": 1500.0}]
-        async with stand(tmp_path, settings__grades=grades) as now:
+        async with running_router(tmp_path, settings__grades=grades) as now:
             client = await now.client()
             await client.send(b"ms k 1 O1 Pc=keyed,d=5000\r\nx\r\n")
             first = await now.server.accept()
@@ -506,7 +506,7 @@
     """The module's actor ended by it, and the process with it."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await now.client()
             await client.send(b"ms k 100000 O1 Pc=keyed,d=5000\r\n")
             actor = now.actor_of(client)
@@ -525,7 +525,7 @@
 
 def test_requests_of_an_older_class_table_end_as_they_began(tmp_path: Path) -> None:
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             client = await now.client()
             await client.send(b"ms k 1 O1 Pc=once,d=5000\r\nx\r\n")
             server = await now.server.accept()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,16 +16,16 @@
 from starlingthread.net import discovery
 from starlingthread.net.discovery import LIST_PATH, EndpointListError, JsonObjectSplitter
 
-from .peers import WATCHED, Peer, Stand, chunk, entry, listing, stand, step, until
+from .peers import WATCHED, Peer, RouterHarness, chunk, entry, listing, running_router, step, until
 
 
-def states(now: Stand) -> dict[str, ServerState]:
+def states(now: RouterHarness) -> dict[str, ServerState]:
     """Return what the module believes of each server, by name."""
     known = {now.program.actors.discovery.reader.ids.assign(e["name"]): e["name"] for e in now.entries()}
     return {known[n]: s.endpoint.state for n, s in now.router.balancer.fleet.servers.items() if n in known}
 
 
-async def watched(now: Stand) -> Peer:
+async def watched(now: RouterHarness) -> Peer:
     """Accept a watch and answer its head."""
     peer = await now.discovery.accept()
     assert (await peer.until(b"\r\n\r\n")).startswith(f"GET {LIST_PATH}?watch=1".encode())
@@ -33,12 +33,12 @@
     return peer
 
 
-def ask(now: Stand) -> None:
+def ask(now: RouterHarness) -> None:
     """Have the module ask for changes now, not at its random moment."""
     now.program.actors.discovery.watch(True)
 
 
-async def watching(now: Stand) -> Peer:
+async def watching(now: RouterHarness) -> Peer:
     """Have the module ask, accept its watch and say on it that nothing has changed."""
     ask(now)
     watch = await watched(now)
@@ -53,7 +53,7 @@
     """Guards the drain: what the agent has counts as told from the first moment, and nobody ever watched."""
 
     async def play() -> None:
-        async with stand(tmp_path, 2, wait=False, settings__discovery="automatic") as now:
+        async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as now:
             watch = await watched(now)
             assert not now.program.is_serving
             one, two = now.entries()
@@ -68,7 +68,7 @@
     """What the agent has counts as told, whether or not a watch is open: a drain may begin just as one ends."""
 
     async def play() -> None:
-        async with stand(tmp_path, 2, wait=False, settings__discovery="automatic") as now:
+        async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as now:
             watch = await watched(now)
             await watch.send(chunk(listing(2, *now.entries()) + b"\n"))
             await until(lambda: now.program.is_serving)
@@ -98,7 +98,7 @@
     monkeypatch.setattr("starlingthread.router_process.process.DISCOVERY_TIMEOUT_S", 0.01)
 
     async def play() -> None:
-        async with stand(tmp_path, settings__discovery="automatic") as now:
+        async with running_router(tmp_path, settings__discovery="automatic") as now:
             assert now.program.control.ready()
 
     asyncio.run(play())
@@ -113,7 +113,7 @@
     """It may come on many lines, and nothing says that the last one ends."""
 
     async def play() -> None:
-        async with stand(tmp_path, 2) as now:
+        async with running_router(tmp_path, 2) as now:
             ask(now)
             watch = await watched(now)
             one, two = now.entries()
@@ -130,7 +130,7 @@
 
 def test_changes_before_a_reset_count_and_a_half_list_does_not(tmp_path: Path) -> None:
     async def play() -> None:
-        async with stand(tmp_path, 2) as now:
+        async with running_router(tmp_path, 2) as now:
             ask(now)
             watch = await now.discovery.accept()
             await watch.until(b"\r\n\r\n")
@@ -151,7 +151,7 @@
     """Guards against waiting for the end of what never ends, with changes lying behind it."""
 
     async def play() -> None:
-        async with stand(tmp_path, 2) as now:
+        async with running_router(tmp_path, 2) as now:
             ask(now)
             watch = await watched(now)
             one, _ = now.entries()
@@ -167,7 +167,7 @@
     """It says something all the time, so the clock for silence never ends it."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             ask(now)
             watch = await watched(now)
             await watch.send(chunk(b'{"index": 1,'))
@@ -230,7 +230,7 @@
     """What it misses counts as told 6 s after it fell silent."""
 
     async def play() -> None:
-        async with stand(tmp_path) as now:
+        async with running_router(tmp_path) as now:
             _watch = await watching(now)
             await until(lambda: now.counters["registry.watches"] == 1)
             await step()
@@ -251,7 +251,7 @@
     """After we stood still what came meanwhile lies unread: it is read before the watch is given up."""
 
     async def play() -> None:
-        async with stand(tmp_path, 2) as now:
+        async with running_router(tmp_path, 2) as now:
             watch = await watching(now)
             await step()
             one, _ = now.entries()
@@ -268,7 +268,7 @@
     """A failure of an older call may have the module ask once more, and a new call waits in turn anew."""
 
     async def play() -> None:
-        async with stand(tmp_path, 2) as now:
+        async with running_router(tmp_path, 2) as now:
             ask(now)
             watch = await watched(now)
             ask(now)
@@ -283,7 +283,7 @@
 
 def test_bytes_of_an_old_watch_after_a_move_are_not_taken(tmp_path: Path) -> None:
     async def play() -> None:
-        async with stand(tmp_path, 2) as now:
+        async with running_router(tmp_path, 2) as now:
             old = await watching(now)
             await step()
             await old.send(chunk(listing(9, entry("s-1", "127.0.0.1:1", "terminating"), full=False)))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 from starlingthread.net.clients.listener import bind
 from starlingthread.net.peers import PeerActor
 
-from .standins import READS, Talk, talk
+from .standins import READS, ClientHarness, run_client_script
 from .test_router import Place
 from .world import THROUGH
 
@@ -210,7 +210,7 @@
 
 
 def test_after_pausing_each_connection_is_closed_behind_its_answer() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(READS.split(b"\r\n")[0] + b"\r\n")
         (asked,) = await now.settle()
         now.front.pause_accepting()
@@ -220,11 +220,11 @@
         await now.settle()
         assert now.writer.transport.gone
 
-    assert talk(script) == b"SERVER_ERROR busy\r\n"
+    assert run_client_script(script) == b"SERVER_ERROR busy\r\n"
 
 
 def test_unread_commands_are_answered_before_the_close() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.front.pause_accepting()
         now.reader.feed_data(b"mn\r\n")
         now.writer.other.send(b"x")  # the next command is on its way already
@@ -235,7 +235,7 @@
         await now.settle()
         assert now.writer.transport.gone
 
-    assert talk(script) == 2 * meta.READY_LINE
+    assert run_client_script(script) == 2 * meta.READY_LINE
 
 
 def test_a_paused_listener_accepts_again_once_resumed() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -28,7 +28,7 @@
 from starlingthread.net.upstreams import messages
 from starlingthread.settings import Idempotency
 
-from .standins import Held, Talk, talk
+from .standins import ClientHarness, ServerActorHarness, run_client_script
 from .test_router import Place
 from .world import IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, members, only_send, sends
 
@@ -110,19 +110,19 @@
 
 def test_what_waits_for_a_connection_to_a_server_in_maintenance_is_placed_anew() -> None:
     for wait in ("idle", "opening"):
-        held, job = (h := Held()), h.attempt()
+        held, job = (h := ServerActorHarness()), h.attempt()
         held.fleet.actors[1] = held.actor
         if wait == "opening":
             held.actor.pool.idle.clear()
             held.actor.opening.jobs[job] = (_Task(), held.actor.opening._limit(job))  # type: ignore[assignment]
         held.fleet.set_maintenance(1, True)
         opened = messages.Start(job) if wait == "idle" else messages.Opened(job, None)
-        told = held.take(opened)
+        told = held.deliver(opened)
         assert [m.result for m in told] == [AttemptResult.NOT_SENT if wait == "idle" else AttemptResult.CONNECT_FAILED]
         assert not held.writer.transport.sent
         held.fleet.set_maintenance(1, False)
         if wait == "idle":
-            held.take(messages.Start(held.attempt()))
+            held.deliver(messages.Start(held.attempt()))
             assert held.writer.transport.sent
 
 
@@ -259,14 +259,14 @@
 
 
 def test_a_class_that_vanished_is_an_error_and_a_new_one_is_served() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.front.apply_settings(FEWER)
         now.router.apply_settings(FEWER)
         now.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmg a v O2 Pc=read-2,d=500\r\n")
         asked = [m for m in await now.settle() if hasattr(m, "request")]
         assert [m.request.request_class.name for m in asked] == ["read-2"]
 
-    assert talk(script) == b"CLIENT_ERROR unknown class\r\n"
+    assert run_client_script(script) == b"CLIENT_ERROR unknown class\r\n"
 
 
 GOOD: dict[str, Any] = {
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -24,7 +24,7 @@
 from starlingthread.net.clients.limits import COMMAND_TIMEOUT_MS
 from starlingthread.net.upstreams import messages
 
-from .standins import Held, Talk, talk
+from .standins import ClientHarness, ServerActorHarness, run_client_script
 from .test_router import Place
 from .world import THROUGH, World, answers, only_send, sends
 
@@ -112,36 +112,36 @@
         await asyncio.sleep(0)
 
 
-async def started(held: Held, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
+async def started(held: ServerActorHarness, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
     job = held.attempt(text)
-    held.take(messages.Start(job))
+    held.deliver(messages.Start(job))
     return job
 
 
 def test_a_large_answer_is_there_with_its_head_and_its_connection_after_its_end() -> None:
-    held = Held()
+    held = ServerActorHarness()
     asyncio.run(started(held))
-    (ended,) = held.hear(GOT + VALUE[:100])
+    (ended,) = held.receive(GOT + VALUE[:100])
     assert (
         ended.result == AttemptResult.OK
         and ended.cache_status == CacheStatus.HIT
         and ended.pipe.take() == [VALUE[:100]]
     )
     assert not held.actor.pool.busy and not held.actor.pool.idle and held.actor.pool.delivering == {held.connection}
-    assert held.hear(VALUE[100:] + b"\r") == [] and ended.pipe.complete is None
-    assert held.hear(b"\n") == [] and ended.pipe.complete and held.actor.pool.idle == [held.connection]
+    assert held.receive(VALUE[100:] + b"\r") == [] and ended.pipe.complete is None
+    assert held.receive(b"\n") == [] and ended.pipe.complete and held.actor.pool.idle == [held.connection]
     assert b"".join(ended.pipe.take()) == VALUE[100:] + b"\r\n" and not held.actor.pool.delivering
 
 
 def test_an_answer_that_breaks_off_ends_its_pipe_and_its_connection() -> None:
     for how in ("reset", "no end", "stalled", "gone", "nobody waits"):
-        held = Held()
+        held = ServerActorHarness()
         job = asyncio.run(started(held))
-        (ended,) = held.hear(GOT + VALUE)
+        (ended,) = held.receive(GOT + VALUE)
         if how == "reset":
-            held.take(messages.Broken(held.connection))
+            held.deliver(messages.Broken(held.connection))
         elif how == "no end":
-            held.hear(b"xy")
+            held.receive(b"xy")
         elif how == "stalled":
             held.actor._stalled(held.connection, sure=True, due=held.place.clock.time)
         elif how == "gone":
@@ -149,16 +149,16 @@
         else:
             ended.pipe.abandon()
             assert not asyncio.run(held.actor.reader.until_not_full(held.connection, ended.pipe))
-            held.take(messages.Broken(held.connection))
+            held.deliver(messages.Broken(held.connection))
         assert held.writer.transport.gone and held.actor.pool.open == 0 and not held.actor.pool.delivering
         assert ended.pipe.complete is False or how == "nobody waits"
         assert not held.actor.pool.busy and job not in held.actor.pool.busy
 
 
 def test_an_answer_to_something_else_is_no_answer_however_long() -> None:
-    held = Held()
+    held = ServerActorHarness()
     asyncio.run(started(held))
-    (ended,) = held.hear(b"VA %d O2\r\n" % LONG + VALUE)
+    (ended,) = held.receive(b"VA %d O2\r\n" % LONG + VALUE)
     assert ended.result == AttemptResult.RESET and ended.pipe is None and held.writer.transport.gone
 
 
@@ -184,7 +184,7 @@
         assert place.router.telemetry.finished_count("read", end) == 1 and place.router.telemetry.inflight == 0
 
 
-async def begin_large_answer(now: Talk, piece: bytes = VALUE[:9]) -> Pipe:
+async def begin_large_answer(now: ClientHarness, piece: bytes = VALUE[:9]) -> Pipe:
     """Have a client ask for a large value, and its head and a first piece come."""
     now.writer.write = now.writer.transport.sent.extend  # type: ignore[attr-defined]
     now.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmn\r\n")
@@ -199,36 +199,36 @@
 
 
 def test_a_value_goes_out_as_it_comes_and_the_next_answer_behind_it() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         pipe = await begin_large_answer(now)
         pipe.put(VALUE[9:] + b"\r\n")
         pipe.finish(True)
 
-    assert talk(script) == GOT + VALUE + b"\r\n" + meta.READY_LINE
+    assert run_client_script(script) == GOT + VALUE + b"\r\n" + meta.READY_LINE
 
 
 def test_a_client_sees_that_a_value_broke_off() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         pipe = await begin_large_answer(now)
         pipe.finish(False)
         await now.settle()
         assert now.writer.transport.gone and pipe.is_finished()
 
-    assert talk(script) == GOT + VALUE[:9]  # and nothing behind it
+    assert run_client_script(script) == GOT + VALUE[:9]  # and nothing behind it
 
 
 def test_a_client_that_leaves_midway_abandons_its_value() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         pipe = await begin_large_answer(now)
         now.reader.feed_eof()
         await now.settle()
         assert pipe.abandoned and now.writer.transport.gone and now.front.budget.used == 0
 
-    talk(script)
+    run_client_script(script)
 
 
 def test_a_slow_reader_holds_up_its_own_value() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         pipe = await begin_large_answer(now)
         now.writer.transport.unsent = 1 << 20
         pipe.put(VALUE[9:20])
@@ -242,14 +242,14 @@
         pipe.put(b"\r\n")
         pipe.finish(True)
 
-    assert talk(script) == GOT + VALUE + b"\r\n" + meta.READY_LINE
+    assert run_client_script(script) == GOT + VALUE + b"\r\n" + meta.READY_LINE
 
 
 # from a client to a cache server
 
 
 def test_a_large_write_is_asked_for_with_its_head_and_its_time_runs_from_its_last_byte() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.front.budget.limit = 1 << 20
         now.reader.feed_data(PUT + VALUE[:7])
         assert await now.settle() == []  # a head alone holds no place at a server
@@ -264,11 +264,11 @@
         assert b"".join(pipe.take()) == VALUE[-9:] + b"\r\n" and pipe.complete
         now.actor.requests.answer(request, Failed())
 
-    assert talk(script) == meta.FAILED_LINE + meta.READY_LINE
+    assert run_client_script(script) == meta.FAILED_LINE + meta.READY_LINE
 
 
 def test_what_is_given_up_before_it_is_whole_is_answered_with_its_last_byte() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(PUT + VALUE[:7])
         (asked,) = await now.settle()
         asked.request.body.abandon()
@@ -278,13 +278,13 @@
         now.reader.feed_data(VALUE[7:] + b"\r\n" + b"mn\r\n")
         assert await now.settle() == [] and now.front.budget.used == 0
 
-    assert talk(script) == b"SERVER_ERROR busy 100\r\n" + meta.READY_LINE
+    assert run_client_script(script) == b"SERVER_ERROR busy 100\r\n" + meta.READY_LINE
 
 
 def test_a_write_that_does_not_end_as_it_said_or_never_ends_has_not_been_asked() -> None:
     for how in ("bad end", "stuck", "left"):
 
-        async def script(now: Talk, how: str = how) -> None:
+        async def script(now: ClientHarness, how: str = how) -> None:
             now.front.budget.limit = 1 << 20
             now.reader.feed_data(PUT + VALUE[:-7])
             (asked,) = await now.settle()
@@ -301,12 +301,12 @@
             assert now.writer.transport.gone and not now.front.open_ids
             asked.request.body.abandon()
 
-        said = talk(script)
+        said = run_client_script(script)
         assert said.startswith(b"CLIENT_ERROR") if how != "left" else said == b""
 
 
 def test_a_head_whose_value_never_comes_was_never_asked() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.front.budget.limit = 1 << 20
         now.reader.feed_data(PUT + VALUE[:7])
         assert await now.settle() == []
@@ -315,11 +315,11 @@
         assert await now.settle() == [] and now.writer.transport.gone
         assert not now.front.open_ids and now.front.budget.used == now.router.telemetry.inflight == 0
 
-    assert talk(script) == b"CLIENT_ERROR command not finished\r\n"
+    assert run_client_script(script) == b"CLIENT_ERROR command not finished\r\n"
 
 
 def test_a_writer_that_waits_for_the_server_is_not_called_stuck() -> None:
-    async def script(now: Talk) -> None:
+    async def script(now: ClientHarness) -> None:
         now.reader.feed_data(PUT + VALUE[:7])
         (asked,) = await now.settle()
         assert asked.request.body.is_full()
@@ -328,10 +328,10 @@
         assert await now.settle() == []
         asked.request.body.abandon()
 
-    talk(script)
+    run_client_script(script)
 
 
-class Write(Held):
+class Write(ServerActorHarness):
     """A server's actor that has begun to write a large value."""
 
     def __init__(self) -> None:
@@ -343,7 +343,7 @@
 
     async def begin(self) -> None:
         self.actor.fleet.watcher = type(self.fleet.watcher)()
-        self.take(messages.Start(self.job))
+        self.deliver(messages.Start(self.job))
         await settle()
         assert self.writer.transport.sent == PUT.replace(b"d=500", b"d=400") + VALUE[:7]
 
@@ -360,7 +360,7 @@
             await settle()
             assert held.writer.transport.sent.endswith(VALUE + b"\r\n")
         reset = breaks == "reset"
-        told = held.take(messages.Broken(held.connection)) if reset else held.hear(b"SERVER_ERROR failed\r\n")
+        told = held.deliver(messages.Broken(held.connection)) if reset else held.receive(b"SERVER_ERROR failed\r\n")
         assert held.writer.transport.gone == (reset or not whole)
         assert whole or held.body.abandoned
         return told[0].result, held.place.router.telemetry.backend_calls
