--- a/tests/peers.py
+++ b/tests/peers.py
@@ -149,6 +149,16 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
+def read_command(number: int, key: str = "k", wait: float = 5000.0) -> bytes:
+    """Return a command that reads."""
+    return b"mg %b%d v O%d Pc=read,d=%d\r\n" % (key.encode(), number, number, wait)
+
+
+def value_answer(number: int) -> bytes:
+    """Return a cache server's answer to it."""
+    return b"VA 1 O%d h1\r\nx\r\n" % number
+
+
 WATCHED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CLASSES = [
     {"name": "read", "effect": "repeatable", "promiseMs": 4000.0, "hardLimitMs": 9000.0},
@@ -253,6 +263,15 @@
             listener.close()
 
 
+async def request_in_flight(harness: RouterHarness, number: int = 1) -> tuple[Peer, Peer]:
+    """Have a client ask, and the request reach the cache server; return both ends."""
+    client = await harness.client()
+    await client.send(read_command(number))
+    server = await harness.server.accept()
+    await server.until(b"\r\n")
+    return client, server
+
+
 @asynccontextmanager
 async def running_router(
     folder: Path, servers: int = 1, wait: bool = True, **change: Any
--- /dev/null
+++ b/tests/test_lingering_close.py
@@ -0,0 +1,203 @@
+"""The router's close of a client connection: the last response, lingering, and what crosses it, on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import select
+import socket
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from starlingthread.net.clients import limits
+
+from .peers import LIMIT, Peer, RouterHarness, read_command, request_in_flight, running_router, step, until
+
+
+def test_nagle_is_disabled_towards_clients_and_servers(tmp_path: Path) -> None:
+    """What the system holds back is lost with a reset; of accepted sockets asyncio does not see that they are TCP."""
+
+    async def play() -> None:
+        async with running_router(tmp_path) as harness:
+            socket_of_ours = harness.actor_of(await harness.client()).writer.get_extra_info("socket")
+            assert socket_of_ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            await request_in_flight(harness)
+            (actor,) = harness.program.actors.fleet.actors.values()
+            (connection,) = actor.pool.busy.values()
+            to_server = connection.writer.get_extra_info("socket")
+            assert to_server.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+
+    asyncio.run(play())
+
+
+def test_the_last_response_arrives_though_bytes_lie_unread_behind_its_command(tmp_path: Path) -> None:
+    """A close over unread bytes is a reset, and takes what the client has not read yet with it."""
+
+    async def play() -> None:
+        async with running_router(tmp_path) as harness:
+            client = await harness.client()
+            await client.send(b"mn\r\nms k nine O1\r\n" + b"x" * 60000)
+            actor = harness.actor_of(client)
+            await until(lambda: actor.state.lingering)
+            await client.send(b"x" * 60000)
+            assert await client.rest() == b"MN\r\nCLIENT_ERROR bad data length\r\n"
+            client.half_close()
+            await until(lambda: not harness.program.actors.clients.connections)
+
+    asyncio.run(play())
+
+
+async def idle_client(harness: RouterHarness) -> Peer:
+    """Return a client that has had an answer and rests."""
+    client = await harness.client()
+    await client.send(b"mn\r\n")
+    assert await client.until(b"\r\n") == b"MN\r\n"
+    return client
+
+
+def test_a_request_that_crosses_our_end_of_file_is_neither_submitted_nor_reset(tmp_path: Path) -> None:
+    """Its client sends it again elsewhere: sent on as well, it would run twice, and its answer be lost."""
+
+    async def play() -> None:
+        async with running_router(tmp_path) as harness:
+            client = await idle_client(harness)
+            harness.actor_of(client).close_when_idle()
+            assert await client.receive() == b""  # our end of file
+            await client.send(read_command(1))
+            await step()
+            assert harness.counters["requests.taken"] == 0 and len(harness.program.actors.clients.connections) == 1
+            client.half_close()
+            await until(lambda: not harness.program.actors.clients.connections)
+            assert await client.receive() == b"" and harness.counters["attempts.started"] == 0
+
+    asyncio.run(play())
+
+
+def test_lingering_ends_though_the_client_never_closes(tmp_path: Path) -> None:
+    async def play() -> None:
+        async with running_router(tmp_path) as harness:
+            client = await idle_client(harness)
+            harness.actor_of(client).close_when_idle()
+            assert await client.receive() == b""
+            await step()
+            assert harness.program.actors.clients.connections
+            harness.router.clock._base += limits.LINGER_TIMEOUT_MS
+            harness.router.mailbox.wake()
+            await until(lambda: not harness.program.actors.clients.connections)
+
+    asyncio.run(play())
+
+
+def unhandled_exceptions() -> list[dict[str, Any]]:
+    """Return what callbacks of this loop raise from now on, which nobody else takes."""
+    raised: list[dict[str, Any]] = []
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: raised.append(context))
+    return raised
+
+
+async def closing_with_bytes_unsent(harness: RouterHarness) -> tuple[Peer, Any]:
+    """Have a client be closed behind an answer that it has not read; return it, and the router's transport to it."""
+    client = await harness.client(buffer=4096)
+    actor = harness.actor_of(client)
+    actor.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    await client.send(read_command(1))
+    server = await harness.server.accept()
+    await server.until(b"\r\n")
+    await server.send(b"VA 60000 O1 h1\r\n" + b"x" * 60000 + b"\r\n")
+    await until(lambda: harness.counters["attempts.ok"] == 1 and not actor.responses.slots)
+    assert actor.writer.transport.get_write_buffer_size()
+    actor.close_when_idle()
+    await step()
+    return client, actor.writer.transport
+
+
+@pytest.mark.parametrize("disconnect", ["reset", "close"])
+def test_a_disconnect_while_the_last_response_is_written_raises_nothing(tmp_path: Path, disconnect: str) -> None:
+    """Our end of file waits behind what is unsent; it was sent from a callback then, which may fail."""
+
+    async def play() -> None:
+        raised = unhandled_exceptions()
+        async with running_router(tmp_path) as harness:
+            client, _ = await closing_with_bytes_unsent(harness)
+            await client.receive()
+            getattr(client, disconnect)()
+            await until(lambda: not harness.program.actors.clients.connections)
+            await step()
+        assert not raised
+
+    asyncio.run(play())
+
+
+class ResettingSocket:
+    """Stands before a socket: its other side resets in the moment in which the last byte has gone out."""
+
+    def __init__(self, sock: Any, client: Peer) -> None:
+        self.socket, self.client = sock, client
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self.socket, name)
+
+    def send(self, data: bytes) -> int:
+        sent = int(self.socket.send(data))
+        if sent == len(data):
+            self.client.reset()
+            ended = select.poll()
+            ended.register(self.socket.fileno(), select.POLLHUP)
+            assert ended.poll(LIMIT * 1000.0)
+        return sent
+
+
+def test_a_reset_between_the_last_byte_and_our_end_of_file_raises_nothing(tmp_path: Path) -> None:
+    async def play() -> None:
+        raised = unhandled_exceptions()
+        async with running_router(tmp_path) as harness:
+            client, transport = await closing_with_bytes_unsent(harness)
+            transport._sock = ResettingSocket(transport._sock, client)
+            while client.socket.fileno() >= 0:
+                with contextlib.suppress(BlockingIOError):
+                    client.socket.recv(65536)
+                await step()
+            await until(lambda: not harness.program.actors.clients.connections)
+            await step()
+        assert not raised
+
+    asyncio.run(play())
+
+
+def test_eviction_sends_end_of_file_in_the_step_in_which_nothing_lay_unread(tmp_path: Path) -> None:
+    """What came between that step and the close of the socket, a turn later, was lost with no end of file before."""
+
+    async def play() -> None:
+        async with running_router(tmp_path) as harness:
+            client = await idle_client(harness)
+            actor, eof_seen = harness.actor_of(client), []
+            close = actor.writer.close
+
+            def closes() -> None:
+                ended = select.poll()
+                ended.register(client.socket, select.POLLRDHUP)
+                eof_seen.append(bool(ended.poll(0)))
+                close()
+
+            actor.writer.close = closes  # type: ignore[method-assign]
+            actor.evict()
+            await until(lambda: bool(eof_seen))
+            assert eof_seen == [True]
+
+    asyncio.run(play())
+
+
+def test_lingering_connections_are_evicted_first(tmp_path: Path) -> None:
+    async def play() -> None:
+        async with running_router(tmp_path) as harness:
+            first, other = await idle_client(harness), await idle_client(harness)
+            harness.actor_of(first).close_when_idle()
+            assert await first.receive() == b""
+            harness.program.actors.clients.max_clients = 2
+            await harness.client()
+            await until(lambda: harness.find_actor(first) is None)
+            assert harness.find_actor(other) is not None
+
+    asyncio.run(play())
