--- a/starlingthread/net/streams.py
+++ b/starlingthread/net/streams.py
@@ -1,4 +1,4 @@
-"""What streams of both sides need beyond asyncio's own."""
+"""Socket options and disconnect detection that asyncio's streams lack; for clients and cache servers."""
 
 from __future__ import annotations
 
@@ -8,49 +8,52 @@
 import socket
 from collections.abc import Callable
 
-# What a poll says of a connection whose other side has closed or reset it, also while bytes before that lie unread.
+# Poll events of a connection whose peer has closed or reset it, reported also while earlier bytes lie unread.
 PEER_CLOSED_EVENTS = select.POLLHUP | select.POLLERR | getattr(select, "POLLRDHUP", 0)
 
 
 def limit_read_size(writer: asyncio.StreamWriter, size: int) -> None:
-    """Have a stream read so many bytes at once. Guards memory: 256 KB is usual, for each connection that waits."""
+    """Limit the bytes that a stream reads at once.
+
+    Guards memory: asyncio's default is 256 KB, for each connection that waits.
+    """
     if hasattr(writer.transport, "max_size"):
         writer.transport.max_size = size
 
 
 def disable_nagle(writer: asyncio.StreamWriter) -> None:
-    """Have small writes leave at once (TCP_NODELAY).
+    """Send small writes at once (TCP_NODELAY).
 
-    asyncio does this for connections that we open; of those that we accept it can't tell that they are TCP. What the
-    system still holds back is lost when a connection is reset, and answers wait for the other side's ACK.
+    asyncio does this for connections that we open; of those that we accept it can't tell that they are TCP. What
+    Nagle's algorithm delays is lost when a connection is reset, and answers wait for the peer's ACK.
     """
-    with contextlib.suppress(OSError):  # a socket that is no TCP socket holds nothing back
+    with contextlib.suppress(OSError):  # a socket that is no TCP socket delays nothing
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def has_poll_event(writer: asyncio.StreamWriter, what: int) -> bool:
-    """Ask the system whether a connection is in one of these states now."""
+def has_poll_event(writer: asyncio.StreamWriter, events: int) -> bool:
+    """Return whether the system reports one of these poll events for a connection now."""
     if writer.transport.is_closing():
         return False
-    waiting = select.poll()
-    waiting.register(writer.get_extra_info("socket"), what)
-    return any(seen & what for _, seen in waiting.poll(0))
+    poll = select.poll()
+    poll.register(writer.get_extra_info("socket"), events)
+    return any(reported & events for _, reported in poll.poll(0))
 
 
 class DisconnectAwareProtocol(asyncio.StreamReaderProtocol):
-    """Tells of the other side's end of file, or of a reset, at once: whoever reads the stream may wait elsewhere."""
+    """A stream protocol that reports the peer's end of file or reset at once, whatever the stream's reader awaits."""
 
-    def __init__(self, accepted: Callable[[asyncio.StreamReader, asyncio.StreamWriter], None], limit: int) -> None:
-        super().__init__(asyncio.StreamReader(limit=limit), accepted)
+    def __init__(self, on_connected: Callable[[asyncio.StreamReader, asyncio.StreamWriter], None], limit: int) -> None:
+        super().__init__(asyncio.StreamReader(limit=limit), on_connected)
         self.on_disconnect: Callable[[], None] = lambda: None
 
     def eof_received(self) -> bool | None:
-        """Take in an end of file."""
-        stays = super().eof_received()
+        """Handle an end of file; return whether the transport stays open."""
+        stays_open = super().eof_received()
         self.on_disconnect()
-        return stays
+        return stays_open
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take in that the connection is over."""
+        """Handle the end of the connection."""
         super().connection_lost(exc)
         self.on_disconnect()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -25,23 +25,23 @@
 
     def __init__(self) -> None:
         self.sent = bytearray()
-        self.gone = self.paused = False
+        self.closed = self.paused = False
         self.unsent = 0
 
     def is_closing(self) -> bool:
-        return self.gone
+        return self.closed
 
     def get_write_buffer_size(self) -> int:
         return self.unsent
 
     def abort(self) -> None:
-        self.gone = True
+        self.closed = True
 
     def get_protocol(self) -> None:
         return None
 
     def is_reading(self) -> bool:
-        return not self.gone and not self.paused
+        return not self.closed and not self.paused
 
     def pause_reading(self) -> None:
         self.paused = True
@@ -62,18 +62,18 @@
         return self.mine
 
     def writelines(self, parts: tuple[bytes, ...]) -> None:
-        assert not self.transport.gone
+        assert not self.transport.closed
         self.transport.sent += b"".join(parts)
 
     async def drain(self) -> None:
-        while self.transport.unsent and not self.transport.gone:
+        while self.transport.unsent and not self.transport.closed:
             await asyncio.sleep(0)
 
     def write_eof(self) -> None:
         self.on_eof()
 
     def close(self) -> None:
-        self.transport.gone = True
+        self.transport.closed = True
         self.mine.close()
         self.other.close()
 
@@ -84,16 +84,16 @@
     def __init__(self) -> None:
         place = Place()
         self.router, self.watcher = place.router, Watcher()
-        self.front = ClientListener(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
+        self.listener = ClientListener(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.writer.on_eof = self.reader.feed_eof  # it closes in turn
         self.actor = ClientConnectionActor(
-            self.front,
+            self.listener,
             self.reader,
             self.writer,  # type: ignore[arg-type]
-            self.front.connections.discard,
+            self.listener.connections.discard,
         )
-        self.front.connections.add(self.actor)
+        self.listener.connections.add(self.actor)
         self.watcher.start(self.actor.run(), "client", lambda _: None)
 
     async def settle(self) -> list[Any]:
@@ -106,12 +106,12 @@
     """Run a script against a client actor; return what the client was sent."""
 
     async def play() -> bytes:
-        now = ClientHarness()
-        await script(now)
-        await now.settle()
-        await now.watcher.stop()
-        assert now.front.buffered == 0
-        return bytes(now.writer.transport.sent)
+        harness = ClientHarness()
+        await script(harness)
+        await harness.settle()
+        await harness.watcher.stop()
+        assert harness.listener.buffered == 0
+        return bytes(harness.writer.transport.sent)
 
     return asyncio.run(play())
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -213,27 +213,27 @@
     async def script(now: ClientHarness) -> None:
         now.reader.feed_data(READS.split(b"\r\n")[0] + b"\r\n")
         (asked,) = await now.settle()
-        now.front.pause_accepting()
+        now.listener.pause_accepting()
         await now.settle()
-        assert not now.writer.transport.gone
+        assert not now.writer.transport.closed
         now.actor.requests.answer(asked.request, Rejected(0.0))
         await now.settle()
-        assert now.writer.transport.gone
+        assert now.writer.transport.closed
 
     assert run_client_script(script) == b"SERVER_ERROR busy\r\n"
 
 
 def test_unread_commands_are_answered_before_the_close() -> None:
     async def script(now: ClientHarness) -> None:
-        now.front.pause_accepting()
+        now.listener.pause_accepting()
         now.reader.feed_data(b"mn\r\n")
         now.writer.other.send(b"x")  # the next command is on its way already
         await now.settle()
-        assert not now.writer.transport.gone
+        assert not now.writer.transport.closed
         now.writer.mine.recv(1)
         now.reader.feed_data(b"mn\r\n")
         await now.settle()
-        assert now.writer.transport.gone
+        assert now.writer.transport.closed
 
     assert run_client_script(script) == 2 * meta.READY_LINE
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -51,7 +51,7 @@
         self.reader = asyncio.StreamReader()
 
     def write(self, data: bytes) -> None:
-        assert not self.transport.gone
+        assert not self.transport.closed
         self.transport.sent += data
 
     def write_eof(self) -> None:
@@ -87,7 +87,7 @@
         fixture.management.control = control or fixture.control
         caller = fixture.connect(request)
         await fixture.settle()
-        assert caller.transport.gone and not fixture.management.connections
+        assert caller.transport.closed and not fixture.management.connections
         await fixture.watcher.stop()
         return bytes(caller.transport.sent)
 
@@ -139,9 +139,9 @@
         caller = fixture.connect(line("GET", "/api/telemetry"))
         await fixture.settle()
         assert caller.transport.sent.startswith(b"HTTP/1.1 200 ")
-        assert incomplete[0].transport.gone and not incomplete[1].transport.gone
+        assert incomplete[0].transport.closed and not incomplete[1].transport.closed
         fixture.place.pass_time(REQUEST_TIMEOUT_MS + 1.0)
-        assert incomplete[1].transport.gone
+        assert incomplete[1].transport.closed
         await fixture.watcher.stop()
 
     asyncio.run(play())
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -46,9 +46,9 @@
     )
 
 
-def cut(feed: Callable[[bytes], Iterator[T]], data: bytes, places: list[int]) -> list[T]:
+def feed_in_fragments(feed: Callable[[bytes], Iterator[T]], data: bytes, cuts: list[int]) -> list[T]:
     """Feed data cut at some places."""
-    ends = sorted({p % (len(data) + 1) for p in places} | {len(data)})
+    ends = sorted({p % (len(data) + 1) for p in cuts} | {len(data)})
     return [item for begin, end in zip([0, *ends], ends, strict=False) for item in feed(data[begin:end])]
 
 
@@ -57,10 +57,10 @@
 
 @FIXED
 @given(st.lists(commands(), min_size=1, max_size=5), CUTS)
-def test_commands_survive_any_cuts_and_pass_on_unchanged(sent: list[bytes], places: list[int]) -> None:
-    found = cut(meta.CommandParser().feed, b"".join(sent), places)
-    assert len(found) == len(sent)
-    for item, text in zip(found, sent, strict=True):
+def test_commands_survive_any_fragmentation_and_are_forwarded_unchanged(sent: list[bytes], cuts: list[int]) -> None:
+    items = feed_in_fragments(meta.CommandParser().feed, b"".join(sent), cuts)
+    assert len(items) == len(sent)
+    for item, text in zip(items, sent, strict=True):
         assert isinstance(item, Command)
         begin, end = item.timeout_span
         assert b"".join(meta.forward_command(item, 77.9)) == text[:begin] + b"77" + text[end:]
@@ -69,14 +69,14 @@
 
 @FIXED
 @given(st.lists(answers(), min_size=1, max_size=5), CUTS)
-def test_answers_are_the_same_in_any_cuts(sent: list[bytes], places: list[int]) -> None:
+def test_answers_survive_any_fragmentation(sent: list[bytes], cuts: list[int]) -> None:
     data = b"".join(sent)
-    several: list[Any] = cut(meta.AnswerParser().feed, data, places)
+    several: list[Any] = feed_in_fragments(meta.AnswerParser().feed, data, cuts)
     at_once: list[Any] = list(meta.AnswerParser().feed(data))
-    found = [a._replace(parts=(b"".join(a.parts),)) for a in several]
-    assert found == [a._replace(parts=(b"".join(a.parts),)) for a in at_once]
-    assert AnswerKind.OTHER not in {a.kind for a in found}
-    assert len([a for a in found if a.kind != AnswerKind.STAT]) == len(sent)
+    items = [a._replace(parts=(b"".join(a.parts),)) for a in several]
+    assert items == [a._replace(parts=(b"".join(a.parts),)) for a in at_once]
+    assert AnswerKind.OTHER not in {a.kind for a in items}
+    assert len([a for a in items if a.kind != AnswerKind.STAT]) == len(sent)
 
 
 GARBAGE = st.lists(
@@ -91,15 +91,15 @@
 
 @FIXED
 @given(GARBAGE, CUTS)
-def test_garbage_raises_nothing_and_is_not_hoarded(parts: list[bytes], places: list[int]) -> None:
+def test_garbage_raises_nothing_and_is_not_buffered(parts: list[bytes], cuts: list[int]) -> None:
     data = b"".join(parts)
-    asked, answered = meta.CommandParser(), meta.AnswerParser()
-    for item in cut(asked.feed, data, places):
+    command_parser, answer_parser = meta.CommandParser(), meta.AnswerParser()
+    for item in feed_in_fragments(command_parser.feed, data, cuts):
         if isinstance(item, MalformedCommand):
             assert item.line.endswith(b"\r\n")
             assert item.line.startswith((b"CLIENT_ERROR", b"ERROR"))
-    cut(answered.feed, data, places)
-    assert asked._buffer.unread_bytes() <= meta.MAX_VALUE_BYTES + meta.MAX_HEAD_BYTES
+    feed_in_fragments(answer_parser.feed, data, cuts)
+    assert command_parser._buffer.unread_bytes() <= meta.MAX_VALUE_BYTES + meta.MAX_HEAD_BYTES
 
 
 @FIXED
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "lost"),
+    ("line", "framing_lost"),
     [
         (b"get k\r\n", False),
         (b"mg k v O1\r\n", False),
@@ -125,14 +125,14 @@
         (b"ms k 1 O1\r\na\r\n", False),
     ],
 )
-def test_bad_commands(line: bytes, lost: bool) -> None:
+def test_bad_commands(line: bytes, framing_lost: bool) -> None:
     parser = meta.CommandParser()
     (item,) = parser.feed(line)
-    assert isinstance(item, MalformedCommand) and item.framing_lost == lost
-    assert list(parser.feed(b"mn\r\n")) == ([] if lost else [ControlCommand.READY])
+    assert isinstance(item, MalformedCommand) and item.framing_lost == framing_lost
+    assert list(parser.feed(b"mn\r\n")) == ([] if framing_lost else [ControlCommand.READY])
 
 
-def test_a_hopeless_head_is_answered_before_its_value_and_the_value_is_no_command() -> None:
+def test_a_malformed_head_is_answered_at_once_and_its_value_skipped() -> None:
     """Guards memory and the three seconds in which such a client is owed an answer."""
     parser, value = meta.CommandParser(), b"mn\r\n" * 2500
     (item,) = parser.feed(b"ms k 10000 O1 Pc=put,d=soon\r\n")
@@ -142,7 +142,7 @@
     assert list(parser.feed(b"\r\nmn\r\n")) == [ControlCommand.READY] and not parser.has_partial_input()
 
 
-def test_what_an_answer_tells() -> None:
+def test_the_fields_of_an_answer() -> None:
     line = b"VA 5 O9b1f h1 Linflight=7,queue=2,util=0.61\r\nhello\r\n"
     answer: Any
     (answer,) = meta.AnswerParser().feed(line)
@@ -154,42 +154,42 @@
     assert b"".join(receipt.parts) == b"HD O9b1f c77\r\n"
 
 
-PIECES = st.lists(
+LARGE_VALUES = st.lists(
     st.integers(1, 40).map(lambda n: Random(n).randbytes(meta.MAX_UNCHUNKED_BYTES + n)), min_size=1, max_size=2
 )
-FAR = st.lists(st.integers(0, 3 * meta.MAX_UNCHUNKED_BYTES), max_size=12)
+LARGE_CUTS = st.lists(st.integers(0, 3 * meta.MAX_UNCHUNKED_BYTES), max_size=12)
 
 
 @FIXED
-@given(PIECES, FAR, st.booleans())
-def test_large_values_come_through_in_pieces_at_any_cuts(values: list[bytes], places: list[int], up: bool) -> None:
+@given(LARGE_VALUES, LARGE_CUTS, st.booleans())
+def test_large_values_are_chunked_at_any_fragmentation(values: list[bytes], cuts: list[int], is_command: bool) -> None:
     """In either direction; none is ever put together, and the CRLF never comes in two pieces."""
-    head = b"ms k %d O1 Pc=put,d=9" if up else b"VA %d O1 h1"
+    head = b"ms k %d O1 Pc=put,d=9" if is_command else b"VA %d O1 h1"
     sent = b"".join(head % len(v) + b"\r\n" + v + b"\r\n" for v in values)
-    parser: meta.CommandParser | meta.AnswerParser = meta.CommandParser() if up else meta.AnswerParser()
-    found = cut(parser.feed, sent, places)
+    parser: meta.CommandParser | meta.AnswerParser = meta.CommandParser() if is_command else meta.AnswerParser()
+    items = feed_in_fragments(parser.feed, sent, cuts)
     assert not parser.has_partial_input()
     for value in values:
-        begun = found.pop(0)
+        begun = items.pop(0)
         assert isinstance(begun, Command | meta.ServerAnswer) and begun.is_chunked and begun.length == len(value)
         got = b""
         while not got.endswith(b"\r\n") or len(got) < len(value) + 2:
-            part = found.pop(0)
+            part = items.pop(0)
             assert isinstance(part, meta.ValueChunk) and part.data
             got += part.data
             assert part.last == (len(got) == len(value) + 2)
         assert got == value + b"\r\n"
-    assert found == []
+    assert items == []
 
 
-@pytest.mark.parametrize("up", [True, False])
-def test_a_large_value_that_does_not_end_as_it_said_is_never_whole(up: bool) -> None:
+@pytest.mark.parametrize("is_command", [True, False])
+def test_a_chunked_value_with_a_wrong_end_is_never_complete(is_command: bool) -> None:
     value = b"v" * (meta.MAX_UNCHUNKED_BYTES + 1)
-    head = b"ms k %d O1 Pc=put,d=9\r\n" if up else b"VA %d O1\r\n"
-    parser: meta.CommandParser | meta.AnswerParser = meta.CommandParser() if up else meta.AnswerParser()
-    found: list[Any] = list(parser.feed(head % len(value) + value + b"xy" + head % 1))
-    assert isinstance(found[-1], MalformedCommand) if up else found[-1].kind == AnswerKind.OTHER
-    assert not any(p.last for p in found if isinstance(p, meta.ValueChunk)) and list(parser.feed(b"mn\r\n")) == []
+    head = b"ms k %d O1 Pc=put,d=9\r\n" if is_command else b"VA %d O1\r\n"
+    parser: meta.CommandParser | meta.AnswerParser = meta.CommandParser() if is_command else meta.AnswerParser()
+    items: list[Any] = list(parser.feed(head % len(value) + value + b"xy" + head % 1))
+    assert isinstance(items[-1], MalformedCommand) if is_command else items[-1].kind == AnswerKind.OTHER
+    assert not any(p.last for p in items if isinstance(p, meta.ValueChunk)) and list(parser.feed(b"mn\r\n")) == []
 
 
 @pytest.mark.parametrize(
@@ -211,10 +211,10 @@
     ],
 )
 def test_bad_answers(line: bytes) -> None:
-    found: list[Any] = list(meta.AnswerParser().feed(line))
-    assert [a.kind for a in found] == [AnswerKind.OTHER]
+    items: list[Any] = list(meta.AnswerParser().feed(line))
+    assert [a.kind for a in items] == [AnswerKind.OTHER]
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_rejection_carries_retry_after() -> None:
     assert meta.busy_line(0.0) == b"SERVER_ERROR busy\r\n"
     assert meta.busy_line(250.7) == b"SERVER_ERROR busy 250\r\n"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -260,7 +260,7 @@
 
 def test_a_class_that_vanished_is_an_error_and_a_new_one_is_served() -> None:
     async def script(now: ClientHarness) -> None:
-        now.front.apply_settings(FEWER)
+        now.listener.apply_settings(FEWER)
         now.router.apply_settings(FEWER)
         now.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmg a v O2 Pc=read-2,d=500\r\n")
         asked = [m for m in await now.settle() if hasattr(m, "request")]
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -48,7 +48,7 @@
         max_size=60,
     )
 )
-def test_a_pipe_gives_what_was_put_and_gives_back_all_of_the_budget(steps: list[tuple[int, str, int]]) -> None:
+def test_a_pipe_preserves_its_bytes_and_releases_its_budget(steps: list[tuple[int, str, int]]) -> None:
     budget = ByteBudget(WINDOW)
     pipes = [Pipe(budget) for _ in range(3)]
     put, got = [b"", b"", b""], [b"", b"", b""]
@@ -79,7 +79,7 @@
     assert budget.used == 0
 
 
-def test_who_reads_waits_for_who_writes_and_for_nobody_else() -> None:
+def test_back_pressure_affects_only_its_own_pipe() -> None:
     async def play() -> None:
         budget = ByteBudget(10)
         slow, quick = Pipe(budget), Pipe(budget)
@@ -112,57 +112,61 @@
         await asyncio.sleep(0)
 
 
-async def started(held: ServerActorHarness, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
-    job = held.attempt(text)
-    held.deliver(messages.Start(job))
+async def start_attempt(server: ServerActorHarness, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
+    job = server.attempt(text)
+    server.deliver(messages.Start(job))
     return job
 
 
-def test_a_large_answer_is_there_with_its_head_and_its_connection_after_its_end() -> None:
-    held = ServerActorHarness()
-    asyncio.run(started(held))
-    (ended,) = held.receive(GOT + VALUE[:100])
+def test_a_chunked_answer_is_reported_with_its_head_and_frees_its_connection_at_its_end() -> None:
+    server = ServerActorHarness()
+    asyncio.run(start_attempt(server))
+    (ended,) = server.receive(GOT + VALUE[:100])
     assert (
         ended.result == AttemptResult.OK
         and ended.cache_status == CacheStatus.HIT
         and ended.pipe.take() == [VALUE[:100]]
     )
-    assert not held.actor.pool.busy and not held.actor.pool.idle and held.actor.pool.delivering == {held.connection}
-    assert held.receive(VALUE[100:] + b"\r") == [] and ended.pipe.complete is None
-    assert held.receive(b"\n") == [] and ended.pipe.complete and held.actor.pool.idle == [held.connection]
-    assert b"".join(ended.pipe.take()) == VALUE[100:] + b"\r\n" and not held.actor.pool.delivering
-
-
-def test_an_answer_that_breaks_off_ends_its_pipe_and_its_connection() -> None:
-    for how in ("reset", "no end", "stalled", "gone", "nobody waits"):
-        held = ServerActorHarness()
-        job = asyncio.run(started(held))
-        (ended,) = held.receive(GOT + VALUE)
-        if how == "reset":
-            held.deliver(messages.Broken(held.connection))
-        elif how == "no end":
-            held.receive(b"xy")
-        elif how == "stalled":
-            held.actor._stalled(held.connection, sure=True, due=held.place.clock.time)
-        elif how == "gone":
-            held.actor.close()
+    assert (
+        not server.actor.pool.busy
+        and not server.actor.pool.idle
+        and server.actor.pool.delivering == {server.connection}
+    )
+    assert server.receive(VALUE[100:] + b"\r") == [] and ended.pipe.complete is None
+    assert server.receive(b"\n") == [] and ended.pipe.complete and server.actor.pool.idle == [server.connection]
+    assert b"".join(ended.pipe.take()) == VALUE[100:] + b"\r\n" and not server.actor.pool.delivering
+
+
+def test_a_broken_chunked_answer_ends_its_pipe_and_closes_its_connection() -> None:
+    for failure in ("reset", "no end", "stalled", "gone", "nobody waits"):
+        server = ServerActorHarness()
+        job = asyncio.run(start_attempt(server))
+        (ended,) = server.receive(GOT + VALUE)
+        if failure == "reset":
+            server.deliver(messages.Broken(server.connection))
+        elif failure == "no end":
+            server.receive(b"xy")
+        elif failure == "stalled":
+            server.actor._stalled(server.connection, sure=True, due=server.place.clock.time)
+        elif failure == "gone":
+            server.actor.close()
         else:
             ended.pipe.abandon()
-            assert not asyncio.run(held.actor.reader.until_not_full(held.connection, ended.pipe))
-            held.deliver(messages.Broken(held.connection))
-        assert held.writer.transport.gone and held.actor.pool.open == 0 and not held.actor.pool.delivering
-        assert ended.pipe.complete is False or how == "nobody waits"
-        assert not held.actor.pool.busy and job not in held.actor.pool.busy
+            assert not asyncio.run(server.actor.reader.until_not_full(server.connection, ended.pipe))
+            server.deliver(messages.Broken(server.connection))
+        assert server.writer.transport.closed and server.actor.pool.open == 0 and not server.actor.pool.delivering
+        assert ended.pipe.complete is False or failure == "nobody waits"
+        assert not server.actor.pool.busy and job not in server.actor.pool.busy
 
 
-def test_an_answer_to_something_else_is_no_answer_however_long() -> None:
-    held = ServerActorHarness()
-    asyncio.run(started(held))
-    (ended,) = held.receive(b"VA %d O2\r\n" % LONG + VALUE)
-    assert ended.result == AttemptResult.RESET and ended.pipe is None and held.writer.transport.gone
+def test_a_chunked_answer_to_another_request_is_a_reset() -> None:
+    server = ServerActorHarness()
+    asyncio.run(start_attempt(server))
+    (ended,) = server.receive(b"VA %d O2\r\n" % LONG + VALUE)
+    assert ended.result == AttemptResult.RESET and ended.pipe is None and server.writer.transport.closed
 
 
-def test_what_comes_late_or_twice_is_abandoned() -> None:
+def test_a_late_chunked_answer_is_abandoned() -> None:
     place = Place()
     place.ask()
     (attempt,) = place.started
@@ -172,72 +176,72 @@
     assert late.abandoned
 
 
-def test_its_time_is_that_of_its_first_bytes_and_it_counts_once_it_is_whole() -> None:
-    for whole, end in ((True, End.SUCCESS), (False, End.FAILURE), (None, End.ABANDONED)):
+def test_a_chunked_answer_is_timed_by_its_first_bytes_and_counted_once_complete() -> None:
+    for complete, end in ((True, End.SUCCESS), (False, End.FAILURE), (None, End.ABANDONED)):
         place = Place()
         request, pipe = place.ask(), Pipe(ByteBudget(0))
         place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"x", pipe=pipe))
         assert place.answers == [(request, Served(b"x", pipe))] and place.router.telemetry.inflight == 1
         place.pass_time(5000.0)  # long past its deadline: what the server still gives is not cut off
         assert not pipe.abandoned and len(place.answers) == 1
-        pipe.abandon() if whole is None else pipe.finish(whole)
+        pipe.abandon() if complete is None else pipe.finish(complete)
         assert place.router.telemetry.finished_count("read", end) == 1 and place.router.telemetry.inflight == 0
 
 
-async def begin_large_answer(now: ClientHarness, piece: bytes = VALUE[:9]) -> Pipe:
+async def begin_large_answer(harness: ClientHarness, piece: bytes = VALUE[:9]) -> Pipe:
     """Have a client ask for a large value, and its head and a first piece come."""
-    now.writer.write = now.writer.transport.sent.extend  # type: ignore[attr-defined]
-    now.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmn\r\n")
-    (asked,) = await now.settle()
-    pipe = Pipe(now.front.budget)
+    harness.writer.write = harness.writer.transport.sent.extend  # type: ignore[attr-defined]
+    harness.reader.feed_data(b"mg a v O1 Pc=read,d=500\r\nmn\r\n")
+    (asked,) = await harness.settle()
+    pipe = Pipe(harness.listener.budget)
     pipe.put(piece)
     answer = meta.ServerAnswer(meta.AnswerKind.VALUE, b"1", (GOT,), length=LONG)
-    now.actor.requests.answer(asked.request, Served(answer, pipe))
-    await now.settle()
-    assert bytes(now.writer.transport.sent) == GOT + piece
+    harness.actor.requests.answer(asked.request, Served(answer, pipe))
+    await harness.settle()
+    assert bytes(harness.writer.transport.sent) == GOT + piece
     return pipe
 
 
-def test_a_value_goes_out_as_it_comes_and_the_next_answer_behind_it() -> None:
-    async def script(now: ClientHarness) -> None:
-        pipe = await begin_large_answer(now)
+def test_a_chunked_value_is_written_as_it_arrives_and_the_next_response_behind_it() -> None:
+    async def script(harness: ClientHarness) -> None:
+        pipe = await begin_large_answer(harness)
         pipe.put(VALUE[9:] + b"\r\n")
         pipe.finish(True)
 
     assert run_client_script(script) == GOT + VALUE + b"\r\n" + meta.READY_LINE
 
 
-def test_a_client_sees_that_a_value_broke_off() -> None:
-    async def script(now: ClientHarness) -> None:
-        pipe = await begin_large_answer(now)
+def test_a_client_sees_that_a_chunked_value_broke_off() -> None:
+    async def script(harness: ClientHarness) -> None:
+        pipe = await begin_large_answer(harness)
         pipe.finish(False)
-        await now.settle()
-        assert now.writer.transport.gone and pipe.is_finished()
+        await harness.settle()
+        assert harness.writer.transport.closed and pipe.is_finished()
 
     assert run_client_script(script) == GOT + VALUE[:9]  # and nothing behind it
 
 
-def test_a_client_that_leaves_midway_abandons_its_value() -> None:
-    async def script(now: ClientHarness) -> None:
-        pipe = await begin_large_answer(now)
-        now.reader.feed_eof()
-        await now.settle()
-        assert pipe.abandoned and now.writer.transport.gone and now.front.budget.used == 0
+def test_a_disconnect_abandons_the_value_being_written() -> None:
+    async def script(harness: ClientHarness) -> None:
+        pipe = await begin_large_answer(harness)
+        harness.reader.feed_eof()
+        await harness.settle()
+        assert pipe.abandoned and harness.writer.transport.closed and harness.listener.budget.used == 0
 
     run_client_script(script)
 
 
-def test_a_slow_reader_holds_up_its_own_value() -> None:
-    async def script(now: ClientHarness) -> None:
-        pipe = await begin_large_answer(now)
-        now.writer.transport.unsent = 1 << 20
+def test_a_slow_client_applies_back_pressure_to_its_own_value() -> None:
+    async def script(harness: ClientHarness) -> None:
+        pipe = await begin_large_answer(harness)
+        harness.writer.transport.unsent = 1 << 20
         pipe.put(VALUE[9:20])
-        await now.settle()
+        await harness.settle()
         pipe.put(VALUE[20:])  # the writer waits, so this one stays
-        await now.settle()
+        await harness.settle()
         assert pipe.buffered == LONG - 20 and pipe.is_full()  # there is no budget beyond one piece
-        now.writer.transport.unsent = 0
-        await now.settle()
+        harness.writer.transport.unsent = 0
+        await harness.settle()
         assert not pipe.is_full()
         pipe.put(b"\r\n")
         pipe.finish(True)
@@ -248,90 +252,90 @@
 # from a client to a cache server
 
 
-def test_a_large_write_is_asked_for_with_its_head_and_its_time_runs_from_its_last_byte() -> None:
-    async def script(now: ClientHarness) -> None:
-        now.front.budget.limit = 1 << 20
-        now.reader.feed_data(PUT + VALUE[:7])
-        assert await now.settle() == []  # a head alone holds no place at a server
-        now.reader.feed_data(VALUE[7:-9])
-        (asked,) = await now.settle()
+def test_a_chunked_write_is_submitted_early_and_timed_from_its_last_byte() -> None:
+    async def script(harness: ClientHarness) -> None:
+        harness.listener.budget.limit = 1 << 20
+        harness.reader.feed_data(PUT + VALUE[:7])
+        assert await harness.settle() == []  # a head alone holds no place at a server
+        harness.reader.feed_data(VALUE[7:-9])
+        (asked,) = await harness.settle()
         request, pipe = asked.request, asked.request.body
         assert request.is_write and b"".join(pipe.take()) == VALUE[:-9] and pipe.complete is None
-        now.router.clock.time += 2000.0  # type: ignore[attr-defined]
-        now.reader.feed_data(VALUE[-9:] + b"\r\nmn\r\n")
-        (whole,) = await now.settle()
-        assert isinstance(whole, BodyReceived) and whole.deadline == now.front.clock.now() + 500.0 - 4.0
+        harness.router.clock.time += 2000.0  # type: ignore[attr-defined]
+        harness.reader.feed_data(VALUE[-9:] + b"\r\nmn\r\n")
+        (received,) = await harness.settle()
+        assert isinstance(received, BodyReceived) and received.deadline == harness.listener.clock.now() + 500.0 - 4.0
         assert b"".join(pipe.take()) == VALUE[-9:] + b"\r\n" and pipe.complete
-        now.actor.requests.answer(request, Failed())
+        harness.actor.requests.answer(request, Failed())
 
     assert run_client_script(script) == meta.FAILED_LINE + meta.READY_LINE
 
 
-def test_what_is_given_up_before_it_is_whole_is_answered_with_its_last_byte() -> None:
-    async def script(now: ClientHarness) -> None:
-        now.reader.feed_data(PUT + VALUE[:7])
-        (asked,) = await now.settle()
+def test_an_answer_to_an_incomplete_write_is_deferred_to_its_last_byte() -> None:
+    async def script(harness: ClientHarness) -> None:
+        harness.reader.feed_data(PUT + VALUE[:7])
+        (asked,) = await harness.settle()
         asked.request.body.abandon()
-        now.actor.requests.answer(asked.request, Rejected(100.0))
-        await now.settle()
-        assert not now.writer.transport.sent
-        now.reader.feed_data(VALUE[7:] + b"\r\n" + b"mn\r\n")
-        assert await now.settle() == [] and now.front.budget.used == 0
+        harness.actor.requests.answer(asked.request, Rejected(100.0))
+        await harness.settle()
+        assert not harness.writer.transport.sent
+        harness.reader.feed_data(VALUE[7:] + b"\r\n" + b"mn\r\n")
+        assert await harness.settle() == [] and harness.listener.budget.used == 0
 
     assert run_client_script(script) == b"SERVER_ERROR busy 100\r\n" + meta.READY_LINE
 
 
-def test_a_write_that_does_not_end_as_it_said_or_never_ends_has_not_been_asked() -> None:
-    for how in ("bad end", "stuck", "left"):
+def test_a_chunked_write_that_ends_wrongly_or_never_is_cancelled() -> None:
+    for failure in ("bad end", "stuck", "left"):
 
-        async def script(now: ClientHarness, how: str = how) -> None:
-            now.front.budget.limit = 1 << 20
-            now.reader.feed_data(PUT + VALUE[:-7])
-            (asked,) = await now.settle()
-            if how == "bad end":
-                now.reader.feed_data(VALUE[-7:] + b"xy")
-            elif how == "left":
-                now.reader.feed_eof()
+        async def script(harness: ClientHarness, failure: str = failure) -> None:
+            harness.listener.budget.limit = 1 << 20
+            harness.reader.feed_data(PUT + VALUE[:-7])
+            (asked,) = await harness.settle()
+            if failure == "bad end":
+                harness.reader.feed_data(VALUE[-7:] + b"xy")
+            elif failure == "left":
+                harness.reader.feed_eof()
             else:
                 asked.request.body.take()
-                now.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
-                now.actor.check_idle(now.front.clock.now(), False)
-            (gone,) = await now.settle()
-            assert isinstance(gone, ClientDisconnected) and asked.request.body.complete is False
-            assert now.writer.transport.gone and not now.front.open_ids
+                harness.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
+                harness.actor.check_idle(harness.listener.clock.now(), False)
+            (cancelled,) = await harness.settle()
+            assert isinstance(cancelled, ClientDisconnected) and asked.request.body.complete is False
+            assert harness.writer.transport.closed and not harness.listener.open_ids
             asked.request.body.abandon()
 
-        said = run_client_script(script)
-        assert said.startswith(b"CLIENT_ERROR") if how != "left" else said == b""
+        sent = run_client_script(script)
+        assert sent.startswith(b"CLIENT_ERROR") if failure != "left" else sent == b""
 
 
-def test_a_head_whose_value_never_comes_was_never_asked() -> None:
-    async def script(now: ClientHarness) -> None:
-        now.front.budget.limit = 1 << 20
-        now.reader.feed_data(PUT + VALUE[:7])
-        assert await now.settle() == []
-        now.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
-        now.actor.check_idle(now.front.clock.now(), False)
-        assert await now.settle() == [] and now.writer.transport.gone
-        assert not now.front.open_ids and now.front.budget.used == now.router.telemetry.inflight == 0
+def test_a_head_whose_value_never_arrives_is_not_submitted() -> None:
+    async def script(harness: ClientHarness) -> None:
+        harness.listener.budget.limit = 1 << 20
+        harness.reader.feed_data(PUT + VALUE[:7])
+        assert await harness.settle() == []
+        harness.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
+        harness.actor.check_idle(harness.listener.clock.now(), False)
+        assert await harness.settle() == [] and harness.writer.transport.closed
+        assert not harness.listener.open_ids and harness.listener.budget.used == harness.router.telemetry.inflight == 0
 
     assert run_client_script(script) == b"CLIENT_ERROR command not finished\r\n"
 
 
-def test_a_writer_that_waits_for_the_server_is_not_called_stuck() -> None:
-    async def script(now: ClientHarness) -> None:
-        now.reader.feed_data(PUT + VALUE[:7])
-        (asked,) = await now.settle()
+def test_a_client_that_waits_for_the_server_is_not_timed_out() -> None:
+    async def script(harness: ClientHarness) -> None:
+        harness.reader.feed_data(PUT + VALUE[:7])
+        (asked,) = await harness.settle()
         assert asked.request.body.is_full()
-        now.router.clock.time += 2 * COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
-        now.actor.check_idle(now.front.clock.now(), False)
-        assert await now.settle() == []
+        harness.router.clock.time += 2 * COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
+        harness.actor.check_idle(harness.listener.clock.now(), False)
+        assert await harness.settle() == []
         asked.request.body.abandon()
 
     run_client_script(script)
 
 
-class Write(ServerActorHarness):
+class WritingServerHarness(ServerActorHarness):
     """A server's actor that has begun to write a large value."""
 
     def __init__(self) -> None:
@@ -348,22 +352,24 @@
         assert self.writer.transport.sent == PUT.replace(b"d=500", b"d=400") + VALUE[:7]
 
 
-def test_a_write_is_counted_and_may_have_run_only_once_its_last_byte_is_out() -> None:
-    async def play(whole: bool, breaks: str) -> tuple[AttemptResult, int]:
-        held = Write()
-        await held.begin()
-        held.body.put(VALUE[7:50])
+def test_a_chunked_write_is_counted_and_may_have_run_only_once_its_last_byte_is_written() -> None:
+    async def play(complete: bool, failure: str) -> tuple[AttemptResult, int]:
+        server = WritingServerHarness()
+        await server.begin()
+        server.body.put(VALUE[7:50])
         await settle()
-        if whole:
-            held.body.put(VALUE[50:] + b"\r\n")
-            held.body.finish(True)
+        if complete:
+            server.body.put(VALUE[50:] + b"\r\n")
+            server.body.finish(True)
             await settle()
-            assert held.writer.transport.sent.endswith(VALUE + b"\r\n")
-        reset = breaks == "reset"
-        told = held.deliver(messages.Broken(held.connection)) if reset else held.receive(b"SERVER_ERROR failed\r\n")
-        assert held.writer.transport.gone == (reset or not whole)
-        assert whole or held.body.abandoned
-        return told[0].result, held.place.router.telemetry.backend_calls
+            assert server.writer.transport.sent.endswith(VALUE + b"\r\n")
+        reset = failure == "reset"
+        outcomes = (
+            server.deliver(messages.Broken(server.connection)) if reset else server.receive(b"SERVER_ERROR failed\r\n")
+        )
+        assert server.writer.transport.closed == (reset or not complete)
+        assert complete or server.body.abandoned
+        return outcomes[0].result, server.place.router.telemetry.backend_calls
 
     assert asyncio.run(play(False, "reset")) == (AttemptResult.CONNECT_FAILED, 0)
     assert asyncio.run(play(True, "reset")) == (AttemptResult.RESET, 1)
@@ -371,7 +377,7 @@
     assert asyncio.run(play(True, "answer")) == (AttemptResult.ERROR, 1)
 
 
-def test_a_request_whose_value_is_coming_has_until_its_last_byte_and_then_its_own_time() -> None:
+def test_a_request_gets_its_deadline_once_its_value_is_received() -> None:
     place = Place()
     now = place.clock.time
     request = PendingRequest(
@@ -389,7 +395,7 @@
     assert len(place.answers) == 1 and not place.started[0].pending and place.abandoned == place.started
 
 
-def test_the_module_sends_once_only_what_is_not_held_whole() -> None:
+def test_a_single_use_request_is_attempted_once() -> None:
     for result in (AttemptResult.CONNECT_FAILED, AttemptResult.FULL, AttemptResult.RESET, AttemptResult.ERROR):
         world = World(THROUGH._replace(hedging_allowed=True))
         request = Request(1, 1, 2000.0, key=7, cost_hint=40.0, is_write=True, single_use=True)
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -38,7 +38,7 @@
     held.deliver(messages.Start(job))
     (ended,) = held.receive(line)
     assert ended.result == result and (held.connection in held.actor.pool.idle) == kept
-    assert held.writer.transport.gone != kept and held.actor.pool.open == kept
+    assert held.writer.transport.closed != kept and held.actor.pool.open == kept
 
 
 @pytest.mark.parametrize("behind", [ANSWER, b"\xffnoise", b"SERVER_ERROR busy\r\n"])
@@ -49,7 +49,7 @@
         held.deliver(messages.Start(job))
         told = held.receive(ANSWER + behind) if together else held.receive(ANSWER) + held.receive(behind)
         assert [m.result for m in told] == [AttemptResult.OK]
-        assert held.writer.transport.gone and not held.actor.pool.idle and held.actor.pool.open == 0
+        assert held.writer.transport.closed and not held.actor.pool.idle and held.actor.pool.open == 0
 
 
 def test_a_busy_right_behind_an_answer_proves_nothing_for_a_write() -> None:
@@ -69,10 +69,10 @@
     now = held.place.clock.time
     held.actor._stalled(held.connection, sure=False, due=now)
     held.actor._stalled(held.connection, sure=True, due=now - 20.0)  # we look late: it may be here by now
-    assert list(held.place.router.mailbox.take()) == [] and not held.writer.transport.gone
+    assert list(held.place.router.mailbox.take()) == [] and not held.writer.transport.closed
     held.actor._stalled(held.connection, sure=True, due=now)
     (ended,) = held.place.router.mailbox.take()
-    assert isinstance(ended, AttemptEnded) and ended.result == AttemptResult.RESET and held.writer.transport.gone
+    assert isinstance(ended, AttemptEnded) and ended.result == AttemptResult.RESET and held.writer.transport.closed
 
 
 def test_a_connection_that_we_look_at_too_late_is_not_given_up() -> None:
@@ -100,7 +100,7 @@
             held.actor.pool.address = ("127.0.0.1", 2)
         else:
             held.reader.feed_eof()
-        assert held.actor.pool.take(False) is None and held.writer.transport.gone
+        assert held.actor.pool.take(False) is None and held.writer.transport.closed
         assert job.pending and held.actor.pool.open == 0
 
 
@@ -160,19 +160,19 @@
 def test_giving_up_closes_the_connection_and_idle_ones_are_retired_early() -> None:
     held, job = (h := ServerActorHarness()), h.attempt()
     held.deliver(messages.Start(job))
-    assert held.deliver(messages.Abandon(job)) == [] and held.writer.transport.gone
+    assert held.deliver(messages.Abandon(job)) == [] and held.writer.transport.closed
     old = ServerActorHarness()
     old.place.clock.time += 9000.0
     old.deliver(messages.Retire(old.fleet.retire_after))
-    assert not old.writer.transport.gone
+    assert not old.writer.transport.closed
     old.place.clock.time += 1000.0
     old.deliver(messages.Retire(old.fleet.retire_after))
-    assert old.writer.transport.gone and old.actor.pool.open == 0
+    assert old.writer.transport.closed and old.actor.pool.open == 0
 
 
 def test_a_stray_answer_closes_the_connection() -> None:
     held = ServerActorHarness()
-    assert held.receive(b"MN\r\n") == [] and held.writer.transport.gone
+    assert held.receive(b"MN\r\n") == [] and held.writer.transport.closed
 
 
 def test_what_an_attempt_ends_with_is_told_once() -> None:
