--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,7 +1,7 @@
-"""Scripted peers on real sockets, and a whole router between them, all in one event loop.
+"""Scripted peers on real sockets and a complete router between them, all in one event loop.
 
-A script says what happens in which order: it waits for what a peer has received or for what the router's state shows,
-and lets the loop step until then. Nothing waits for a time to pass.
+A script fixes the order of events: it waits for what a peer has received or for a state of the router, and lets the
+event loop run until then. Nothing waits for time to pass.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from starlingthread.net.clients import ClientConnectionActor
 from starlingthread.router_process.process import RouterProcess
 
-LIMIT = 20.0  # s of real time in which anything that a script waits for must happen
+LIMIT = 20.0  # s of real time; time-out of each wait of a script
 
 
 class Peer:
@@ -43,21 +43,21 @@
         return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.socket, 65536), LIMIT)
 
     async def until(self, end: bytes) -> bytes:
-        """Return what comes, up to and with an end."""
+        """Return what arrives, up to and including a terminator."""
         while end not in self.unread:
             data = await self.receive()
             assert data, f"ended without {end!r}: {self.unread!r}"
             self.unread += data
-        at = self.unread.index(end) + len(end)
-        said, self.unread = self.unread[:at], self.unread[at:]
-        return said
+        position = self.unread.index(end) + len(end)
+        received, self.unread = self.unread[:position], self.unread[position:]
+        return received
 
     async def rest(self) -> bytes:
-        """Return all that comes up to the end of file."""
+        """Return all that arrives up to the end of file."""
         while data := await self.receive():
             self.unread += data
-        said, self.unread = self.unread, b""
-        return said
+        received, self.unread = self.unread, b""
+        return received
 
     def half_close(self) -> None:
         """Send an end of file and go on reading."""
@@ -74,7 +74,7 @@
 
 
 class Listener:
-    """Where peers are reached. Connections come up by themselves and wait until a script accepts them."""
+    """A listening socket. Connections are established by the system and queue until a script accepts them."""
 
     def __init__(self, port: int = 0) -> None:
         self.socket = socket.create_server(("127.0.0.1", port))
@@ -97,7 +97,7 @@
 
 
 async def connect(port: int, buffer: int = 0) -> Peer:
-    """Connect as a client; 'buffer' is what its system takes for it."""
+    """Connect as a client; 'buffer' is the size of its receive buffer in bytes, 0 for the default."""
     sock = socket.socket()
     sock.setblocking(False)
     if buffer:
@@ -107,20 +107,20 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens at."""
+    """Return a port on which no process listens."""
     with socket.create_server(("127.0.0.1", 0)) as probe:
         return int(probe.getsockname()[1])
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Let the loop step until something holds."""
+    """Let the event loop run until a condition holds."""
     async with asyncio.timeout(LIMIT):
         while not condition():
             await asyncio.sleep(0)
 
 
 async def step(turns: int = 20) -> None:
-    """Let the loop take some turns."""
+    """Let the event loop take some turns."""
     for _ in range(turns):
         await asyncio.sleep(0)
 
@@ -150,12 +150,12 @@
 
 
 def read_command(number: int, key: str = "k", wait: float = 5000.0) -> bytes:
-    """Return a command that reads."""
+    """Return a read command."""
     return b"mg %b%d v O%d Pc=read,d=%d\r\n" % (key.encode(), number, number, wait)
 
 
 def value_answer(number: int) -> bytes:
-    """Return a cache server's answer to it."""
+    """Return a cache server's answer to a read command."""
     return b"VA 1 O%d h1\r\nx\r\n" % number
 
 
@@ -175,7 +175,7 @@
 
 
 class RouterHarness:
-    """A router, its discovery and one cache server 's-1'; clients come as a script calls for them."""
+    """A router, its discovery service and its cache servers, 's-1' and so on; scripts add clients."""
 
     def __init__(self, folder: Path, servers: int, change: dict[str, Any]) -> None:
         self.discovery = Listener()
@@ -228,7 +228,7 @@
         return self.program.counters
 
     async def client(self, taken: bool = True, buffer: int = 0) -> Peer:
-        """Connect as a client; return once the router has taken it in. 'buffer' is what its system takes for it."""
+        """Connect as a client; return once the router has accepted it, if 'taken'. 'buffer' is as in connect()."""
         self.clients.append(await connect(self.port, buffer))
         if taken:
             await until(lambda: self.find_actor(self.clients[-1]) is not None)
@@ -248,7 +248,7 @@
         )
 
     def reload(self, classes: list[dict[str, Any]]) -> None:
-        """Have the program read its file anew with other classes."""
+        """Have the router reload its file with other request classes."""
         self.raw["settings"]["grades"] = classes
         self.path.write_text(json.dumps(self.raw))
         configuration = self.program.configuration
@@ -264,7 +264,7 @@
 
 
 async def request_in_flight(harness: RouterHarness, number: int = 1) -> tuple[Peer, Peer]:
-    """Have a client ask, and the request reach the cache server; return both ends."""
+    """Send a request and let it reach the cache server; return the client's and the server's peer."""
     client = await harness.client()
     await client.send(read_command(number))
     server = await harness.server.accept()
@@ -277,18 +277,18 @@
     folder: Path, servers: int = 1, wait: bool = True, **change: Any
 ) -> AsyncIterator[RouterHarness]:
     """Run a router between scripted peers; 'change' names places of its file, as settings__discovery="automatic"."""
-    now = RouterHarness(folder, servers, {place.replace("__", "."): value for place, value in change.items()})
+    harness = RouterHarness(folder, servers, {place.replace("__", "."): value for place, value in change.items()})
     thresholds = gc.get_threshold()
-    task = asyncio.create_task(now.program.run())
+    task = asyncio.create_task(harness.program.run())
     try:
         if wait:
-            await until(lambda: now.program.is_serving or task.done())
-        yield now
+            await until(lambda: harness.program.is_serving or task.done())
+        yield harness
     finally:
-        now.close()
-        if not now.program.stop_requested.is_set():
-            now.program.exit_code = now.program.exit_code or 1  # ends at once
-        now.program.stop_requested.set()
+        harness.close()
+        if not harness.program.stop_requested.is_set():
+            harness.program.exit_code = harness.program.exit_code or 1  # ends at once
+        harness.program.stop_requested.set()
         await asyncio.wait_for(task, LIMIT)
         gc.unfreeze()
         gc.set_threshold(*thresholds)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for sockets, clients and cache servers, hand-fed: no socket, no waiting."""
+"""Fakes of sockets and harnesses of client and server actors, fed by hand: no network, no waiting."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Transport:
-    """Stands for a socket; notes what is done to it."""
+    """A fake transport that records what is done to it."""
 
     def __init__(self) -> None:
         self.sent = bytearray()
@@ -51,12 +51,12 @@
 
 
 class Writer:
-    """Stands for a StreamWriter."""
+    """A fake StreamWriter."""
 
     def __init__(self) -> None:
         self.transport = Transport()
-        self.mine, self.other = socket.socketpair()  # bytes that lie in the system, unread by the program
-        self.on_eof: Callable[[], None] = lambda: None  # what the other side does about our end of file
+        self.mine, self.other = socket.socketpair()  # for bytes that lie unread in the system
+        self.on_eof: Callable[[], None] = lambda: None  # the peer's reaction to our end of file
 
     def get_extra_info(self, name: str) -> socket.socket:
         return self.mine
@@ -79,14 +79,14 @@
 
 
 class ClientHarness:
-    """A client's connection to a front whose router is never run: tests answer."""
+    """A client's connection to a listener whose router is never run: tests answer the requests."""
 
     def __init__(self) -> None:
         place = Place()
         self.router, self.watcher = place.router, Watcher()
         self.listener = ClientListener(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
         self.reader, self.writer = asyncio.StreamReader(), Writer()
-        self.writer.on_eof = self.reader.feed_eof  # it closes in turn
+        self.writer.on_eof = self.reader.feed_eof  # the peer closes in turn
         self.actor = ClientConnectionActor(
             self.listener,
             self.reader,
@@ -97,13 +97,14 @@
         self.watcher.start(self.actor.run(), "client", lambda _: None)
 
     async def settle(self) -> list[Any]:
+        """Let all tasks proceed; return the messages to the router."""
         for _ in range(12):
             await asyncio.sleep(0)
         return list(self.router.mailbox.take())
 
 
 def run_client_script(script: Callable[[ClientHarness], Any]) -> bytes:
-    """Run a script against a client actor; return what the client was sent."""
+    """Run a script against a client actor; return what was written to the client."""
 
     async def play() -> bytes:
         harness = ClientHarness()
@@ -120,7 +121,7 @@
 
 
 class ServerActorHarness:
-    """A server actor with one connection in its pool, driven message by message."""
+    """A server actor with one idle connection in its pool, driven message by message."""
 
     def __init__(self) -> None:
         with contextlib.suppress(RuntimeError):  # streams want a loop, though none is run here
@@ -148,7 +149,7 @@
         return list(self.place.router.mailbox.take())
 
     def receive(self, data: bytes) -> list[Any]:
-        """Have the connection's reader take in some bytes, and the actor what it makes of them."""
+        """Feed bytes to the connection's reader, and its messages to the actor; return the messages to the router."""
         if not self.actor.reader.heard(self.connection, data):
             self.actor.tell(messages.Broken(self.connection))
         for message in self.actor.mailbox.take():
