--- a/starlingthread/failover/__init__.py
+++ b/starlingthread/failover/__init__.py
@@ -1,1 +1,4 @@
-"""Which zones the fleet as a whole leaves alone. No I/O, no clock: times are handed in, in ms."""
+"""Zone failover: which zones the fleet avoids. No I/O, no clock: times are passed in, in ms.
+
+The design is in docs/design/failover.md.
+"""
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -1,59 +1,38 @@
-"""One plan for the fleet, without a leader: which zones all leave alone, out of what the routers tell one another.
+"""The fleet's failover plan: which zones are lost, decided without a leader from the votes of each zone's witnesses.
 
-A few routers are the witnesses of a zone, the same ones at everybody's reckoning: those with the greatest hash of zone
-and number. While all is well nobody says anything. Once a witness sees the zone as lost it tells all others, and then
-the other witnesses say what they see: lost, or well. A word has a number that only its witness raises, so the newest
-wins whatever the order in which words come, and an old one never comes back. The plan is reckoned from the words alone:
-whoever has heard the same words has the same plan.
+While all zones are healthy nobody votes. A witness that observes a zone as lost sends its vote to all routers, and the
+other witnesses then vote too, lost or healthy. The plan is a function of the votes alone, so routers that have received
+the same votes have the same plan.
 
-A zone is lost once most of the witnesses with something to say call it that, and at least two do: one liar moves
-nothing, nor does a router whose own link is cut, as nobody carries the words of others. A word is good for some time
-only, so that the word of a router that stands still or is cut off runs out.
-
-Coming back is damped: the zone is left alone the longer the more often it was lost lately, and then has a share of the
-keys that grows in steps, the same keys at all routers, as what comes back asks the origin for what it lost.
+A zone is lost once the majority of the votes says so, and at least two do: a single faulty witness changes nothing, nor
+does a router whose own link is cut, as votes are not relayed.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
-from enum import IntEnum
 from typing import NamedTuple
 
 from ..balance.rendezvous import MASK, mix
+from .recovery import ZoneState
+from .votes import (
+    MAX_SEQUENCE_AHEAD,
+    VOTE_LIFETIME,
+    ReceivedVote,
+    VoteTable,
+    ZoneStatus,
+    ZoneVote,
+    choose_witnesses,
+)
 
-WITNESSES = 15  # of a zone; odd, so that two halves do not tie
-LEAST_WORDS = 2  # that call a zone lost
-LIFE = 3000.0  # ms for which a word is good
-SETTLE = 500.0  # ms for which others may speak against it before a zone is lost, unless most witnesses call it that
-AGAIN = LIFE / 3  # ms after which its witness tells it anew while the zone is in question: two in a row may be lost
-HOLD = 500.0  # ms for which a zone that is well again is left alone, doubled for each further loss in the last minute
-MOST_HOLD = 30000.0
-REMEMBERED = 60000.0  # ms for which a loss counts
-STEPS = 8  # in which the keys come back
-STEP = 250.0  # ms
-AHEAD = 3600e3  # ms by which a number may be ahead of our clock: it is the time of the wall clock, or one more
-
-
-class ZoneStatus(IntEnum):
-    """What a witness says of a zone."""
-
-    HEALTHY = 1
-    LOST = 2
-
-
-class ZoneVote(NamedTuple):
-    """What a witness says, with its own number for the order in which it said so."""
-
-    witness: int
-    zone: int
-    status: ZoneStatus
-    sequence: int
+MIN_LOST_VOTES = 2
+SETTLE_TIME = 500.0  # ms for which others may vote against a loss, unless the majority of all witnesses votes for it
+REPEAT_INTERVAL = VOTE_LIFETIME / 3  # ms between votes on a contested zone: two datagrams in a row may be lost
 
 
-class Change(NamedTuple):
-    """The plan has changed: for a line in the log."""
+class PlanChange(NamedTuple):
+    """The plan has changed: a zone is now lost, or recovered."""
 
     zone: int
     lost: bool
@@ -61,122 +40,97 @@
     votes: int
 
 
-def witnesses(zone: int, members: Iterable[int]) -> list[int]:
-    """Return the witnesses of a zone among the members, the same at whoever knows the same members."""
-    return sorted(members, key=lambda member: (mix(mix(zone + 1) ^ mix(member + 1)), member), reverse=True)[:WITNESSES]
-
-
-class ZonePlan:
-    """What is held of one zone that was in question at some time."""
-
-    __slots__ = ("loss_times", "lost", "closed_until")
-
-    def __init__(self) -> None:
-        self.lost = False
-        self.loss_times: list[float] = []  # when it was lost, in the last minute
-        self.closed_until = -math.inf  # when the first keys come back
-
-    def open_share(self, now: float) -> float:
-        """Return the share of keys that the zone may have."""
-        if self.lost or now < self.closed_until:
-            return 0.0
-        return min(1.0, (1 + math.floor(min(now - self.closed_until, STEPS * STEP) / STEP)) / STEPS)
-
-    def set_lost(self, now: float, lost: bool) -> None:
-        """Take it for lost, or for well again."""
-        self.lost = lost
-        self.loss_times = [at for at in self.loss_times if now - at < REMEMBERED] + [now] * lost
-        if not lost:
-            self.closed_until = now + min(MOST_HOLD, HOLD * (1 << min(16, max(0, len(self.loss_times) - 1))))
+class FailoverPlan:
+    """One router's copy of the votes, and the plan that follows from them. Times are ms of the wall clock."""
 
-
-class Plan:
-    """One router's view of the words, and the plan that follows from them."""
-
-    def __init__(self, me: int, members: Iterable[int]) -> None:
-        self.router_index = me
-        self.votes: dict[tuple[int, int], tuple[ZoneVote, float]] = {}  # by zone and witness, with when we took it in
-        self.zones: dict[int, ZonePlan] = {}
-        self.changes: list[Change] = []  # taken out by who shows them
-        self._number = 0  # of our last word
-        self._since: dict[tuple[int, int], float] = {}  # when a witness began to say what it says
+    def __init__(self, router_index: int, members: Iterable[int]) -> None:
+        self.router_index = router_index
+        self.votes = VoteTable()
+        self.zones: dict[int, ZoneState] = {}
+        self._changes: list[PlanChange] = []
+        self._sequence = 0  # of our last vote
         self.set_members(members)
 
     def set_members(self, members: Iterable[int]) -> None:
-        """Take in which routers live; the words of others count no more."""
-        self.members = frozenset(members) | {self.router_index}
-        self._chosen: dict[int, frozenset[int]] = {}
+        """Set the routers that are alive; votes of others no longer count."""
+        self._members = frozenset(members) | {self.router_index}
+        self._witnesses: dict[int, frozenset[int]] = {}
 
     def witnesses(self, zone: int) -> frozenset[int]:
         """Return the witnesses of a zone."""
-        if zone not in self._chosen:
-            self._chosen[zone] = frozenset(witnesses(zone, self.members))
-        return self._chosen[zone]
+        if zone not in self._witnesses:
+            self._witnesses[zone] = frozenset(choose_witnesses(zone, self._members))
+        return self._witnesses[zone]
 
-    def is_contested(self, now: float, zone: int) -> bool:
-        """Tell whether anybody calls a zone lost, or all have left it alone."""
-        plan = self.zones.get(zone)
-        return (plan is not None and plan.lost) or any(w.status == ZoneStatus.LOST for w in self.valid_votes(now, zone))
+    def is_witness(self, zone: int) -> bool:
+        """Tell whether this router is a witness of a zone."""
+        return self.router_index in self.witnesses(zone)
+
+    def is_lost(self, zone: int) -> bool:
+        """Tell whether the fleet considers a zone lost."""
+        state = self.zones.get(zone)
+        return state is not None and state.lost
 
-    def valid_votes(self, now: float, zone: int) -> list[ZoneVote]:
-        """Return the words on a zone that count: of its living witnesses, and not too old."""
-        chosen = self.witnesses(zone)
-        return [word for (z, who), (word, at) in self.votes.items() if z == zone and who in chosen and now - at < LIFE]
+    def is_open(self, now: float, zone: int, key: int) -> bool:
+        """Tell whether a zone may serve a key (a 64-bit hash) by the plan."""
+        state = self.zones.get(zone)
+        return state is None or mix(key ^ mix(zone + 1)) < state.open_share(now) * MASK
+
+    def is_contested(self, now: float, zone: int) -> bool:
+        """Tell whether a zone is lost, or any valid vote calls it lost."""
+        return self.is_lost(zone) or bool(self._lost_votes(now, zone))
 
     def lost_since(self, now: float, zone: int) -> float:
-        """Return when the first of those who call a zone lost began to, as we heard it; infinite if nobody does."""
-        words = self.valid_votes(now, zone)
-        return min((self._since[zone, w.witness] for w in words if w.status == ZoneStatus.LOST), default=math.inf)
-
-    def cast_vote(self, now: float, zone: int, says: ZoneStatus | None) -> ZoneVote | None:
-        """Say what we see of a zone (None: nothing lately); return the word if it is to be told to all."""
-        old = self.votes.get((zone, self.router_index))
-        if says is None or self.router_index not in self.witnesses(zone):
-            self.votes.pop((zone, self.router_index), None)
+        """Return when the first of the valid votes for a loss was received; infinity if there is none."""
+        return min((received.status_since for received in self._lost_votes(now, zone)), default=math.inf)
+
+    def valid_votes(self, now: float, zone: int) -> list[ReceivedVote]:
+        """Return the votes on a zone that count: of its living witnesses, and not expired."""
+        return self.votes.valid(now, zone, self.witnesses(zone))
+
+    def _lost_votes(self, now: float, zone: int) -> list[ReceivedVote]:
+        return [received for received in self.valid_votes(now, zone) if received.vote.status == ZoneStatus.LOST]
+
+    def cast_vote(self, now: float, zone: int, status: ZoneStatus | None) -> ZoneVote | None:
+        """Vote on a zone by what this router observes (None: nothing recent); return the vote if it is to be sent."""
+        if status is None or not self.is_witness(zone):
+            self.votes.remove(zone, self.router_index)
             return None
-        if old is not None and old[0].status == says and now - old[1] < AGAIN:
+        previous = self.votes.get(zone, self.router_index)
+        if previous is not None and previous.vote.status == status and now - previous.received_at < REPEAT_INTERVAL:
             return None
-        if says == ZoneStatus.HEALTHY and not self.is_contested(now, zone):
+        if status == ZoneStatus.HEALTHY and not self.is_contested(now, zone):
             return None
-        self._number = max(self._number + 1, int(now))  # so a router that was started anew outdoes its old words
-        word = ZoneVote(self.router_index, zone, says, self._number)
-        self._put(now, word)
-        return word
-
-    def receive_vote(self, now: float, word: ZoneVote) -> bool:
-        """Take in a word from its witness; tell whether it is news. now: ms of the wall clock."""
-        old = self.votes.get((word.zone, word.witness))
-        if (
-            word.witness == self.router_index
-            or word.sequence > now + AHEAD
-            or (old is not None and old[0].sequence >= word.sequence)
-        ):
+        # At least the time in ms, so that the votes of a restarted router supersede those of its last run.
+        self._sequence = max(self._sequence + 1, int(now))
+        vote = ZoneVote(self.router_index, zone, status, self._sequence)
+        self.votes.put(now, vote)
+        return vote
+
+    def receive_vote(self, now: float, vote: ZoneVote) -> bool:
+        """Merge a vote of another router; tell whether it was newer than the last one."""
+        if vote.witness == self.router_index or vote.sequence > now + MAX_SEQUENCE_AHEAD:
+            return False
+        previous = self.votes.get(vote.zone, vote.witness)
+        if previous is not None and previous.vote.sequence >= vote.sequence:
             return False
-        self._put(now, word)
+        self.votes.put(now, vote)
         return True
 
-    def _put(self, now: float, word: ZoneVote) -> None:
-        place = (word.zone, word.witness)
-        old = self.votes.get(place)
-        if old is None or old[0].status != word.status or now - old[1] > LIFE:
-            self._since[place] = now
-        self.votes[place] = (word, now)
-
     def update_zone(self, now: float, zone: int) -> None:
-        """Reckon the plan for a zone anew. Who hears no word leaves no zone alone for the fleet."""
-        words = self.valid_votes(now, zone)
-        lost_words = sum(word.status == ZoneStatus.LOST for word in words)
-        lost = lost_words >= LEAST_WORDS and 2 * lost_words > len(words)
-        plan = self.zones.get(zone)
-        if lost and (plan is None or not plan.lost) and 2 * lost_words <= len(self.witnesses(zone)):
-            lost = now - self.lost_since(now, zone) >= SETTLE
-        if plan is None and lost:
-            plan = self.zones[zone] = ZonePlan()
-        if plan is not None and plan.lost != lost:
-            plan.set_lost(now, lost)
-            self.changes.append(Change(zone, lost, lost_words, len(words)))
-
-    def is_open(self, now: float, zone: int, key: int) -> bool:
-        """Tell whether a key (a 64-bit hash) may go to a zone now, by the plan."""
-        plan = self.zones.get(zone)
-        return plan is None or mix(key ^ mix(zone + 1)) < plan.open_share(now) * MASK
+        """Decide anew whether a zone is lost. Without any vote it is not."""
+        votes = len(self.valid_votes(now, zone))
+        lost_votes = len(self._lost_votes(now, zone))
+        lost = lost_votes >= MIN_LOST_VOTES and 2 * lost_votes > votes
+        is_certain = 2 * lost_votes > len(self.witnesses(zone))
+        if lost and not self.is_lost(zone) and not is_certain:
+            lost = now - self.lost_since(now, zone) >= SETTLE_TIME
+        if lost == self.is_lost(zone):
+            return
+        self.zones.setdefault(zone, ZoneState()).set_lost(now, lost)
+        self._changes.append(PlanChange(zone, lost, lost_votes, votes))
+
+    def take_changes(self) -> list[PlanChange]:
+        """Return the changes since the last call."""
+        changes, self._changes = self._changes, []
+        return changes
--- a/starlingthread/failover/topology.py
+++ b/starlingthread/failover/topology.py
@@ -1,36 +1,51 @@
-"""Regions made of zones, as the operator's file tells them. Without it each zone is a region."""
+"""Regions made of zones, as configured in the operator's file. Without it each zone is a region of its own."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
+from enum import IntEnum
 
 
 class TopologyError(Exception):
-    """The regions make no sense; the text says which and why."""
+    """The regions contradict each other; the text says which and why."""
+
+
+class Distance(IntEnum):
+    """How far one zone is from another."""
+
+    SAME_ZONE = 0
+    SAME_REGION = 1
+    OTHER_REGION = 2
 
 
 class Topology:
-    """Which zones are near one another: the own one, then those of its region, then the rest."""
+    """The regions that zones belong to."""
 
-    __slots__ = ("_region", "unknown", "zones")
+    __slots__ = ("_region_by_zone", "unknown_zones", "zones")
 
     def __init__(self, zones: Sequence[str], regions: Mapping[str, Sequence[str]]) -> None:
-        """zones: all that the configuration names, in their order; regions: zones by region. Raise a TopologyError."""
+        """zones: all that the configuration names, in its order; regions: zones by region. Raise a TopologyError."""
         self.zones = tuple(zones)
-        where: dict[str, str] = {}
+        region_of: dict[str, str] = {}
         for region, members in regions.items():
             for zone in members:
-                if zone in where:
-                    raise TopologyError(f"zone {zone!r} is in the regions {where[zone]!r} and {region!r}")
-                where[zone] = region
-        # A zone that the file does not name is a region of its own: nobody guesses which others are near it.
-        self._region = [where.get(zone, f"zone {zone}") for zone in self.zones]
-        self.unknown = sorted(set(where) - set(self.zones))  # named in the file, but not by the platform
+                if zone in region_of:
+                    raise TopologyError(f"zone {zone!r} is in the regions {region_of[zone]!r} and {region!r}")
+                region_of[zone] = region
+        # A zone that the file does not name is a region of its own: its neighbours are unknown.
+        self._region_by_zone = [region_of.get(zone, f"zone {zone}") for zone in self.zones]
+        self.unknown_zones = sorted(set(region_of) - set(self.zones))  # named in the file, but not by the platform
 
     def region(self, zone: int) -> str:
-        """Return the region of a zone; one beyond the configuration's is a region of its own."""
-        return self._region[zone] if 0 <= zone < len(self._region) else f"zone number {zone}"
-
-    def step(self, here: int, there: int) -> int:
-        """Return how far a zone is: 0 the same one, 1 in the same region, 2 beyond."""
-        return 0 if here == there else 1 if self.region(here) == self.region(there) else 2
+        """Return the region of a zone; one beyond the configuration's zones is a region of its own."""
+        if 0 <= zone < len(self._region_by_zone):
+            return self._region_by_zone[zone]
+        return f"zone number {zone}"
+
+    def distance(self, source: int, target: int) -> Distance:
+        """Return how far the target zone is from the source zone."""
+        if source == target:
+            return Distance.SAME_ZONE
+        if self.region(source) == self.region(target):
+            return Distance.SAME_REGION
+        return Distance.OTHER_REGION
--- a/starlingthread/failover/zones.py
+++ b/starlingthread/failover/zones.py
@@ -1,151 +1,172 @@
-"""What the decision module asks: may this key go to that zone now? From the fleet's plan, and from what we see.
+"""Whether a request may go to a zone, by the fleet's plan and by what this router observes itself.
 
-A zone that this router alone can't see it leaves alone as well, whatever the plan: it spills no more than its own part
-then. Who finds out that a zone is back: while the plan has it lost, its witnesses, one request each in a while; else
-every router that left it alone by itself.
+A router that observes a zone as lost avoids it whatever the plan says: it then diverts no more than its own traffic.
+Trial requests find out that a zone has recovered. While the plan has the zone as lost, only its witnesses send them;
+otherwise each router that avoids the zone by itself does.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from ..events import AttemptResult
 from .evidence import ZoneEvidence
-from .plan import Change, Plan, ZoneStatus, ZoneVote
-from .topology import Topology
+from .plan import FailoverPlan, PlanChange
+from .topology import Distance, Topology
+from .votes import ZoneStatus, ZoneVote
 
-TRY_EVERY = 250.0  # ms between requests that a router risks in a zone that it leaves alone
-MOST_TRY = 4000.0  # ms; the pause is doubled with each that comes to nothing
-SILENT = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
-FRESH = 3000.0  # ms for which a word from a zone shows that it is there
+FIRST_TRIAL_DELAY = 250.0  # ms between trial requests to a closed zone; doubled with each that gets no response
+MAX_TRIAL_DELAY = 4000.0  # ms
+RESPONSE_LIFETIME = 3000.0  # ms for which a response shows that a zone is healthy
+NO_RESPONSE = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
+NO_EVIDENCE = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
+
+
+class TrialBackoff(NamedTuple):
+    """When the next trial request may go to a zone, and the delay after it; both in ms."""
+
+    next_trial_at: float
+    delay: float
 
 
 class ZoneFailover:
-    """One router's evidence and plan."""
+    """One router's evidence and plan. Times are ms of the wall clock."""
 
-    def __init__(self, me: int, members: Iterable[int]) -> None:
-        self.plan = Plan(me, members)
+    def __init__(self, router_index: int, members: Iterable[int]) -> None:
+        self.plan = FailoverPlan(router_index, members)
         self.topology = Topology((), {})
-        self.region_round_trip_ms = 0.0  # ms that it takes longer, there and back, in another region
-        self.drained: frozenset[int] = frozenset()  # by operators
+        self.region_round_trip_ms = 0.0  # added to a request to another region
+        self.drained: frozenset[int] = frozenset()  # zones that operators have closed
         self.evidence: dict[int, ZoneEvidence] = {}
         self.server_counts: dict[int, int] = {}  # listed servers by zone
-        self.outgoing_votes: list[ZoneVote] = []  # taken out by who tells them to all
-        self._shut: dict[int, tuple[float, float]] = {}  # left alone by ourselves: when to try next, and the pause
+        self.outgoing_votes: list[ZoneVote] = []  # not yet taken
+        self._backoffs: dict[int, TrialBackoff] = {}  # of the zones that this router avoids by itself
 
     def set_servers(self, servers: Iterable[tuple[int, int]]) -> None:
-        """Take in zone and number of each server that is ready; what others owe tells nothing of their zone."""
-        self.server_counts, listed = {}, {*servers}
-        for zone, _ in listed:
-            self.server_counts[zone] = self.server_counts.get(zone, 0) + 1
-        for zone, seen in self.evidence.items():
-            seen.retain_servers({server for where, server in listed if where == zone})
-
-    def on_response(self, now: float, zone: int, server: int, elapsed: float) -> None:
-        """Take in a word from a server of a zone."""
-        self._of(zone).on_response(now, server, elapsed)
-        if self._shut.pop(zone, None) is not None or self._is_lost(zone):
-            self._say(now, zone)  # while it is only in question, the tick does
-
-    def on_outcome(self, now: float, zone: int, server: int, result: AttemptResult, sent_at: float) -> None:
-        """Take in how an attempt ended."""
-        if result in SILENT:
-            self.on_no_response(now, zone, server, sent_at)
-        elif result not in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
-            self.on_response(now, zone, server, now - sent_at)
-        else:
-            self._of(zone).pending_since.pop(server, None)
+        """Set the servers that are ready, as zone and number; evidence about any other one is dropped."""
+        by_zone: dict[int, set[int]] = {}
+        for zone, server in servers:
+            by_zone.setdefault(zone, set()).add(server)
+        self.server_counts = {zone: len(numbers) for zone, numbers in by_zone.items()}
+        for zone, evidence in self.evidence.items():
+            evidence.retain_servers(by_zone.get(zone, set()))
 
-    def on_no_response(self, now: float, zone: int, server: int, sent_at: float) -> None:
-        """Take in that what was sent to a server then stayed without an answer or found no connection."""
-        self._of(zone).on_no_response(server, sent_at)
-        self._look(now, zone)
+    def set_members(self, members: Iterable[int]) -> None:
+        """Set the routers that are alive."""
+        self.plan.set_members(members)
 
-    def _look(self, now: float, zone: int) -> None:
-        if self._of(zone).is_lost(self.server_counts.get(zone, 0)):
-            self._shut.setdefault(zone, (now + TRY_EVERY, TRY_EVERY))
-            self._say(now, zone)
-
-    def _of(self, zone: int) -> ZoneEvidence:
-        return self.evidence.setdefault(zone, ZoneEvidence())
+    # requests
 
     def is_open(self, now: float, zone: int, key: int) -> bool:
-        """Tell whether a request for a key (a 64-bit hash) may go to a zone now, be it to find out if it is back.
+        """Tell whether a request for a key (a 64-bit hash) may go to a zone now, be it as a trial.
 
-        Where all zones would be left alone none is: then it is we who see nothing, or nothing is better than the rest.
-        What operators close stays closed all the same.
+        If no zone may serve the key, all but the drained ones may: either this router itself is cut off, or no zone is
+        better than the rest.
         """
         if zone in self.drained:
             return False
-        return self._may(now, zone, key) or not any(self._may(now, other, key) for other in self.server_counts)
-
-    def extra_latency(self, here: int, there: int) -> float:
-        """Return the ms that a request takes longer for leaving the region."""
-        return self.region_round_trip_ms if self.topology.step(here, there) > 1 else 0.0
+        return self._allows(now, zone, key) or not any(self._allows(now, other, key) for other in self.server_counts)
 
-    def _may(self, now: float, zone: int, key: int) -> bool:
+    def _allows(self, now: float, zone: int, key: int) -> bool:
         if zone in self.drained:
             return False
-        if self._is_lost(zone) and self.plan.router_index not in self.plan.witnesses(zone):
-            return False  # the witnesses find out for all
-        if zone in self._shut:
-            return now >= self._shut[zone][0]
-        return self._is_lost(zone) or self.plan.is_open(now, zone, key)
+        is_lost = self.plan.is_lost(zone)
+        if is_lost and not self.plan.is_witness(zone):
+            return False
+        backoff = self._backoffs.get(zone)
+        if backoff is not None:
+            return now >= backoff.next_trial_at
+        return is_lost or self.plan.is_open(now, zone, key)
 
-    def _is_lost(self, zone: int) -> bool:
-        plan = self.plan.zones.get(zone)
-        return plan is not None and plan.lost
+    def extra_latency(self, source: int, target: int) -> float:
+        """Return the ms that a request takes longer because it leaves the region."""
+        if self.topology.distance(source, target) == Distance.OTHER_REGION:
+            return self.region_round_trip_ms
+        return 0.0
 
     def on_sent(self, now: float, zone: int, server: int) -> None:
-        """Take in that a request goes to a server: if its zone is left alone, the next one waits for longer."""
-        self._of(zone).on_sent(now, server)
-        if zone in self._shut or self._is_lost(zone):
-            _, pause = self._shut.get(zone, (now, TRY_EVERY))
-            self._shut[zone] = (now + pause, min(MOST_TRY, 2 * pause))
-
-    # what is told and heard
-
-    def _say(self, now: float, zone: int) -> None:
-        seen = self._of(zone)
-        says: ZoneStatus | None = ZoneStatus.LOST
-        if not seen.is_lost(self.server_counts.get(zone, 0)):  # what was heard before it was called lost is old
-            says = (
-                ZoneStatus.HEALTHY
-                if seen.last_response_at > max(now - FRESH, self.plan.lost_since(now, zone))
-                else None
-            )
-        if (word := self.plan.cast_vote(now, zone, says)) is not None:
-            self.outgoing_votes.append(word)
-        was_lost = self._is_lost(zone)
-        self.plan.update_zone(now, zone)
-        if was_lost and not self._is_lost(zone) and zone in self._shut:
-            self._shut[zone] = (now, TRY_EVERY)  # the others hear it again: see for ourselves
+        """Record a request to a server; if its zone is closed, this is a trial and the next one waits longer."""
+        self._evidence_of(zone).on_sent(now, server)
+        if zone in self._backoffs or self.plan.is_lost(zone):
+            delay = self._backoffs[zone].delay if zone in self._backoffs else FIRST_TRIAL_DELAY
+            self._backoffs[zone] = TrialBackoff(now + delay, min(MAX_TRIAL_DELAY, 2 * delay))
 
-    def receive_votes(self, now: float, words: Iterable[ZoneVote]) -> None:
-        """Take in the words of another router, and say what we see of the same zones."""
-        for word in words:
-            if self.plan.receive_vote(now, word):
-                self._say(now, word.zone)
+    def on_outcome(self, now: float, zone: int, server: int, result: AttemptResult, sent_at: float) -> None:
+        """Record how an attempt that was sent at that time has ended."""
+        if result in NO_RESPONSE:
+            self.on_no_response(now, zone, server, sent_at)
+        elif result in NO_EVIDENCE:
+            self._evidence_of(zone).on_abandoned(server)
+        else:
+            self.on_response(now, zone, server, now - sent_at)
 
-    def tick(self, now: float) -> None:
-        """Do what time brings, a few times a second: words run out, and are told again while a zone is in question."""
-        for zone, seen in self.evidence.items():
-            seen.expire_pending(now)
-            self._look(now, zone)
-        for zone in {zone for zone, _ in self.plan.votes} | set(self.plan.zones) | set(self._shut):
-            self._say(now, zone)
+    def on_response(self, now: float, zone: int, server: int, elapsed: float) -> None:
+        """Record a response of any kind from a server, and the ms that it took."""
+        self._evidence_of(zone).on_response(now, server, elapsed)
+        was_avoided = self._backoffs.pop(zone, None) is not None
+        if was_avoided or self.plan.is_lost(zone):  # a zone that is merely contested is left to the tick
+            self._vote(now, zone)
 
-    def set_members(self, members: Iterable[int]) -> None:
-        """Take in which routers live."""
-        self.plan.set_members(members)
+    def on_no_response(self, now: float, zone: int, server: int, sent_at: float) -> None:
+        """Record that a request sent at that time got no response, or found no connection."""
+        self._evidence_of(zone).on_no_response(server, sent_at)
+        self._avoid_if_lost(now, zone)
 
-    def take_changes(self) -> list[Change]:
-        """Return what has changed in the plan since it was asked last."""
-        done, self.plan.changes = self.plan.changes, []
-        return done
+    def _evidence_of(self, zone: int) -> ZoneEvidence:
+        return self.evidence.setdefault(zone, ZoneEvidence())
+
+    def _is_observed_lost(self, zone: int) -> bool:
+        return self._evidence_of(zone).is_lost(self.server_counts.get(zone, 0))
+
+    def _avoid_if_lost(self, now: float, zone: int) -> None:
+        if self._is_observed_lost(zone):
+            self._backoffs.setdefault(zone, TrialBackoff(now + FIRST_TRIAL_DELAY, FIRST_TRIAL_DELAY))
+            self._vote(now, zone)
+
+    # votes
 
-    def closed_shares(self, now: float) -> dict[int, float]:
-        """Return for each zone that is not wholly open the share of keys that it may have."""
-        shares = {zone: plan.open_share(now) for zone, plan in self.plan.zones.items()}
-        shares.update(dict.fromkeys((*self._shut, *self.drained), 0.0))
+    def receive_votes(self, now: float, votes: Iterable[ZoneVote]) -> None:
+        """Merge the votes of another router, and vote on the same zones."""
+        for vote in votes:
+            if self.plan.receive_vote(now, vote):
+                self._vote(now, vote.zone)
+
+    def tick(self, now: float) -> None:
+        """Expire pending requests and votes, and repeat the votes on contested zones; call it every 100 ms or so."""
+        for zone, evidence in self.evidence.items():
+            evidence.expire_pending(now)
+            self._avoid_if_lost(now, zone)
+        for zone in self.plan.votes.zones() | set(self.plan.zones) | set(self._backoffs):
+            self._vote(now, zone)
+
+    def take_outgoing_votes(self) -> list[ZoneVote]:
+        """Return the votes to be sent to all other routers that were cast since the last call."""
+        votes, self.outgoing_votes = self.outgoing_votes, []
+        return votes
+
+    def take_changes(self) -> list[PlanChange]:
+        """Return the changes of the plan since the last call."""
+        return self.plan.take_changes()
+
+    def open_shares(self, now: float) -> dict[int, float]:
+        """Return the share of the keys that a zone may serve, for each zone that is not fully open."""
+        shares = {zone: state.open_share(now) for zone, state in self.plan.zones.items()}
+        shares.update(dict.fromkeys((*self._backoffs, *self.drained), 0.0))
         return {zone: share for zone, share in shares.items() if share < 1}
+
+    def _observed_status(self, now: float, zone: int) -> ZoneStatus | None:
+        if self._is_observed_lost(zone):
+            return ZoneStatus.LOST
+        # A response from before the first vote for a loss says nothing against it.
+        outdated = max(now - RESPONSE_LIFETIME, self.plan.lost_since(now, zone))
+        return ZoneStatus.HEALTHY if self._evidence_of(zone).last_response_at > outdated else None
+
+    def _vote(self, now: float, zone: int) -> None:
+        vote = self.plan.cast_vote(now, zone, self._observed_status(now, zone))
+        if vote is not None:
+            self.outgoing_votes.append(vote)
+        was_lost = self.plan.is_lost(zone)
+        self.plan.update_zone(now, zone)
+        if was_lost and not self.plan.is_lost(zone) and zone in self._backoffs:
+            self._backoffs[zone] = TrialBackoff(now, FIRST_TRIAL_DELAY)  # others reach it again: try at once
--- a/starlingthread/membership/__init__.py
+++ b/starlingthread/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Which routers live, as far as they tell one another. No I/O, no clock; docs/design/membership.md."""
+"""SWIM membership: which routers are alive. No I/O, no clock: times are passed in, in ms.
+
+The design is in docs/design/membership.md.
+"""
--- a/starlingthread/membership/swim.py
+++ b/starlingthread/membership/swim.py
@@ -1,13 +1,13 @@
-"""Who is alive, by probing: SWIM (Das, Gupta, Motivala 2002) with the local health of Lifeguard (Dadgar et al. 2018).
+"""Failure detection by probing: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar et al. 2018).
 
-Each period a member pings another, drawn in rounds so that all have their turn. If no answer comes in time, some others
-are asked to ping it; if none of them hears it either, it is suspected, and told so on the next occasion. A member that
-hears that it is suspected raises its incarnation, which refutes it. One that stays suspected is held to be dead. News
-rides on the datagrams that go anyway, the least told first.
+Each period a member pings another one. If no ack comes in time it sends ping requests to some others; if none of them
+reaches the target either, the target is suspected. A member that learns that it is suspected refutes the suspicion by a
+higher incarnation; one that does not within the suspicion time-out is declared dead. Updates are piggybacked on the
+datagrams of the protocol.
 
-A member that stood still doubts itself and not the others: what ran out while it did counts for nothing, and while its
-own answers are late it waits longer. The dead are pinged now and then too, so that the halves of a split fleet find
-each other again; the news that they are dead goes with it, and they refute it.
+A member that stalled blames itself and not the others: time-outs that passed meanwhile do not count, and while its own
+probes fail for local reasons it extends its time-outs. Dead members are probed now and then, so that the halves of a
+partition find each other again; the probe carries the update that they are dead, which they refute.
 
 Times are ms.
 """
@@ -15,271 +15,256 @@
 from __future__ import annotations
 
 import math
+from collections import Counter
 from collections.abc import Callable
 from random import Random
 from typing import NamedTuple
 
-from .wire import MAX_INCARNATION, MOST_NEWS, VERSION, Kind, Message, News, State, WireError, decode, encode
+from .codec import decode, encode
+from .datagram import DatagramError, RejectReason
+from .local_health import LocalHealth
+from .members import MemberRecord, ProbeSchedule, StateChange
+from .messages import MAX_INCARNATION, MemberState, MemberUpdate, Message, MessageKind
+from .update_queue import UpdateQueue
 
-PERIOD = 1000.0  # between two probes of this member
-ANSWER = 0.3  # of the period, for a direct answer; the rest is for the indirect ones
-HELPERS = 3  # members that are asked to ping for us
-SUSPECTED = 4.0  # periods, times the log10 of the members, before a suspicion becomes a death
-TOLD = 3.0  # times the log2 of the members that a piece of news is told
-DEAD_EVERY = 8  # periods between pings of the dead
-STOOD_STILL = 0.5  # of a period by which a tick is late: we stood still
-AHEAD = 3600.0  # s by which an incarnation may be ahead of our clock: it begins with the time, and rises by one
-MOST_HELPED = 64  # pings for others whose answers are waited for
-MOST_DOUBT = 8  # of ourselves; periods and waits are so many times longer, plus one
-
-
-class Change(NamedTuple):
-    """A belief has changed."""
-
-    at: float
-    member: int
-    state: State
-
-
-class Known:
-    """What is believed of one member."""
-
-    __slots__ = ("incarnation", "since", "state")
-
-    def __init__(self) -> None:
-        self.state, self.incarnation, self.since = State.ALIVE, 0, 0.0
+DEFAULT_PERIOD = 1000.0  # ms between two probes of one member
+DIRECT_ACK_SHARE = 0.3  # of the period, for a direct ack; the rest is for the indirect ones
+INDIRECT_PROBES = 3  # members that receive a ping request, or the notice that this one leaves
+SUSPICION_FACTOR = 4.0  # suspicion time-out in periods, times the log10 of the members
+STALL_SHARE = 0.5  # of a period; a tick that is later by more shows that this process stalled
+MAX_INCARNATION_AHEAD = 3600.0  # s ahead of our clock: an incarnation starts as the Unix time and rises by one
+MAX_RELAYED_PINGS = 64  # pings on behalf of others whose acks are awaited
 
 
 class Probe:
-    """The probe that is out."""
+    """The probe of the current period."""
 
-    __slots__ = ("asked", "heard", "number", "sent_at", "target")
+    __slots__ = ("indirect_probes", "request_acks", "sent_at", "sequence", "target")
 
-    def __init__(self, target: int, number: int, sent_at: float) -> None:
-        self.target, self.number, self.sent_at = target, number, sent_at
-        self.asked = -1  # how many others were asked to ping it; -1: not yet
-        self.heard = 0  # of those that told us at least that they hear us
+    def __init__(self, target: int, sequence: int, sent_at: float) -> None:
+        self.target = target
+        self.sequence = sequence
+        self.sent_at = sent_at
+        self.indirect_probes: int | None = None  # ping requests sent; None until the direct ack is overdue
+        self.request_acks = 0  # ping requests that were acknowledged: proof that this member's link works
 
 
-def wins(new: News, state: State, incarnation: int) -> bool:
-    """Tell whether a piece of news goes over a belief: by incarnation, then by the graver state.
+class RelayedPing(NamedTuple):
+    """A ping that another member has requested."""
 
-    An order, so that all who have heard the same believe the same, whatever came first or twice.
-    """
-    return (new.incarnation, new.state) > (incarnation, state)
+    requester: int
+    sequence: int  # of the requester's probe
 
 
 class Membership:
-    """One member's view. Datagrams and times go in, datagrams come out through 'send'."""
+    """One member's view of the fleet. Datagrams and times go in; datagrams go out through the send callback."""
 
     def __init__(
         self,
-        me: int,
-        members: int,
+        own_id: int,
+        member_count: int,
         keys: tuple[bytes, ...],
         seed: int,
         send: Callable[[int, bytes], None],
-        period: float = PERIOD,
+        period: float = DEFAULT_PERIOD,
     ) -> None:
-        self.me, self.members, self.keys, self.period = me, members, keys, period
-        self.rng, self._send = Random(seed), send
-        self.known = [Known() for _ in range(members)]
-        self.changes: list[Change] = []  # taken out by who shows them
-        self.refused: dict[str, int] = {}  # datagrams that changed nothing, by why
-        self.doubt = 0  # of ourselves
-        self._told: dict[int, int] = {}  # how often each member's present news was told
-        self._round: list[int] = []
+        """keys: the first one seals, all of them open; send: called with a member and a datagram; period: ms."""
+        self.own_id = own_id
+        self.member_count = member_count
+        self.keys = keys
+        self.period = period
+        self.records = [MemberRecord() for _ in range(member_count)]
+        self.changes: list[StateChange] = []  # not yet taken
+        self.rejected: Counter[RejectReason] = Counter()  # datagrams or updates that changed nothing
+        self.local_health = LocalHealth()
+        self.next_tick_at = math.inf
+        self._send_datagram = send
+        self._rng = Random(seed)
+        self._updates = UpdateQueue(member_count)
+        self._schedule = ProbeSchedule(own_id, self._rng)
         self._probe: Probe | None = None
-        self._for: dict[int, tuple[int, int]] = {}  # pings that we send for others: number, to whom and which
-        self._number = self.rng.randrange(1 << 31)
-        self._turn = 0
-        self.due = math.inf  # when to call tick
-
-    # views
+        self._relayed_pings: dict[int, RelayedPing] = {}  # by the sequence number of our ping, the oldest first
+        self._sequence = self._rng.randrange(1 << 31)
 
-    def alive(self) -> list[int]:
-        """Return the members that are not held to be dead, ourselves among them."""
-        return [n for n, known in enumerate(self.known) if known.state != State.DEAD]
+    def alive_members(self) -> list[int]:
+        """Return the members that are not believed dead, this one included."""
+        return [number for number, record in enumerate(self.records) if record.state != MemberState.DEAD]
 
-    # time
+    def take_changes(self) -> list[StateChange]:
+        """Return the state changes since the last call."""
+        changes, self.changes = self.changes, []
+        return changes
 
     def start(self, now: float) -> None:
-        """Begin, at a moment of our own within the first period, with an incarnation above any that we had before.
+        """Join, with the first probe at a random time within the first period.
 
-        now: ms of the wall clock; a member that starts anew in the same second refutes what is told of the old one.
+        now: ms of the wall clock. It gives an incarnation above any earlier one; a member that restarts within the
+        same second refutes what is gossiped of its predecessor.
         """
-        self.known[self.me].incarnation = min(MAX_INCARNATION, int(now / 1000.0) & MAX_INCARNATION)
-        self._told[self.me] = 0
-        self.due = now + self.rng.uniform(0.0, self.period)
+        self.records[self.own_id].incarnation = min(MAX_INCARNATION, int(now / 1000.0) & MAX_INCARNATION)
+        self._updates.enqueue(self.own_id)
+        self.next_tick_at = now + self._rng.uniform(0.0, self.period)
 
     def leave(self) -> None:
-        """Tell some others that we end, so that they need not find out."""
-        self.known[self.me].state, self._told[self.me] = State.DEAD, 0
-        others = [n for n in self.alive() if n != self.me]
-        for other in self.rng.sample(others, min(HELPERS, len(others))):
-            self._tell(other, Kind.ASKED, 0)
+        """Announce a graceful shutdown to some others, so that nobody has to detect it."""
+        self.records[self.own_id].state = MemberState.DEAD
+        self._updates.enqueue(self.own_id)
+        others = [number for number in self.alive_members() if number != self.own_id]
+        for other in self._rng.sample(others, min(INDIRECT_PROBES, len(others))):
+            self._send(other, MessageKind.PING_REQUEST_ACK, 0)
+
+    # timers
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        if now < self.due:
+        """Handle the time-out of the current probe and start the next one, if next_tick_at has come."""
+        if now < self.next_tick_at:
             return
-        if now - self.due > STOOD_STILL * self.period:
-            self._stood_still(now)
+        if now - self.next_tick_at > STALL_SHARE * self.period:
+            self._on_stall(now)
         probe = self._probe
-        if probe is not None and probe.asked < 0 and self.known[probe.target].state != State.DEAD:
-            self._ask_others(probe)
-            return
         if probe is not None:
-            self._missed(now, probe)
-        self._bury(now)
-        self._next(now)
-
-    def _stood_still(self, now: float) -> None:
-        """What ran out meanwhile says nothing of the others."""
-        self.doubt = min(MOST_DOUBT, self.doubt + 1)
+            if probe.indirect_probes is None and self.records[probe.target].state != MemberState.DEAD:
+                self._send_ping_requests(probe)
+                return
+            self._on_probe_timeout(now, probe)
+        self._expire_suspicions(now)
+        self._start_probe(now)
+
+    def _on_stall(self, now: float) -> None:
+        """Restart all time-outs: those that passed while this process stalled say nothing of the others."""
+        self.local_health.degrade()
         self._probe = None
-        for known in self.known:
-            if known.state == State.SUSPECT:
-                known.since = now
-
-    def _wait(self) -> float:
-        return 1.0 + self.doubt
+        for record in self.records:
+            if record.state == MemberState.SUSPECT:
+                record.state_since = now
 
-    def _next(self, now: float) -> None:
-        self._turn += 1
-        target = self._drawn()
+    def _start_probe(self, now: float) -> None:
+        target = self._schedule.next_target(self.records)
         if target is None:
-            self.due = now + self.period
+            self.next_tick_at = now + self.period
             return
-        self._number += 1
-        self._probe = Probe(target, self._number, now)
-        self._tell(target, Kind.PING, self._number)
-        self.due = now + ANSWER * self.period * self._wait()
-
-    def _drawn(self) -> int | None:
-        """Return whom to ping: the living in rounds, now and then one of the dead."""
-        dead = [n for n, known in enumerate(self.known) if known.state == State.DEAD and n != self.me]
-        if dead and self._turn % DEAD_EVERY == 0:
-            return self.rng.choice(dead)
-        while self._round:
-            target = self._round.pop()
-            if self.known[target].state != State.DEAD:
-                return target
-        self._round = [n for n in self.alive() if n != self.me]
-        self.rng.shuffle(self._round)
-        return self._round.pop() if self._round else (self.rng.choice(dead) if dead else None)
-
-    def _ask_others(self, probe: Probe) -> None:
-        others = [
-            n for n, known in enumerate(self.known) if known.state == State.ALIVE and n not in (self.me, probe.target)
+        self._sequence += 1
+        self._probe = Probe(target, self._sequence, now)
+        self._send(target, MessageKind.PING, self._sequence)
+        self.next_tick_at = now + DIRECT_ACK_SHARE * self.period * self.local_health.multiplier
+
+    def _send_ping_requests(self, probe: Probe) -> None:
+        candidates = [
+            number
+            for number, record in enumerate(self.records)
+            if record.state == MemberState.ALIVE and number not in (self.own_id, probe.target)
         ]
-        helpers = self.rng.sample(others, min(HELPERS, len(others)))
-        probe.asked = len(helpers)
+        helpers = self._rng.sample(candidates, min(INDIRECT_PROBES, len(candidates)))
+        probe.indirect_probes = len(helpers)
         for helper in helpers:
-            self._tell(helper, Kind.ASK, probe.number, probe.target)
-        self.due = probe.sent_at + self.period * self._wait()
+            self._send(helper, MessageKind.PING_REQUEST, probe.sequence, probe.target)
+        self.next_tick_at = self._period_end(probe)
 
-    def _missed(self, now: float, probe: Probe) -> None:
+    def _period_end(self, probe: Probe) -> float:
+        return probe.sent_at + self.period * self.local_health.multiplier
+
+    def _on_probe_timeout(self, now: float, probe: Probe) -> None:
         self._probe = None
-        known = self.known[probe.target]
-        if probe.asked > 0 and not probe.heard:
-            self.doubt = min(MOST_DOUBT, self.doubt + 1)  # nobody hears us: so it says nothing of the target
-        elif known.state == State.ALIVE:
-            self._believe(now, News(probe.target, State.SUSPECT, known.incarnation))
-
-    def _bury(self, now: float) -> None:
-        patience = SUSPECTED * max(1.0, math.log10(self.members)) * self.period * self._wait()
-        for number, known in enumerate(self.known):
-            if known.state == State.SUSPECT and now - known.since > patience:
-                self._believe(now, News(number, State.DEAD, known.incarnation))
+        record = self.records[probe.target]
+        if probe.indirect_probes and not probe.request_acks:
+            self.local_health.degrade()  # no helper was reached either: the fault is likely here
+        elif record.state == MemberState.ALIVE:
+            self._merge(now, MemberUpdate(probe.target, MemberState.SUSPECT, record.incarnation))
+
+    def _expire_suspicions(self, now: float) -> None:
+        periods = SUSPICION_FACTOR * max(1.0, math.log10(self.member_count))
+        timeout = periods * self.period * self.local_health.multiplier
+        for number, record in enumerate(self.records):
+            if record.state == MemberState.SUSPECT and now - record.state_since > timeout:
+                self._merge(now, MemberUpdate(number, MemberState.DEAD, record.incarnation))
 
     # datagrams
 
-    @staticmethod
-    def is_meant(data: bytes) -> bool:
-        """Tell whether a datagram is of this kind, good or not; others go elsewhere."""
-        return data[:1] == VERSION.to_bytes()
-
     def receive(self, now: float, sender: int, data: bytes) -> None:
-        """Take in a datagram that came from a member's address; one that is no good is counted and changes nothing."""
+        """Handle a datagram from a member's address; an invalid one is counted in `rejected` and changes nothing."""
         try:
-            message = decode(data, self.keys, self.members)
-            if message.sender != sender or sender == self.me:
-                raise WireError("sender")
-        except WireError as error:
-            why = str(error)
-            self.refused[why] = self.refused.get(why, 0) + 1
+            message = decode(data, self.keys, self.member_count)
+            if message.sender != sender or sender == self.own_id:
+                raise DatagramError(RejectReason.SENDER)
+        except DatagramError as error:
+            self.rejected[error.reason] += 1
             return
-        for piece in message.news:
-            if piece.incarnation > now / 1000.0 + AHEAD:
-                self.refused["incarnation"] = self.refused.get("incarnation", 0) + 1
+        for update in message.updates:
+            if update.incarnation > now / 1000.0 + MAX_INCARNATION_AHEAD:
+                self.rejected[RejectReason.INCARNATION] += 1
             else:
-                self._believe(now, piece)
-        if self.known[sender].state != State.ALIVE:
-            self._told[sender] = 0  # it should hear that, and refute it
-        if message.kind == Kind.PING:
-            self._tell(sender, Kind.ACK, message.number)
-        elif message.kind == Kind.ASK:
-            self._help(sender, message)
-        elif message.kind == Kind.ACK and message.number in self._for:
-            requester, number = self._for.pop(message.number)
-            self._tell(requester, Kind.HEARD, number, sender)
-        elif (probe := self._probe) is None or message.number != probe.number:
-            return  # an answer that comes too late
-        elif message.kind == Kind.ASKED:
-            probe.heard += 1
-        elif probe.target == (sender if message.kind == Kind.ACK else message.subject):
+                self._merge(now, update)
+        if self.records[sender].state != MemberState.ALIVE:
+            self._updates.enqueue(sender)  # it is to learn that, and to refute it
+        self._dispatch(now, message)
+
+    def _dispatch(self, now: float, message: Message) -> None:
+        if message.kind == MessageKind.PING:
+            self._send(message.sender, MessageKind.ACK, message.sequence)
+        elif message.kind == MessageKind.PING_REQUEST:
+            self._relay_ping(message)
+        elif message.kind == MessageKind.ACK and message.sequence in self._relayed_pings:
+            relayed = self._relayed_pings.pop(message.sequence)
+            self._send(relayed.requester, MessageKind.INDIRECT_ACK, relayed.sequence, message.sender)
+        elif self._probe is not None and message.sequence == self._probe.sequence:
+            self._on_probe_reply(now, self._probe, message)
+
+    def _on_probe_reply(self, now: float, probe: Probe, message: Message) -> None:
+        if message.kind == MessageKind.PING_REQUEST_ACK:
+            probe.request_acks += 1
+            return
+        answered_by = message.sender if message.kind == MessageKind.ACK else message.subject
+        if answered_by == probe.target:
             self._probe = None
-            self.doubt = max(0, self.doubt - 1)
-            self.due = max(now, probe.sent_at + self.period * self._wait())
-
-    def _help(self, requester: int, message: Message) -> None:
-        """Ping a member for another one."""
-        if message.subject in (self.me, requester):
-            return  # nobody asks that
-        if len(self._for) >= MOST_HELPED:
-            del self._for[next(iter(self._for))]  # the oldest: its answer comes no more
-        self._number += 1
-        self._for[self._number] = (requester, message.number)
-        self._tell(requester, Kind.ASKED, message.number)
-        self._tell(message.subject, Kind.PING, self._number)
-
-    def _tell(self, to: int, kind: Kind, number: int, subject: int = 0) -> None:
-        self._send(to, encode(Message(kind, self.me, number & 0xFFFFFFFF, subject, self._news(to)), self.keys[0]))
-
-    def _enough(self) -> float:
-        """Return how often a piece of news is told."""
-        return TOLD * max(1.0, math.log2(self.members))
-
-    def _news(self, to: int) -> tuple[News, ...]:
-        """Return what to tell with a datagram: of the receiver what it must refute, else the least told."""
-        most = self._enough()
-        told = sorted((times, member) for member, times in self._told.items() if times < most)
-        chosen = [member for _, member in told[:MOST_NEWS]]
-        if self.known[to].state != State.ALIVE and to not in chosen:
-            chosen = [to, *chosen[: MOST_NEWS - 1]]
-        for member in chosen:
-            self._told[member] = self._told.get(member, 0) + 1
-        self._told = {member: times for member, times in self._told.items() if times < most}
-        return tuple(News(m, self.known[m].state, self.known[m].incarnation) for m in chosen)
+            self.local_health.recover()
+            self.next_tick_at = max(now, self._period_end(probe))
+
+    def _relay_ping(self, request: Message) -> None:
+        """Ping a member on behalf of another one."""
+        if request.subject in (self.own_id, request.sender):
+            return  # a correct member never requests that
+        if len(self._relayed_pings) >= MAX_RELAYED_PINGS:
+            del self._relayed_pings[next(iter(self._relayed_pings))]  # the oldest one: its ack is overdue
+        self._sequence += 1
+        self._relayed_pings[self._sequence] = RelayedPing(request.sender, request.sequence)
+        self._send(request.sender, MessageKind.PING_REQUEST_ACK, request.sequence)
+        self._send(request.subject, MessageKind.PING, self._sequence)
+
+    def _send(self, receiver: int, kind: MessageKind, sequence: int, subject: int = 0) -> None:
+        is_alive = self.records[receiver].state == MemberState.ALIVE
+        # A receiver that is suspected or dead is told so with each message, so that it can refute it.
+        updates = tuple(
+            MemberUpdate(number, self.records[number].state, self.records[number].incarnation)
+            for number in self._updates.dequeue(required=None if is_alive else receiver)
+        )
+        message = Message(kind, self.own_id, sequence, subject, updates)
+        self._send_datagram(receiver, encode(message, self.keys[0]))
 
     # beliefs
 
-    def _believe(self, now: float, piece: News) -> None:
-        known = self.known[piece.member]
-        if piece.member == self.me:
-            if piece.state != State.ALIVE:
-                if piece.incarnation >= known.incarnation:
-                    known.incarnation = min(MAX_INCARNATION, piece.incarnation + 1)  # we live
-                    self.doubt = min(MOST_DOUBT, self.doubt + 1)
-                self._told[self.me] = 0
+    def _merge(self, now: float, update: MemberUpdate) -> None:
+        """Merge an update into the beliefs, and queue what others still have to learn."""
+        if update.member == self.own_id:
+            self._refute(update)
+            return
+        record = self.records[update.member]
+        if not record.is_superseded_by(update):
+            if (update.state, update.incarnation) != (record.state, record.incarnation):
+                self._updates.enqueue_once(update.member)  # the sender's belief is stale
             return
-        if not wins(piece, known.state, known.incarnation):
-            if (piece.state, piece.incarnation) != (known.state, known.incarnation):
-                self._told.setdefault(piece.member, int(self._enough()) - 1)  # once more: some have not heard
+        if update.state != record.state:
+            self.changes.append(StateChange(update.member, update.state))
+            record.state_since = now
+        record.state = update.state
+        record.incarnation = update.incarnation
+        self._updates.enqueue(update.member)
+
+    def _refute(self, update: MemberUpdate) -> None:
+        """Answer an update that calls this member suspect or dead by a higher incarnation."""
+        if update.state == MemberState.ALIVE:
             return
-        if piece.state != known.state:
-            self.changes.append(Change(now, piece.member, piece.state))
-            known.since = now
-        known.state, known.incarnation = piece.state, piece.incarnation
-        self._told[piece.member] = 0
+        own = self.records[self.own_id]
+        if update.incarnation >= own.incarnation:
+            own.incarnation = min(MAX_INCARNATION, update.incarnation + 1)
+            self.local_health.degrade()
+        self._updates.enqueue(self.own_id)
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -1,131 +1,160 @@
-"""The failover's side of the router: its datagrams, its timer, and a line in the log at each change of the plan."""
+"""The actor of the zone failover: its datagrams, timer and settings, and a log line for each change of the plan."""
 
 from __future__ import annotations
 
+from collections import Counter
 from typing import TYPE_CHECKING
 
-from ..core.deadlines import Deadline
 from ..core.router import Router
 from ..logs import log
 from ..options import Failover, Members
-from .members import BadKeyError, MemberActor, read_keys
+from .members import MemberActor
+from .peer_keys import PeerKeyError, read_peer_keys
 from .peers import PeerActor
+from .timer import Timer
 
-if TYPE_CHECKING:  # else only once it is on: who does without it pays nothing for it
+if TYPE_CHECKING:  # imported at run time only once the failover is enabled, so that it costs nothing otherwise
+    from ..failover.plan import PlanChange
     from ..failover.zones import ZoneFailover
+    from ..membership.datagram import RejectReason
 
-VERSION = 0xA2  # first byte of its datagrams, as in failover/wire.py
-TICK = 100.0  # ms
+VERSION = 0xA2  # first byte of the failover's datagrams, as in failover/codec.py
+TICK_INTERVAL = 100.0  # ms
 
 
 class FailoverActor:
-    """Owns what the module knows of zones while the operator's file has it on."""
+    """Owns the zone failover of the decision module while it is enabled in the operator's file."""
 
-    def __init__(self, router: Router, peers: PeerActor, members: MemberActor, me: int) -> None:
-        self.router, self.peers, self.members, self.me = router, peers, members, me
+    def __init__(self, router: Router, peers: PeerActor, members: MemberActor, router_index: int) -> None:
+        self.router = router
+        self.peers = peers
+        self.members = members
+        self.router_index = router_index
         self.zones: ZoneFailover | None = None
-        self.refused: dict[str, int] = {}  # datagrams that changed nothing, by why
+        self.rejected: Counter[RejectReason] = Counter()  # datagrams that changed nothing
         self._keys: tuple[bytes, ...] = ()
-        self._names: tuple[str, ...] = ()
-        self._tells = False
-        self._due: Deadline | None = None
+        self._zone_names: tuple[str, ...] = ()
+        self._exchanges_votes = False
+        self._timer = Timer(router.deadlines, self._tick)
 
-    def apply_settings(self, own: Failover, members: Members, names: tuple[str, ...], allowed: bool) -> None:
-        """Turn it on or off, or go over to other regions or keys; what is no good leaves all as it was.
+    def apply_settings(self, options: Failover, members: Members, zone_names: tuple[str, ...], allowed: bool) -> None:
+        """Start, stop or reconfigure the failover; with invalid options everything stays as it was.
 
-        names: all zones that the configuration names; allowed: whether routers may send messages to one another.
+        zone_names: all zones of the configuration; allowed: whether the platform permits messages between routers.
         """
-        if not own.enabled:
+        if not options.enabled:
             self.stop()
             return
         from ..failover.topology import Topology, TopologyError
-        from ..failover.zones import ZoneFailover
 
         try:
-            topology, keys = Topology(names, own.regions), read_keys(members)
-            if unknown := sorted(set(own.drained_zones) - set(names)):
-                raise TopologyError(f"closed: no zone {unknown[0]!r} in the configuration")
-        except (TopologyError, BadKeyError) as error:
+            topology = Topology(zone_names, options.regions)
+            keys = read_peer_keys(members)
+            _check_drained_zones(options, zone_names)
+        except (TopologyError, PeerKeyError) as error:
             log.error("failover-failed", why=str(error))
             return
-        if topology.unknown:
-            log.warning("failover-unknown-zones", zones=",".join(topology.unknown))
-        self._tells, self._keys, self._names = allowed and len(self.peers.peers) > 1, keys, names
-        if not self._tells:
-            log.warning("failover-alone", why="messages between routers are not allowed, or there are no others")
-        if self.zones is None:
-            self.zones = ZoneFailover(self.me, self.members.alive())
-            self.zones.set_servers((s.endpoint.zone, s.endpoint.server) for s in self.router.balancer.fleet.ready)
-            self.members.on_change = self._know
-            self.router.balancer.fleet.zones = self.zones
-            self._set()
-        self.zones.set_members(self.members.alive())
-        self.zones.topology, self.zones.region_round_trip_ms = topology, own.region_round_trip_ms
-        self.zones.drained = frozenset(names.index(zone) for zone in own.drained_zones)
-        if self._tells:
-            self.peers.handlers[VERSION] = self._received
+        if topology.unknown_zones:
+            log.warning("failover-unknown-zones", zones=",".join(topology.unknown_zones))
+        self._keys = keys
+        self._zone_names = zone_names
+        zones = self.zones or self._start()
+        zones.set_members(self.members.alive_members())
+        zones.topology = topology
+        zones.region_round_trip_ms = options.region_round_trip_ms
+        zones.drained = frozenset(zone_names.index(zone) for zone in options.drained_zones)
+        self._set_vote_exchange(allowed and len(self.peers.peers) > 1)
+
+    def _start(self) -> ZoneFailover:
+        from ..failover.zones import ZoneFailover
+
+        fleet = self.router.balancer.fleet
+        self.zones = ZoneFailover(self.router_index, self.members.alive_members())
+        self.zones.set_servers((server.endpoint.zone, server.endpoint.server) for server in fleet.ready)
+        self.members.on_change = self._on_members_changed
+        fleet.zones = self.zones
+        self._restart_timer()
+        return self.zones
+
+    def _set_vote_exchange(self, enabled: bool) -> None:
+        self._exchanges_votes = enabled
+        if enabled:
+            self.peers.handlers[VERSION] = self._on_datagram
         else:
+            log.warning("failover-alone", why="messages between routers are not allowed, or there are no others")
             self.peers.handlers.pop(VERSION, None)
 
     def stop(self) -> None:
-        """Say and hear no more; the module goes on without."""
-        self.router.deadlines.clear(self._due)
+        """Neither send nor receive votes; the decision module goes on without the failover."""
+        self._timer.cancel()
         self.peers.handlers.pop(VERSION, None)
-        self.zones, self.router.balancer.fleet.zones, self._due = None, None, None
+        self.zones = None
+        self.router.balancer.fleet.zones = None
 
     def snapshot(self) -> dict[str, object]:
-        """Return what operators read; nothing while it is off."""
+        """Return the figures for operators; none while the failover is disabled."""
         if self.zones is None:
             return {}
-        shares = self.zones.closed_shares(self.router.clock.now())
+        shares = self.zones.open_shares(self.router.clock.now())
         return {
-            "zones_open": {self._name(zone): round(share, 3) for zone, share in sorted(shares.items())},
-            "failover_refused": sum(self.refused.values()),
+            "zones_open": {self._zone_name(zone): round(share, 3) for zone, share in sorted(shares.items())},
+            "failover_refused": self.rejected.total(),
         }
 
-    def _name(self, zone: int) -> str:
-        return self._names[zone] if 0 <= zone < len(self._names) else str(zone)
+    def _zone_name(self, zone: int) -> str:
+        return self._zone_names[zone] if 0 <= zone < len(self._zone_names) else str(zone)
 
-    def _know(self) -> None:
+    def _on_members_changed(self) -> None:
         if self.zones is not None:
-            self.zones.set_members(self.members.alive())
+            self.zones.set_members(self.members.alive_members())
 
-    def _received(self, sender: int, data: bytes) -> None:
-        from ..failover.wire import decode
-        from ..membership.wire import WireError
+    def _on_datagram(self, sender: int, data: bytes) -> None:
+        from ..failover.codec import decode
+        from ..membership.datagram import DatagramError
 
         if self.zones is None:
             return
         try:
-            words = decode(data, self._keys, sender, len(self._names))
-        except WireError as error:
-            self.refused[str(error)] = self.refused.get(str(error), 0) + 1
+            votes = decode(data, self._keys, sender, len(self._zone_names))
+        except DatagramError as error:
+            self.rejected[error.reason] += 1
             return
-        self.zones.receive_votes(self.router.clock.now(), words)
-        self._tell()
+        self.zones.receive_votes(self.router.clock.now(), votes)
+        self._publish(self.zones)
 
-    def _set(self) -> None:
-        self._due = self.router.deadlines.set(self.router.clock.now() + TICK, self._tick)
+    def _restart_timer(self) -> None:
+        self._timer.restart(self.router.clock.now() + TICK_INTERVAL)
 
     def _tick(self) -> None:
         if self.zones is not None:
             self.zones.tick(self.router.clock.now())
-            self._tell()
-            self._set()
-
-    def _tell(self) -> None:
-        """Tell all others what we have to say, and the log what has changed."""
-        from ..failover.wire import MOST_WORDS, encode
-
-        assert self.zones is not None
-        words, self.zones.outgoing_votes = self.zones.outgoing_votes, []
-        while words and self._tells:
-            self.peers.send(None, encode(self.me, words[:MOST_WORDS], self._keys[0]))
-            words = words[MOST_WORDS:]
-        for change in self.zones.take_changes():
-            log.warning(
-                "zone-lost" if change.lost else "zone-back",
-                zone=self._name(change.zone),
-                lost=change.lost_votes,
-                words=change.votes,
-            )
+            self._publish(self.zones)
+            self._restart_timer()
+
+    def _publish(self, zones: ZoneFailover) -> None:
+        """Send the outgoing votes to all other routers, and log the changes of the plan."""
+        from ..failover.codec import MAX_VOTES, encode
+
+        votes = zones.take_outgoing_votes()
+        if self._exchanges_votes:
+            for start in range(0, len(votes), MAX_VOTES):
+                self.peers.send(None, encode(self.router_index, votes[start : start + MAX_VOTES], self._keys[0]))
+        for change in zones.take_changes():
+            self._log_change(change)
+
+    def _log_change(self, change: PlanChange) -> None:
+        log.warning(
+            "zone-lost" if change.lost else "zone-back",
+            zone=self._zone_name(change.zone),
+            lost=change.lost_votes,
+            words=change.votes,
+        )
+
+
+def _check_drained_zones(options: Failover, zone_names: tuple[str, ...]) -> None:
+    """Raise a TopologyError if the operator's file drains a zone that the configuration does not name."""
+    from ..failover.topology import TopologyError
+
+    unknown = sorted(set(options.drained_zones) - set(zone_names))
+    if unknown:
+        raise TopologyError(f"closed: no zone {unknown[0]!r} in the configuration")
--- a/starlingthread/net/members.py
+++ b/starlingthread/net/members.py
@@ -1,135 +1,129 @@
-"""The membership's side of the router: its datagrams, its timer, and a line in the log at each change."""
+"""The actor of the membership: its datagrams, timer and settings, and a log line for each state change."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ..core.deadlines import Deadline
 from ..core.router import Router
 from ..logs import log
 from ..options import Members
+from .peer_keys import PeerKeyError, read_peer_keys
 from .peers import PeerActor
+from .timer import Timer
 
-if TYPE_CHECKING:  # else only once it is on: who does without it pays nothing for it
+if TYPE_CHECKING:  # imported at run time only once the membership is enabled, so that it costs nothing otherwise
     from ..membership.swim import Membership
 
-VERSION = 0xA1  # first byte of the membership's datagrams, as in membership/wire.py
-LEAST_KEY = 16  # bytes
-MOST_KEY = 64  # bytes, what BLAKE2b takes
-NAMES = ("member-up", "member-suspected", "member-down")  # by membership.wire.State
+VERSION = 0xA1  # first byte of the membership's datagrams, as in membership/codec.py
+LOG_EVENTS = ("member-up", "member-suspected", "member-down")  # by membership.messages.MemberState
 
 
-class BadKeyError(Exception):
-    """A file holds no key; the text says which and why."""
-
+class MemberActor:
+    """Owns the membership while it is enabled in the operator's file."""
 
-def read_keys(own: Members) -> tuple[bytes, ...]:
-    """Return the keys that the operator's file names, the one in use first. Raise a BadKeyError."""
-    keys = []
-    for name in filter(None, (own.key_file, own.old_key_file)):
-        try:
-            key = Path(name).read_bytes().strip()
-        except OSError as error:
-            raise BadKeyError(f"{name}: {error.strerror}") from None
-        if not LEAST_KEY <= len(key) <= MOST_KEY:
-            raise BadKeyError(f"{name}: expected {LEAST_KEY} to {MOST_KEY} bytes, found {len(key)}")
-        keys.append(key)
-    return tuple(keys) or (b"",)
+    def __init__(self, router: Router, peers: PeerActor, router_index: int) -> None:
+        self.router = router
+        self.peers = peers
+        self.router_index = router_index
+        self.membership: Membership | None = None
+        self.on_change: Callable[[], None] = lambda: None  # called when a member's state has changed
+        self._options = Members()
+        self._timer = Timer(router.deadlines, self._tick)
 
+    def alive_members(self) -> list[int]:
+        """Return the routers that are not believed dead; all of them while the membership is disabled."""
+        if self.membership is None:
+            return list(range(len(self.peers.peers)))
+        return self.membership.alive_members()
 
-class MemberActor:
-    """Owns the membership while the operator's file has it on."""
+    def apply_settings(self, options: Members, allowed: bool) -> None:
+        """Start, stop or reconfigure the membership; with an invalid key everything stays as it was.
 
-    def __init__(self, router: Router, peers: PeerActor, me: int) -> None:
-        self.router, self.peers, self.me = router, peers, me
-        self.membership: Membership | None = None
-        self._own = Members()
-        self._due: Deadline | None = None
-        self.on_change: Callable[[], None] = lambda: None  # called when somebody is held dead or alive again
-
-    def alive(self) -> list[int]:
-        """Return the routers that live, as far as we know; all, while the membership is off."""
-        return self.membership.alive() if self.membership is not None else list(range(len(self.peers.peers)))
-
-    def apply_settings(self, own: Members, allowed: bool) -> None:
-        """Turn it on or off, or go over to other keys; a key that is no good leaves all as it was."""
-        count, wanted = len(self.peers.peers), own.enabled
-        if wanted and (not allowed or count < 2):
-            log.warning(
-                "members-off",
-                why="messages between routers are not allowed"
-                if not allowed
-                else "the configuration names no other routers",
-            )
-            wanted = False
+        allowed: whether the platform permits messages between routers.
+        """
+        enabled = options.enabled and self._can_run(allowed)
         try:
-            keys = read_keys(own) if wanted else ()
-        except BadKeyError as error:
+            keys = read_peer_keys(options) if enabled else ()
+        except PeerKeyError as error:
             log.error("members-failed", why=str(error))
             return
-        old, self._own = self._own, own
-        if not wanted:
+        previous, self._options = self._options, options
+        if not enabled:
             self.stop()
-            return
-        from ..membership.swim import Membership
-
-        if self.membership is None or self.membership.members != count or old.period_ms != own.period_ms:
+        elif self.membership is None or self._must_restart(previous):
             self.stop()
-            self.membership = Membership(
-                self.me, count, keys, self.router.balancer.fleet.rng.randrange(1 << 30), self.peers.send, own.period_ms
-            )
-            self.membership.start(self.router.clock.now())
-            self.peers.handlers[VERSION] = self._received
-            self._set()
+            self._start(keys)
         else:
             self.membership.keys = keys
 
+    def _can_run(self, allowed: bool) -> bool:
+        if not allowed:
+            log.warning("members-off", why="messages between routers are not allowed")
+            return False
+        if len(self.peers.peers) < 2:
+            log.warning("members-off", why="the configuration names no other routers")
+            return False
+        return True
+
+    def _must_restart(self, previous: Members) -> bool:
+        assert self.membership is not None
+        return self.membership.member_count != len(self.peers.peers) or previous.period_ms != self._options.period_ms
+
+    def _start(self, keys: tuple[bytes, ...]) -> None:
+        from ..membership.swim import Membership
+
+        self.membership = Membership(
+            self.router_index,
+            len(self.peers.peers),
+            keys,
+            self.router.balancer.fleet.rng.randrange(1 << 30),
+            self.peers.send,
+            self._options.period_ms,
+        )
+        self.membership.start(self.router.clock.now())
+        self.peers.handlers[VERSION] = self._on_datagram
+        self._timer.restart(self.membership.next_tick_at)
+
     def stop(self) -> None:
-        """Tell the others that we go, and say and hear no more."""
+        """Leave the membership: announce it to the others, then neither send nor receive."""
         if self.membership is not None:
             self.membership.leave()
         self.pause()
 
     def pause(self) -> None:
-        """Say and hear no more: another process of ours does."""
-        self.router.deadlines.clear(self._due)
+        """Neither send nor receive, without an announcement: another process takes over the membership."""
+        self._timer.cancel()
         self.peers.handlers.pop(VERSION, None)
-        self.membership, self._due = None, None
+        self.membership = None
 
     def snapshot(self) -> dict[str, object]:
-        """Return what operators read; nothing while it is off."""
+        """Return the figures for operators; none while the membership is disabled."""
         if self.membership is None:
             return {}
         return {
-            "members_alive": len(self.membership.alive()),
-            "members": self.membership.members,
-            "member_doubt": self.membership.doubt,
-            "member_refused": sum(self.membership.refused.values()),
+            "members_alive": len(self.membership.alive_members()),
+            "members": self.membership.member_count,
+            "member_doubt": self.membership.local_health.score,
+            "member_refused": self.membership.rejected.total(),
         }
 
-    def _received(self, sender: int, data: bytes) -> None:
+    def _on_datagram(self, sender: int, data: bytes) -> None:
         if self.membership is not None:
             self.membership.receive(self.router.clock.now(), sender, data)
-            self._told()
+            self._publish(self.membership)
 
     def _tick(self) -> None:
         if self.membership is not None:
             self.membership.tick(self.router.clock.now())
-            self._told()
-
-    def _set(self) -> None:
-        if self.membership is not None:
-            self.router.deadlines.clear(self._due)
-            self._due = self.router.deadlines.set(self.membership.due, self._tick)
+            self._publish(self.membership)
 
-    def _told(self) -> None:
-        assert self.membership is not None
-        changes, self.membership.changes = self.membership.changes, []
-        alive = len(self.membership.alive())
+    def _publish(self, membership: Membership) -> None:
+        """Report the state changes, and set the timer for the next tick."""
+        changes = membership.take_changes()
+        alive = len(membership.alive_members())
         if changes:
             self.on_change()
         for change in changes:
-            log.info(NAMES[change.state], router=change.member, alive=alive, of=self.membership.members)
-        self._set()
+            log.info(LOG_EVENTS[change.state], router=change.member, alive=alive, of=membership.member_count)
+        self._timer.restart(membership.next_tick_at)
--- a/starlingthread/net/peers.py
+++ b/starlingthread/net/peers.py
@@ -1,4 +1,4 @@
-"""The other routers: short UDP messages, late or lost."""
+"""The UDP socket for messages between routers, which may be late or lost."""
 
 from __future__ import annotations
 
@@ -10,77 +10,93 @@
 from ..core.router import Router
 from ..events import PeerMessage
 
-MAX_MESSAGE = 256
+MAX_MESSAGE_BYTES = 256
 
 
 class PeerActor(asyncio.DatagramProtocol):
-    """One socket for all peers; what comes goes into the module's mailbox. (Streams know no datagrams.)"""
+    """Owns one socket for all peers and routes what it receives, by its first byte.
 
-    def __init__(self, router: Router, peers: list[tuple[str, int]], everyone: tuple[str, int] | None, me: int) -> None:
-        self.router, self.counters, self.me = router, router.counters, me
+    Messages that no handler takes go into the decision module's mailbox. (asyncio's streams have no datagrams.)
+    """
+
+    def __init__(
+        self, router: Router, peers: list[tuple[str, int]], everyone: tuple[str, int] | None, router_index: int
+    ) -> None:
+        self.router = router
+        self.counters = router.counters
+        self.router_index = router_index
         self.set_addresses(peers, everyone)
         self.transport: asyncio.DatagramTransport | None = None
-        self.socket: socket.socket | None = None  # ours for good, whether we hear or not
-        self.handlers: dict[int, Callable[[int, bytes], None]] = {}  # by the first byte; the rest is the module's
+        self.socket: socket.socket | None = None  # open until close(), also while receiving is paused
+        self.handlers: dict[int, Callable[[int, bytes], None]] = {}  # by the first byte of a message
 
     def set_addresses(self, peers: list[tuple[str, int]], everyone: tuple[str, int] | None) -> None:
-        """Take over the addresses of the others."""
-        self.peers, self.everyone = peers, everyone
-        self.number = {address: number for number, address in enumerate(peers)}
+        """Set the addresses of all routers by index, and the one that reaches all of them, if there is one."""
+        self.peers = peers
+        self.everyone = everyone
+        self._index_by_address = {address: index for index, address in enumerate(peers)}
 
     async def listen(self, host: str, port: int, inherited: socket.socket | None = None) -> None:
-        """Open the socket, or go on with one that an old process held."""
-        if inherited is None:
-            inherited = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            if hasattr(socket, "SO_REUSEPORT"):
-                with contextlib.suppress(OSError):
-                    inherited.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            inherited.bind((host, port))
-        self.socket = inherited
+        """Open the socket, or use the one inherited from the previous process, and start to receive."""
+        self.socket = inherited if inherited is not None else _bind(host, port)
         await self.resume_receiving()
 
     async def resume_receiving(self) -> None:
-        """Hear the others, as at first or again."""
+        """Receive messages, for the first time or again."""
         if self.socket is not None and self.transport is None:
             loop = asyncio.get_running_loop()
             self.transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=self.socket.dup())
 
     def pause_receiving(self) -> None:
-        """Hear no more, as another process does at the same socket."""
+        """Receive nothing, as another process does on the same socket."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in a message; one from a stranger, or too long to be a peer's, is counted and dropped."""
-        sender = self.number.get((addr[0], addr[1]))
-        if sender is None or len(data) > MAX_MESSAGE or sender == self.me:
+        """Route a message; one from an unknown address, or too long for a peer's, is counted and dropped."""
+        sender = self._index_by_address.get((addr[0], addr[1]))
+        if sender is None or len(data) > MAX_MESSAGE_BYTES or sender == self.router_index:
             self.counters.increment("peers.stray")
-        elif data and (take := self.handlers.get(data[0])) is not None:
+            return
+        handler = self.handlers.get(data[0]) if data else None
+        if handler is not None:
             self.counters.increment("peers.taken")
-            take(sender, data)
+            handler(sender, data)
         elif self.router.mailbox.put(PeerMessage(sender, data)):
             self.counters.increment("peers.received")
 
     def error_received(self, exc: Exception) -> None:
-        """Count what the network gave back; messages may be lost anyway."""
+        """Count an error that the network returned; messages may be lost anyway."""
         self.counters.increment("peers.errors")
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """Send a message to one router, or to all (None)."""
-        if self.transport is None or len(payload) > MAX_MESSAGE:
+        """Send a message to one router, or to all others (None)."""
+        if self.transport is None or len(payload) > MAX_MESSAGE_BYTES:
             self.counters.increment("peers.unsent")
             return
-        if peer is None:
-            targets = [self.everyone] if self.everyone else [a for n, a in enumerate(self.peers) if n != self.me]
-        else:
-            targets = [self.peers[peer]] if peer < len(self.peers) else []
-        for address in targets:
+        for address in self._targets(peer):
             self.transport.sendto(payload, address)
             self.counters.increment("peers.sent")
 
+    def _targets(self, peer: int | None) -> list[tuple[str, int]]:
+        if peer is not None:
+            return [self.peers[peer]] if peer < len(self.peers) else []
+        if self.everyone:
+            return [self.everyone]
+        return [address for index, address in enumerate(self.peers) if index != self.router_index]
+
     def close(self) -> None:
         """Close the socket."""
         self.pause_receiving()
         if self.socket is not None:
             self.socket.close()
+
+
+def _bind(host: str, port: int) -> socket.socket:
+    udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    if hasattr(socket, "SO_REUSEPORT"):  # during an upgrade two processes are bound to the port
+        with contextlib.suppress(OSError):
+            udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    udp_socket.bind((host, port))
+    return udp_socket
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""The plan for lost zones: the same at all who heard the same, moved by no liar, damped, open where all is lost."""
+"""Zone failover: the same plan from the same votes, resistant to a faulty witness, damped, open if all is lost."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 from starlingthread import options
 from starlingthread.events import AttemptResult
-from starlingthread.failover.evidence import LEAST_WAIT, ZoneEvidence
-from starlingthread.failover.plan import HOLD, LIFE, SETTLE, STEP, STEPS, Plan, ZoneStatus, ZoneVote, witnesses
+from starlingthread.failover.codec import MAX_VOTES, decode, encode
+from starlingthread.failover.evidence import MIN_OVERDUE, ZoneEvidence
+from starlingthread.failover.plan import SETTLE_TIME, FailoverPlan
+from starlingthread.failover.recovery import FIRST_HOLD, RAMP_STEP_TIME, RAMP_STEPS
 from starlingthread.failover.topology import Topology, TopologyError
-from starlingthread.failover.wire import MOST_WORDS, decode, encode
-from starlingthread.failover.zones import MOST_TRY, TRY_EVERY, ZoneFailover
-from starlingthread.membership.wire import MAX_DATAGRAM, WireError
+from starlingthread.failover.votes import VOTE_LIFETIME, ZoneStatus, ZoneVote, choose_witnesses
+from starlingthread.failover.zones import FIRST_TRIAL_DELAY, MAX_TRIAL_DELAY, ZoneFailover
+from starlingthread.membership.datagram import MAX_DATAGRAM_BYTES, DatagramError
 
 from .world import THROUGH, World, members, sends
 
@@ -24,7 +26,7 @@
 
 
 class Fleet:
-    """Routers that tell one another at once, but for lost datagrams and those who are cut off."""
+    """Routers that exchange votes at once, but for lost datagrams and routers that are cut off."""
 
     def __init__(self, count: int, sizes: dict[int, int], loss: float = 0.0) -> None:
         self.now, self.rng, self.loss, self.sent = NOW, Random(5), loss, 0
@@ -33,17 +35,17 @@
         for router in self.routers:
             router.set_servers((zone, zone * 10 + place) for zone, size in sizes.items() for place in range(size))
 
-    def talk(self) -> None:
+    def exchange_votes(self) -> None:
         while any(router.outgoing_votes for router in self.routers):
             for sender, router in enumerate(self.routers):
-                words, router.outgoing_votes = router.outgoing_votes, []
-                for other, zones in enumerate(self.routers if words else []):
+                votes = router.take_outgoing_votes()
+                for other, zones in enumerate(self.routers if votes else []):
                     self.sent += 1
                     if other != sender and not {other, sender} & self.cut and self.rng.random() >= self.loss:
-                        zones.receive_votes(self.now, words)
+                        zones.receive_votes(self.now, votes)
 
     def play(self, span: float, lost: dict[int, set[int]]) -> None:
-        """Let time pass in which each router asks each zone now and then; lost: by zone, who hears nothing from it."""
+        """Let each router send requests to each zone for a span of ms; lost: by zone, routers that cannot reach it."""
         for _ in range(int(span / 100.0)):
             self.now += 100.0
             for number, router in enumerate(self.routers):
@@ -55,35 +57,36 @@
                     if number not in lost.get(zone, ()):
                         router.on_response(self.now, zone, server, 1.0)
                 router.tick(self.now)
-            self.talk()
+            self.exchange_votes()
 
     def lost(self, zone: int) -> int:
-        return sum(zone in router.plan.zones and router.plan.zones[zone].lost for router in self.routers)
+        return sum(router.plan.is_lost(zone) for router in self.routers)
 
 
 @given(
     st.lists(st.tuples(st.integers(1, 8), st.sampled_from(ZoneStatus), st.integers(1, 4)), max_size=12), st.randoms()
 )
-def test_whoever_heard_the_same_words_has_the_same_plan(told: list[tuple[int, ZoneStatus, int]], rng: Random) -> None:
-    said: dict[tuple[int, int], ZoneVote] = {}  # a witness gives each number once
-    for who, says, number in told:
-        said.setdefault((who, number), ZoneVote(who, 1, says, number))
+def test_routers_with_the_same_votes_have_the_same_plan(cast: list[tuple[int, ZoneStatus, int]], rng: Random) -> None:
+    unique: dict[tuple[int, int], ZoneVote] = {}  # a witness uses each sequence number once
+    for witness, status, sequence in cast:
+        unique.setdefault((witness, sequence), ZoneVote(witness, 1, status, sequence))
     plans = []
     for _ in range(2):
-        words = [*said.values(), *said.values()]
-        rng.shuffle(words)
-        plan = Plan(0, range(9))
-        for word in words:
-            plan.receive_vote(NOW, word)
+        votes = [*unique.values(), *unique.values()]
+        rng.shuffle(votes)
+        plan = FailoverPlan(0, range(9))
+        for vote in votes:
+            plan.receive_vote(NOW, vote)
         plan.update_zone(NOW, 1)
-        plan.update_zone(NOW + SETTLE, 1)
-        plans.append((1 in plan.zones and plan.zones[1].lost, sorted(plan.valid_votes(NOW, 1))))
+        plan.update_zone(NOW + SETTLE_TIME, 1)
+        valid = sorted(received.vote for received in plan.valid_votes(NOW, 1))
+        plans.append((plan.is_lost(1), valid))
     assert plans[0] == plans[1]
 
 
-def test_every_order_and_loss_of_the_words_of_four_witnesses_keeps_what_must_hold() -> None:
-    """All states that two words of each of two honest witnesses and one liar can lead to, one by one."""
-    words = [
+def test_every_order_and_loss_of_the_votes_of_three_witnesses_keeps_the_invariants() -> None:
+    """All states that two votes of each of two honest witnesses and one liar can lead to, one by one."""
+    votes = [
         ZoneVote(1, 1, ZoneStatus.LOST, 1),
         ZoneVote(1, 1, ZoneStatus.HEALTHY, 2),
         ZoneVote(2, 1, ZoneStatus.HEALTHY, 1),
@@ -92,34 +95,34 @@
         ZoneVote(3, 1, ZoneStatus.LOST, 9),
     ]
     states = set()
-    for order in permutations(words):
-        plan = Plan(0, range(5))
+    for order in permutations(votes):
+        plan = FailoverPlan(0, range(5))
         newest: dict[int, int] = {}
-        for word in order:
-            plan.receive_vote(NOW, word)
-            plan.update_zone(NOW + SETTLE, 1)
-            newest[word.witness] = max(newest.get(word.witness, 0), word.sequence)
-            good = {w.witness: w for w in plan.valid_votes(NOW, 1)}
-            assert {who: w.sequence for who, w in good.items()} == newest  # no old one comes back
-            lost = 1 in plan.zones and plan.zones[1].lost
-            lies = [w.witness for w in good.values() if w.status == ZoneStatus.LOST]
-            assert not lost or len(lies) >= 2  # never by one alone, so never once the honest have said well
-            states.add((tuple(sorted(good.values())), lost))
-        assert not plan.zones.get(1) or not plan.zones[1].lost
+        for vote in order:
+            plan.receive_vote(NOW, vote)
+            plan.update_zone(NOW + SETTLE_TIME, 1)
+            newest[vote.witness] = max(newest.get(vote.witness, 0), vote.sequence)
+            valid = {received.vote.witness: received.vote for received in plan.valid_votes(NOW, 1)}
+            assert {witness: vote.sequence for witness, vote in valid.items()} == newest  # an older vote never returns
+            lost = plan.is_lost(1)
+            lost_votes = [vote for vote in valid.values() if vote.status == ZoneStatus.LOST]
+            assert not lost or len(lost_votes) >= 2  # one witness alone is not enough, honest or not
+            states.add((tuple(sorted(valid.values())), lost))
+        assert not plan.is_lost(1)
     assert len(states) > 20 and any(lost for _, lost in states)
 
 
 def test_a_lost_zone_is_found_in_common_and_comes_back_in_steps() -> None:
     fleet = Fleet(40, {0: 4, 1: 4, 2: 4})
     fleet.play(3000.0, {})
-    assert fleet.sent == 0  # while all is well nobody says anything
+    assert fleet.sent == 0  # no votes while all zones are healthy
     fleet.play(500.0, {1: set(range(40))})
     assert fleet.lost(1) == 40 and fleet.lost(0) == fleet.lost(2) == 0
-    asked = [n for n, router in enumerate(fleet.routers) if router.is_open(fleet.now + MOST_TRY, 1, 7)]
-    assert sorted(asked) == sorted(witnesses(1, range(40)))
+    asked = [n for n, router in enumerate(fleet.routers) if router.is_open(fleet.now + MAX_TRIAL_DELAY, 1, 7)]
+    assert sorted(asked) == sorted(choose_witnesses(1, range(40)))
     fleet.play(4000.0, {1: set(range(40))})
     assert fleet.lost(1) == 40
-    fleet.play(MOST_TRY + 500.0, {})
+    fleet.play(MAX_TRIAL_DELAY + 500.0, {})
     assert fleet.lost(1) == 0
     shares = []
     for _ in range(60):
@@ -128,7 +131,7 @@
     assert shares == sorted(shares) and shares[-1] == 400
 
 
-def test_a_liar_a_cut_router_and_a_half_that_sees_well_close_nothing_for_the_fleet() -> None:
+def test_a_faulty_witness_a_cut_router_and_a_minority_close_no_zone_for_the_fleet() -> None:
     fleet = Fleet(9, {0: 3, 1: 3, 2: 3})
     fleet.play(1000.0, {})
     fleet.play(3000.0, {1: {4}})  # one router's link, or its lie
@@ -137,20 +140,17 @@
         and not fleet.routers[4].is_open(fleet.now, 1, 7)
         and fleet.routers[5].is_open(fleet.now, 1, 7)
     )
-    fleet.play(3000.0, {1: {0, 1, 2, 3}})  # four of nine are cut from the zone: each leaves it alone by itself
+    fleet.play(3000.0, {1: {0, 1, 2, 3}})  # four of nine are cut from the zone: each avoids it by itself
     assert fleet.lost(1) == 0
+    unbeatable = ZoneVote(8, 1, ZoneStatus.LOST, int(fleet.now + 10 * 3600e3))
     for router in fleet.routers:
-        router.receive_votes(
-            fleet.now, [ZoneVote(8, 1, ZoneStatus.LOST, int(fleet.now + 10 * 3600e3))]
-        )  # a number nobody could outdo
-    assert not any(
-        (1, 8) in router.plan.votes and router.plan.votes[1, 8][0].sequence > fleet.now + 3600e3
-        for router in fleet.routers
-    )
+        router.receive_votes(fleet.now, [unbeatable])
+    newest = [router.plan.votes.get(1, 8) for router in fleet.routers]
+    assert not any(received and received.vote.sequence > fleet.now + 3600e3 for received in newest)
 
 
 @pytest.mark.parametrize("loss", [0.33, 1.0])
-def test_lost_datagrams_delay_the_plan_and_without_any_each_goes_by_itself(loss: float) -> None:
+def test_lost_datagrams_delay_the_plan_and_without_any_each_router_decides_by_itself(loss: float) -> None:
     fleet = Fleet(20, {0: 4, 1: 4}, loss)
     fleet.play(1000.0, {})
     everybody = set(range(20))
@@ -160,33 +160,34 @@
     assert all(router.is_open(fleet.now, 0, 7) for router in fleet.routers)
 
 
-def test_one_that_stood_still_does_not_act_on_its_old_plan() -> None:
+def test_a_router_that_stalled_does_not_act_on_its_old_plan() -> None:
     fleet = Fleet(9, {0: 3, 1: 3})
     fleet.play(1000.0, {})
     fleet.play(2000.0, {1: set(range(9))})
     stopped = fleet.routers[2]
     assert stopped.plan.zones[1].lost
     fleet.cut = {2}
-    fleet.now += LIFE + 1.0
+    fleet.now += VOTE_LIFETIME + 1.0
     stopped.tick(fleet.now)
-    assert not stopped.plan.zones[1].lost  # its words have run out
+    assert not stopped.plan.zones[1].lost  # the votes have expired
 
 
-def test_a_zone_that_flaps_stays_out_longer_each_time() -> None:
-    plan, until = Plan(0, range(5)), []
-    for turn in range(4):
-        at = NOW + turn * 10000.0
-        for says, later in ((ZoneStatus.LOST, 0.0), (ZoneStatus.HEALTHY, 1000.0)):
-            for who in (1, 2, 3):
-                plan.receive_vote(at + later, ZoneVote(who, 1, says, int(at + later)))
+def test_a_flapping_zone_stays_closed_longer_each_time() -> None:
+    plan = FailoverPlan(0, range(5))
+    holds = []
+    for loss in range(4):
+        at = NOW + loss * 10000.0
+        for status, later in ((ZoneStatus.LOST, 0.0), (ZoneStatus.HEALTHY, 1000.0)):
+            for witness in (1, 2, 3):
+                plan.receive_vote(at + later, ZoneVote(witness, 1, status, int(at + later)))
             plan.update_zone(at + later, 1)
-            plan.update_zone(at + later + SETTLE, 1)
-        until.append(plan.zones[1].closed_until - at - 1000.0)
-    assert until == [HOLD, 2 * HOLD, 4 * HOLD, 8 * HOLD]
-    assert plan.zones[1].open_share(at + 1000.0 + until[-1] + STEPS * STEP) == 1.0
+            plan.update_zone(at + later + SETTLE_TIME, 1)
+        holds.append(plan.zones[1].closed_until - at - 1000.0)
+    assert holds == [FIRST_HOLD, 2 * FIRST_HOLD, 4 * FIRST_HOLD, 8 * FIRST_HOLD]
+    assert plan.zones[1].open_share(at + 1000.0 + holds[-1] + RAMP_STEPS * RAMP_STEP_TIME) == 1.0
 
 
-def test_where_all_zones_look_lost_none_is_left_alone() -> None:
+def test_if_all_zones_appear_lost_none_is_avoided() -> None:
     zones = ZoneFailover(0, range(3))
     zones.set_servers([(0, 1), (0, 2), (1, 11), (1, 12)])
     for zone in (0, 1):
@@ -194,58 +195,63 @@
             zones.on_no_response(NOW, zone, zone * 10 + server, NOW - 1.0)
     assert zones.is_open(NOW, 0, 7) and zones.is_open(NOW, 1, 7)
     zones.drained = frozenset({0})
-    assert not zones.is_open(NOW, 0, 7) and zones.is_open(NOW, 1, 7) and zones.closed_shares(NOW) == {0: 0.0, 1: 0.0}
+    assert not zones.is_open(NOW, 0, 7) and zones.is_open(NOW, 1, 7) and zones.open_shares(NOW) == {0: 0.0, 1: 0.0}
     zones.drained = frozenset()
     zones.on_response(NOW + 1.0, 0, 1, 5.0)
     assert zones.is_open(NOW + 1.0, 0, 7) and not zones.is_open(NOW + 1.0, 1, 7)
-    assert zones.is_open(NOW + TRY_EVERY, 1, 7)
-    zones.on_sent(NOW + TRY_EVERY, 1, 11)
-    assert not zones.is_open(NOW + 2 * TRY_EVERY - 1.0, 1, 7)
+    assert zones.is_open(NOW + FIRST_TRIAL_DELAY, 1, 7)
+    zones.on_sent(NOW + FIRST_TRIAL_DELAY, 1, 11)
+    assert not zones.is_open(NOW + 2 * FIRST_TRIAL_DELAY - 1.0, 1, 7)
 
 
-def test_one_server_or_an_old_debt_is_no_lost_zone() -> None:
-    seen = ZoneEvidence()
+def test_one_silent_server_or_an_old_request_is_no_lost_zone() -> None:
+    evidence = ZoneEvidence()
     for _ in range(9):
-        seen.on_no_response(1, 5.0)
-    assert not seen.is_lost(4) and seen.is_lost(1)
-    seen.on_response(10.0, 1, 5.0)
-    seen.on_no_response(2, 9.0)
-    seen.on_no_response(3, 9.0)
-    assert not seen.is_lost(4) and not seen.is_lost(0)
-    seen.on_no_response(7, 15.0)
-    seen.retain_servers({1, 2, 8})  # one that left the list tells nothing of its zone
-    assert not seen.unanswered_since
+        evidence.on_no_response(1, 5.0)
+    assert not evidence.is_lost(4) and evidence.is_lost(1)
+    evidence.on_response(10.0, 1, 5.0)
+    evidence.on_no_response(2, 9.0)
+    evidence.on_no_response(3, 9.0)
+    assert not evidence.is_lost(4) and not evidence.is_lost(0)
+    evidence.on_no_response(7, 15.0)
+    evidence.retain_servers({1, 2, 8})  # a server that is no longer listed says nothing of its zone
+    assert not evidence.unanswered_since
     for server in (1, 2):
-        seen.on_sent(20.0, server)
-    seen.expire_pending(20.0 + LEAST_WAIT)
-    assert not seen.is_lost(4)
-    seen.expire_pending(21.0 + LEAST_WAIT)  # twenty times what an answer takes: long before a time-out
-    assert seen.is_lost(4)
+        evidence.on_sent(20.0, server)
+    evidence.expire_pending(20.0 + MIN_OVERDUE)
+    assert not evidence.is_lost(4)
+    evidence.expire_pending(21.0 + MIN_OVERDUE)  # twenty times the response time: long before a time-out
+    assert evidence.is_lost(4)
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 5), st.sampled_from(ZoneStatus), st.integers(0, 2**63)), min_size=1, max_size=40),
     st.data(),
 )
-def test_datagrams_are_short_and_wrong_ones_refused(
-    said: list[tuple[int, ZoneStatus, int]], data: st.DataObject
+def test_datagrams_are_short_and_invalid_ones_rejected(
+    cast: list[tuple[int, ZoneStatus, int]], data: st.DataObject
 ) -> None:
-    words = [ZoneVote(3, *one) for one in said]
-    sent = encode(3, words, KEY)
-    assert len(sent) <= MAX_DATAGRAM and decode(sent, (b"another-key-here", KEY), 3, 6) == words[:MOST_WORDS]
-    at = data.draw(st.integers(0, len(sent) - 1))
-    spoilt = sent[:at] + bytes([sent[at] ^ data.draw(st.integers(1, 255))]) + sent[at + 1 :]
-    for wrong, sender, zones in ((spoilt, 3, 6), (sent[:at], 3, 6), (sent, 4, 6), (encode(3, words, b"x"), 3, 6)):
-        with pytest.raises(WireError):
-            decode(wrong, (KEY,), sender, zones)
-    if max(word.zone for word in words[:MOST_WORDS]) > 0:
-        with pytest.raises(WireError):
-            decode(sent, (KEY,), 3, max(word.zone for word in words[:MOST_WORDS]))
-
-
-def test_regions_are_checked_and_unknown_zones_are_told() -> None:
+    votes = [ZoneVote(3, *fields) for fields in cast]
+    sent = encode(3, votes, KEY)
+    assert len(sent) <= MAX_DATAGRAM_BYTES and decode(sent, (b"another-key-here", KEY), 3, 6) == votes[:MAX_VOTES]
+    position = data.draw(st.integers(0, len(sent) - 1))
+    corrupt = sent[:position] + bytes([sent[position] ^ data.draw(st.integers(1, 255))]) + sent[position + 1 :]
+    for invalid, sender, zones in (
+        (corrupt, 3, 6),
+        (sent[:position], 3, 6),
+        (sent, 4, 6),
+        (encode(3, votes, b"x"), 3, 6),
+    ):
+        with pytest.raises(DatagramError):
+            decode(invalid, (KEY,), sender, zones)
+    if max(vote.zone for vote in votes[:MAX_VOTES]) > 0:
+        with pytest.raises(DatagramError):
+            decode(sent, (KEY,), 3, max(vote.zone for vote in votes[:MAX_VOTES]))
+
+
+def test_regions_are_checked_and_unknown_zones_are_reported() -> None:
     topology = Topology(("a", "b", "c"), {"east": ["a", "b", "z"]})
-    assert [topology.step(0, zone) for zone in (0, 1, 2, 9)] == [0, 1, 2, 2] and topology.unknown == ["z"]
+    assert [topology.distance(0, zone) for zone in (0, 1, 2, 9)] == [0, 1, 2, 2] and topology.unknown_zones == ["z"]
     with pytest.raises(TopologyError, match="'a' is in the regions 'east' and 'west'"):
         Topology(("a",), {"east": ["a"], "west": ["a"]})
     with pytest.raises(options.OptionsError, match=r"failover\.region_round_trip_ms"):
@@ -275,7 +281,7 @@
     assert str(raised.value) == error
 
 
-def test_the_module_leaves_a_lost_zone_alone_and_asks_now_and_then() -> None:
+def test_the_balancer_avoids_a_lost_zone_but_for_trial_requests() -> None:
     def asked(on: bool) -> int:
         world = World(THROUGH, members(6, zones=2))
         if on:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is alive: many members under one clock, with losses, cuts, stalls, restarts and lies between them."""
+"""SWIM membership: many members under one simulated clock, with losses, partitions, stalls, restarts and lies."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from starlingthread.membership import wire
-from starlingthread.membership.swim import Known, Membership, wins
-from starlingthread.membership.wire import Kind, Message, News, State, WireError, decode, encode
+from starlingthread.membership.codec import decode, encode
+from starlingthread.membership.datagram import DatagramError
+from starlingthread.membership.members import MemberRecord
+from starlingthread.membership.messages import MAX_INCARNATION, MemberState, MemberUpdate, Message, MessageKind
+from starlingthread.membership.swim import Membership
 
 KEY, OTHER = b"k" * 16, b"o" * 16
 BEGIN = 1.8e12  # ms, about 2027
@@ -47,7 +49,7 @@
     def play(self, span: float) -> None:
         until = self.now + span
         while True:
-            ticks = [(m.due, m.me) for m in self.members if m.me not in self.down | self.still]
+            ticks = [(m.next_tick_at, m.own_id) for m in self.members if m.own_id not in self.down | self.still]
             at, who = min(ticks)
             if self.due and self.due[0][0] <= at:
                 at, _, me, to, data = self.due[0]
@@ -68,10 +70,10 @@
         self.now = until
 
     def views(self) -> set[tuple[int, ...]]:
-        return {tuple(m.alive()) for m in self.members if m.me not in self.down}
+        return {tuple(m.alive_members()) for m in self.members if m.own_id not in self.down}
 
 
-def test_a_killed_member_is_found_by_all_and_one_that_comes_back_is_taken_in() -> None:
+def test_a_killed_member_is_detected_by_all_and_one_that_restarts_is_accepted() -> None:
     net = Net(12)
     net.play(10e3)
     assert net.views() == {tuple(range(12))}
@@ -84,39 +86,39 @@
     assert net.views() == {tuple(range(12))}
 
 
-def test_a_member_that_leaves_is_known_to_have_left_at_once() -> None:
+def test_a_graceful_leave_is_known_at_once() -> None:
     net = Net(12)
     net.play(10e3)
     net.members[5].leave()
     net.down.add(5)
-    net.play(5e3)  # sooner than it could be found out
+    net.play(5e3)  # sooner than probes could detect it
     assert net.views() == {tuple(n for n in range(12) if n != 5)}
 
 
-def test_one_datagram_in_ten_lost_kills_nobody() -> None:
+def test_a_loss_of_one_datagram_in_ten_causes_no_false_deaths() -> None:
     net = Net(40, loss=0.1)
     net.play(120e3)
-    assert not [c for m in net.members for c in m.changes if c.state == State.DEAD]
+    assert not [c for m in net.members for c in m.changes if c.state == MemberState.DEAD]
 
 
-def test_a_member_that_stood_still_is_taken_back_and_buries_nobody() -> None:
+def test_a_member_that_stalled_is_accepted_again_and_declares_nobody_dead() -> None:
     net = Net(20)
     net.play(5e3)
     net.still.add(3)
-    net.play(12e3)  # longer than a suspicion lives
+    net.play(12e3)  # longer than the suspicion time-out
     net.still.clear()
     net.play(10e3)
     assert net.views() == {tuple(range(20))}
-    assert not [c for c in net.members[3].changes if c.state == State.DEAD]
+    assert not [c for c in net.members[3].changes if c.state == MemberState.DEAD]
 
 
-def test_a_member_that_is_cut_off_one_way_doubts_itself_and_the_halves_of_a_split_find_each_other() -> None:
+def test_a_deaf_member_lowers_its_local_health_and_the_halves_of_a_partition_merge_again() -> None:
     net = Net(12)
     net.play(5e3)
-    net.cut = {(other, 0) for other in range(12)}  # it is not heard by itself to be deaf
+    net.cut = {(other, 0) for other in range(12)}  # member 0 receives nothing
     net.play(20e3)
-    assert net.members[0].doubt > 0
-    assert len(net.members[0].alive()) == 12  # who hears nobody buries nobody
+    assert net.members[0].local_health.score > 0
+    assert len(net.members[0].alive_members()) == 12  # a deaf member declares nobody dead
     net.cut = {(a, b) for a, b in product(range(12), repeat=2) if (a < 6) != (b < 6)}
     net.play(40e3)
     assert net.views() == {tuple(range(6)), tuple(range(6, 12))}
@@ -125,7 +127,7 @@
     assert net.views() == {tuple(range(12))}
 
 
-def test_a_third_lost_at_once_is_found_by_those_that_hear_one_another() -> None:
+def test_a_simultaneous_failure_of_a_third_is_detected_by_the_rest() -> None:
     net = Net(30)
     net.play(5e3)
     net.down = set(range(0, 30, 3))
@@ -133,77 +135,83 @@
     assert net.views() == {tuple(n for n in range(30) if n % 3)}
 
 
-def test_a_liar_is_refuted_and_moves_nothing_for_long() -> None:
+def test_false_updates_are_refuted() -> None:
     net = Net(10)
     net.play(5e3)
-    lie = Message(
-        Kind.PING, 1, 7, news=tuple(News(n, State.DEAD, net.members[n].known[n].incarnation + 5) for n in (2, 3))
+    false_update = Message(
+        MessageKind.PING,
+        1,
+        7,
+        updates=tuple(MemberUpdate(n, MemberState.DEAD, net.members[n].records[n].incarnation + 5) for n in (2, 3)),
     )
-    far = Message(Kind.PING, 1, 8, news=(News(4, State.DEAD, wire.MAX_INCARNATION),))
-    for message in (lie, far):
+    future_update = Message(MessageKind.PING, 1, 8, updates=(MemberUpdate(4, MemberState.DEAD, MAX_INCARNATION),))
+    for message in (false_update, future_update):
         net.members[0].receive(net.now, 1, encode(message, KEY))
-    assert net.members[0].refused == {"incarnation": 1}
+    assert net.members[0].rejected == {"incarnation": 1}
     net.play(20e3)
     assert net.views() == {tuple(range(10))}
 
 
-def test_what_is_wrong_old_or_foreign_is_counted_and_changes_nothing() -> None:
+def test_invalid_datagrams_are_counted_and_change_nothing() -> None:
     member = Net(3).members[0]
-    good = encode(Message(Kind.PING, 1, 5, news=(News(2, State.SUSPECT, int(BEGIN / 1000)),)), KEY)
-    bad = {
+    valid = encode(
+        Message(MessageKind.PING, 1, 5, updates=(MemberUpdate(2, MemberState.SUSPECT, int(BEGIN / 1000)),)), KEY
+    )
+    invalid = {
         b"": "length",
-        good[:-1]: "length",
-        b"\x01" + good[1:]: "version",
-        good[:-1] + b"\x00": "key",
-        encode(Message(Kind.PING, 1, 5), OTHER): "key",
-        encode(Message(Kind.PING, 2, 5), KEY): "sender",
-        encode(Message(Kind.PING, 1, 5, news=(News(9, State.ALIVE, 0),)), KEY): "member",
+        valid[:-1]: "length",
+        b"\x01" + valid[1:]: "version",
+        valid[:-1] + b"\x00": "key",
+        encode(Message(MessageKind.PING, 1, 5), OTHER): "key",
+        encode(Message(MessageKind.PING, 2, 5), KEY): "sender",
+        encode(Message(MessageKind.PING, 1, 5, updates=(MemberUpdate(9, MemberState.ALIVE, 0),)), KEY): "member",
     }
-    for data in bad:
+    for data in invalid:
         member.receive(BEGIN, 1, data)
-    assert sum(member.refused.values()) == len(bad) and set(member.refused) == set(bad.values())
-    assert all(k.state == State.ALIVE for k in member.known)
-    member.receive(BEGIN, 1, good)
-    assert member.known[2].state == State.SUSPECT
-    assert decode(encode(Message(Kind.ACK, 1, 5), OTHER), (KEY, OTHER), 3).kind == Kind.ACK  # while keys change
+    assert sum(member.rejected.values()) == len(invalid) and set(member.rejected) == set(invalid.values())
+    assert all(record.state == MemberState.ALIVE for record in member.records)
+    member.receive(BEGIN, 1, valid)
+    assert member.records[2].state == MemberState.SUSPECT
+    sealed_with_old_key = encode(Message(MessageKind.ACK, 1, 5), OTHER)
+    assert decode(sealed_with_old_key, (KEY, OTHER), 3).kind == MessageKind.ACK  # during a key rotation
 
 
-def test_who_asks_for_help_on_end_fills_no_memory_and_asks_for_nobody_in_vain() -> None:
+def test_a_flood_of_ping_requests_fills_no_memory_and_senseless_ones_are_dropped() -> None:
     net = Net(4)
     for number in range(1000):
-        net.members[0].receive(BEGIN, 1, encode(Message(Kind.ASK, 1, number, 2), KEY))
-    assert len(net.members[0]._for) <= 64
+        net.members[0].receive(BEGIN, 1, encode(Message(MessageKind.PING_REQUEST, 1, number, 2), KEY))
+    assert len(net.members[0]._relayed_pings) <= 64
     before = net.sent
     for subject in (0, 1):
-        net.members[0].receive(BEGIN, 1, encode(Message(Kind.ASK, 1, 5, subject), KEY))
+        net.members[0].receive(BEGIN, 1, encode(Message(MessageKind.PING_REQUEST, 1, 5, subject), KEY))
     assert net.sent == before
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_raise_anything_but_a_wire_error(data: bytes) -> None:
-    with pytest.raises(WireError):
+def test_random_bytes_raise_only_a_datagram_error(data: bytes) -> None:
+    with pytest.raises(DatagramError):
         decode(data, (KEY,), 10)
 
 
-def test_beliefs_are_the_same_in_whatever_order_and_however_often_news_comes() -> None:
+def test_beliefs_do_not_depend_on_the_order_or_repetition_of_updates() -> None:
     """All states within reach of two incarnations, in every order, some of them twice."""
-    pieces = [News(0, state, incarnation) for state in State for incarnation in (1, 2)]
-    for chosen in permutations(pieces, 3):
+    updates = [MemberUpdate(0, state, incarnation) for state in MemberState for incarnation in (1, 2)]
+    for chosen in permutations(updates, 3):
         ends = set()
         for order in permutations((*chosen, chosen[0])):
-            known = Known()
-            for piece in order:
-                if wins(piece, known.state, known.incarnation):
-                    known.state, known.incarnation = piece.state, piece.incarnation
-            ends.add((known.state, known.incarnation))
+            record = MemberRecord()
+            for update in order:
+                if record.is_superseded_by(update):
+                    record.state, record.incarnation = update.state, update.incarnation
+            ends.add((record.state, record.incarnation))
         assert len(ends) == 1
 
 
-def test_what_it_costs_does_not_grow_with_the_fleet() -> None:
+def test_the_traffic_of_a_member_does_not_grow_with_the_fleet() -> None:
     rates = []
     for count in (10, 100):
         net = Net(count)
-        net.play(60e3)  # at first all tell all that they are there
+        net.play(60e3)  # at first every member's join is gossiped
         before = net.bytes
         net.play(20e3)
         rates.append((net.bytes - before) / count / 20.0)
