--- a/starlingthread/balance/__init__.py
+++ b/starlingthread/balance/__init__.py
@@ -1,1 +1,1 @@
-"""How load is spread over the servers, beyond one key's usual owners. No I/O, no clock; docs/design/balance.md."""
+"""How load is spread over the servers, beyond the default owners of a key. No I/O, no clock; docs/design/balance.md."""
--- a/starlingthread/balance/key.py
+++ b/starlingthread/balance/key.py
@@ -1,4 +1,4 @@
-"""One key's owners, kept until the list or the key's popularity changes."""
+"""The owners of one key, cached until the endpoint list or the key's popularity changes."""
 
 from __future__ import annotations
 
@@ -9,22 +9,26 @@
 class KeyOwners:
     """The owners that a router uses for one key."""
 
-    __slots__ = ("_popularity", "_owners", "_version", "spread")
+    __slots__ = ("_owners", "_popularity", "_version", "spread")
 
     def __init__(self) -> None:
         self._owners: list[Owner] = []
-        self._version = -1  # of the list that they were drawn from
+        self._version = -1  # of the endpoint list from which they were computed; -1: recompute
         self._popularity: Popularity | None = None
-        self.spread = False  # whether it has more owners than this router uses: it is counted at others then, too
+        self.spread = False  # the key has more owners than this router uses, so other routers use other ones
 
-    def owners(self, now: float, key: int, write: bool, places: Rendezvous, demand: FleetDemand | None) -> list[Owner]:
-        """Return the owners of a key (a 64-bit hash) that is asked for now; without a demand none counts as hot."""
+    def owners(
+        self, now: float, key: int, is_write: bool, rendezvous: Rendezvous, demand: FleetDemand | None
+    ) -> list[Owner]:
+        """Return the owners for a request for the key (a 64-bit hash) now; without a demand no key counts as hot."""
+        owner_count = 0
         if demand is not None:
-            self._popularity = self._popularity or Popularity()
-            if self._popularity.record(now, write, demand):
+            popularity = self._popularity = self._popularity or Popularity()
+            if popularity.record(now, is_write, demand):
                 self._version = -1
-        if self._version != places.version:
-            copies = self._popularity.owner_count if demand is not None and self._popularity is not None else 0
-            self._owners, self._version = places.owners(key, copies), places.version
-            self.spread = copies > places.default_owner_count
+            owner_count = popularity.owner_count
+        if self._version != rendezvous.version:
+            self._owners = rendezvous.owners(key, owner_count)
+            self._version = rendezvous.version
+            self.spread = owner_count > rendezvous.default_owner_count
         return self._owners
--- a/starlingthread/balance/load.py
+++ b/starlingthread/balance/load.py
@@ -1,8 +1,8 @@
-"""How loaded a server is, from the little that one router is told: reports, and the waiting that answers met.
+"""Estimates of a server's load, from the little that one router sees: load reports, and the queueing of its attempts.
 
-Both grow old fast. An old figure fades to the mean over all servers, not to nothing: what all see of one server makes
-all go there or leave it at once, while the mean moves nobody (Mitzenmacher, "How Useful Is Old Information?", 2000).
-Times are ms.
+Both go stale fast. A stale figure decays to the mean over all servers, not to zero: what all routers see of one server
+makes all of them use it or leave it at once, while the mean moves nobody (Mitzenmacher, "How Useful Is Old
+Information?", 2000). Times are ms.
 """
 
 from __future__ import annotations
@@ -10,60 +10,74 @@
 import math
 from collections.abc import Sequence
 
-REPORT_LIFE = 2000.0  # ms; a report's weight against the mean of all halves in this time
-LAG_LIFE = 1000.0  # ms; half-life of the waiting that an answer or a time-out showed us
-REPORT_SHARE = 0.05  # weight of one report in the mean over all servers
-LAG_SHARE = 0.1  # weight of one attempt's waiting in the mean over all servers
-CORES = 2.0  # requests that a server is taken to work on side by side, as no report tells it
-FIELDS = ("inflight", "queue", "util")  # of a report, that tell of load
+REPORT_HALF_LIFE = 2000.0  # ms; of a load report's weight against the mean
+WAIT_HALF_LIFE = 1000.0  # ms; of the weight of the queueing time that a response or a time-out showed
+REPORT_GAIN = 0.05  # weight of one load report in the mean over all servers
+WAIT_GAIN = 0.1  # weight of one attempt's queueing time in the mean over all servers
+MAX_UTILIZATION = 0.95  # at which a reported utilization is clamped, as the waiting time it implies has no bound
+CORES = 2.0  # requests that a server is assumed to process concurrently, as no load report contains it
+LOAD_FIELDS = ("inflight", "queue", "util")  # of a load report
 
 
 class ServerLoad:
-    """What was seen of one server last."""
+    """The last observations of one server's load."""
 
-    __slots__ = ("wait", "wait_at", "report", "report_at")
+    __slots__ = ("report", "report_at", "wait", "wait_at")
 
     def __init__(self) -> None:
-        self.report, self.report_at = 0.0, -math.inf  # load in ms of waiting, and when it came
-        self.wait, self.wait_at = 0.0, -math.inf  # ms of waiting that our last attempt met, and when
+        self.report = 0.0  # ms of waiting that the last load report implies
+        self.report_at = -math.inf
+        self.wait = 0.0  # ms of waiting that the last attempt met
+        self.wait_at = -math.inf
 
 
 class WaitEstimates:
-    """What is made of it, beside the means over all servers."""
+    """The waiting to expect at a server: its last observations, decaying to the means over all servers."""
 
-    __slots__ = ("_fields", "mean_wait", "mean_report")
+    __slots__ = ("_field_index", "mean_report", "mean_wait")
 
     def __init__(self) -> None:
-        self.mean_report = self.mean_wait = 0.0
-        self._fields: dict[str, int] = {}
+        self.mean_report = 0.0
+        self.mean_wait = 0.0
+        self._field_index: dict[str, int] = {}
 
     def set_report_fields(self, fields: Sequence[str]) -> None:
-        """Take in which values a report holds, in which order."""
-        self._fields = {name: fields.index(name) for name in FIELDS if name in fields}
-
-    def expected_wait(self, now: float, seen: ServerLoad) -> float:
-        """Return the waiting to expect: what our last attempt there met, fading to the mean over all servers."""
-        fresh = math.exp2((seen.wait_at - now) / LAG_LIFE)
-        return seen.wait * fresh + self.mean_wait * (1 - fresh)
-
-    def reported_wait(self, now: float, seen: ServerLoad) -> float:
-        """Return the waiting that a server's last report tells of, fading likewise."""
-        fresh = math.exp2((seen.report_at - now) / REPORT_LIFE)
-        return seen.report * fresh + self.mean_report * (1 - fresh)
-
-    def on_report(self, now: float, seen: ServerLoad, report: Sequence[float], work: float) -> None:
-        """Take in a report; work: ms that a request takes. One that lacks a value tells 0 for it."""
-        if not report or not self._fields:
+        """Set the names of the values in a load report, in their order."""
+        self._field_index = {name: fields.index(name) for name in LOAD_FIELDS if name in fields}
+
+    def expected_wait(self, now: float, load: ServerLoad) -> float:
+        """Return the waiting in ms to expect by the last attempt."""
+        weight = math.exp2((load.wait_at - now) / WAIT_HALF_LIFE)
+        return load.wait * weight + self.mean_wait * (1 - weight)
+
+    def reported_wait(self, now: float, load: ServerLoad) -> float:
+        """Return the waiting in ms to expect by the last load report."""
+        weight = math.exp2((load.report_at - now) / REPORT_HALF_LIFE)
+        return load.report * weight + self.mean_report * (1 - weight)
+
+    def on_report(self, now: float, load: ServerLoad, report: Sequence[float], mean_work: float) -> None:
+        """Record a load report, whose missing values count as 0; mean_work: ms that a request takes."""
+        if not report or not self._field_index:
             return
-        waits = []
-        for name, at in self._fields.items():
-            value = max(0.0, report[at]) if at < len(report) else 0.0
-            waits.append(min(value, 0.95) / (1 - min(value, 0.95)) if name == "util" else value / CORES)
-        seen.report, seen.report_at = max(waits) * work, now
-        self.mean_report += (seen.report - self.mean_report) * REPORT_SHARE
-
-    def on_wait(self, now: float, seen: ServerLoad, lag: float, counts: bool) -> None:
-        """Take in the waiting that an attempt met, and whether it counts for the mean."""
-        seen.wait, seen.wait_at = max(0.0, lag), now
+        waiting_requests = max(
+            _waiting_requests(name, max(0.0, report[index]) if index < len(report) else 0.0)
+            for name, index in self._field_index.items()
+        )
+        load.report = waiting_requests * mean_work
+        load.report_at = now
+        self.mean_report += (load.report - self.mean_report) * REPORT_GAIN
+
+    def on_wait(self, now: float, load: ServerLoad, wait: float, counts: bool) -> None:
+        """Record the ms of waiting that an attempt met, and whether it counts for the mean."""
+        load.wait = max(0.0, wait)
+        load.wait_at = now
         if counts:
-            self.mean_wait += (seen.wait - self.mean_wait) * LAG_SHARE
+            self.mean_wait += (load.wait - self.mean_wait) * WAIT_GAIN
+
+
+def _waiting_requests(field: str, value: float) -> float:
+    """Return the number of requests ahead of a new one, per core, that a value of a load report implies."""
+    if field == "util":
+        utilization = min(value, MAX_UTILIZATION)
+        return utilization / (1 - utilization)  # the mean number in an M/M/1 queue
+    return value / CORES
--- a/starlingthread/balance/popularity.py
+++ b/starlingthread/balance/popularity.py
@@ -1,76 +1,91 @@
-"""How many owners a key should have, from how often this router is asked for it.
-
-One key of a Zipf law can be a tenth of all requests: at one owner that is a tenth of the load on one server of sixty. A
-further owner pays as long as each owner is asked for the key often enough before it loses it, be it that a write voids
-all copies, or that nobody asks: each loss is one more fetch, at every owner. A router of hundreds sees a hot key a few
-times only, so it counts in two memories, a short one that follows a sudden crowd and a long one that tells rare keys
-apart, and believes what is left of a count when its chance (one standard deviation of a Poisson count) is taken off.
+"""How many owners a key should have, from how often this router receives requests for it.
+
+One key of a Zipf distribution can take a tenth of all requests: with one owner that is a tenth of the load on one
+server of sixty. A further owner pays as long as each owner is requested often enough before it loses the key, be it to
+a write, which invalidates all replicas, or to a lack of requests: each loss is one more fetch, at every owner. A router
+of hundreds sees a hot key a few times only, so it keeps two decaying counts, a short one that follows a sudden crowd
+and a long one that tells rare keys apart, and uses the lower bound of a count: the count less its standard deviation as
+that of a Poisson variable.
 """
 
 from __future__ import annotations
 
 import math
 
-SHORT, LONG = 5000.0, 60000.0  # ms; half-lives of the two memories
-LIVES = (SHORT / math.log(2), LONG / math.log(2))
-KEPT = 10000.0  # ms; about as long as a cache keeps what nobody asks for (HALF_LIFE in policy/load.py)
-ASKED = 4.0  # times that all routers together must ask an owner for the key before it loses it, to be worth its fetch
-DOWN = 0.5  # of what the number of owners asks for: below it they are given back, so that they do not swing
-PRIOR = 10.0  # reads of a key that weigh as much as what is known of all keys, in its share of writes
-GAIN = 0.01  # weight of one request in the share of writes among all
+SHORT_HALF_LIFE = 5000.0  # ms; of the count that follows a sudden crowd
+LONG_HALF_LIFE = 60000.0  # ms; of the count that tells rare keys apart
+SHORT_LIFE = SHORT_HALF_LIFE / math.log(2)  # ms; mean life
+LONG_LIFE = LONG_HALF_LIFE / math.log(2)
+CACHED_TIME = 10000.0  # ms; about as long as a cache keeps an unrequested value (HALF_LIFE in policy/load.py)
+MIN_REQUESTS = 4.0  # by all routers to one owner, before it loses the key, that justify the owner's fetch
+RELEASE_SHARE = 0.5  # of the present number of owners; a lower wanted number reduces it (hysteresis)
+PRIOR_READS = 10.0  # reads of a key that weigh as much in its share of writes as the share over all keys
+WRITE_SHARE_GAIN = 0.01  # weight of one request in the share of writes over all keys
 
 
 class FleetDemand:
-    """What this router knows of all its keys together."""
+    """What this router knows of the fleet and of all its keys together."""
 
-    __slots__ = ("routers", "servers", "routers_per_zone", "write_share")
+    __slots__ = ("routers", "routers_per_zone", "servers", "write_share")
 
     def __init__(self) -> None:
         self.set_fleet_size(1, 1, 1)
-        self.write_share = 0.0  # writes for each request
+        self.write_share = 0.0  # of all requests
 
     def set_fleet_size(self, routers: int, servers: int, zones: int) -> None:
-        """Take in how large the fleet is."""
-        self.routers, self.servers = routers, servers
+        """Set the size of the fleet."""
+        self.routers = routers
+        self.servers = servers
         self.routers_per_zone = max(1.0, routers / max(1, zones))  # routers that share the owners of a zone
 
-    def record(self, write: bool) -> None:
-        """Take in a request for any key."""
-        self.write_share += (write - self.write_share) * GAIN
+    def record(self, is_write: bool) -> None:
+        """Record a request for any key."""
+        self.write_share += (is_write - self.write_share) * WRITE_SHARE_GAIN
 
 
 class Popularity:
-    """How often one key is asked for."""
+    """The decaying counts of requests for one key, and the number of owners that follows from them."""
 
-    __slots__ = ("_at", "_long", "_short", "_writes", "owner_count")
+    __slots__ = ("_long_reads", "_long_writes", "_short_reads", "_updated_at", "owner_count")
 
     def __init__(self) -> None:
-        self._at = -math.inf  # ms
-        self._short = self._long = self._writes = 0.0
-        self.owner_count = 0  # owners that it has for being hot, a power of two; 0: the usual ones
-
-    def record(self, now: float, write: bool, demand: FleetDemand) -> bool:
-        """Take in that this router is asked for it; tell whether its number of owners changes."""
-        passed = max(0.0, now - self._at)
-        fade = math.exp(-passed / LIVES[1])
-        self._short = self._short * math.exp(-passed / LIVES[0]) + (not write)
-        self._long = self._long * fade + (not write)
-        self._writes = self._writes * fade + write
-        self._at = now
-        demand.record(write)
-        rate = self._per_ms() * demand.routers  # all routers get like parts of the traffic
-        writes = rate * (self._writes + PRIOR * demand.write_share) / (self._long + PRIOR)
-        wanted = min(demand.servers, rate / (1.0 / KEPT + writes) / ASKED)
+        self._updated_at = -math.inf  # ms
+        self._short_reads = 0.0
+        self._long_reads = 0.0
+        self._long_writes = 0.0
+        self.owner_count = 0  # a power of two for a hot key; 0: the default owners
+
+    def record(self, now: float, is_write: bool, demand: FleetDemand) -> bool:
+        """Record a request for the key; tell whether its number of owners changes."""
+        self._count(now, is_write)
+        demand.record(is_write)
+        wanted = self._wanted_owners(demand)
         if wanted >= max(2, 2 * self.owner_count):
             self.owner_count = 1 << int(math.log2(wanted))
-        elif self.owner_count and wanted < self.owner_count * DOWN:
+        elif self.owner_count and wanted < self.owner_count * RELEASE_SHARE:
             self.owner_count = 1 << int(math.log2(wanted)) if wanted >= 2 else 0
         else:
             return False
         return True
 
-    def _per_ms(self) -> float:
-        """Return how often it is read at least, as far as counts of this size can tell."""
-        return max(
-            (count - math.sqrt(count)) / life for count, life in zip((self._short, self._long), LIVES, strict=True)
-        )
+    def _count(self, now: float, is_write: bool) -> None:
+        passed = max(0.0, now - self._updated_at)
+        long_decay = math.exp(-passed / LONG_LIFE)
+        self._short_reads = self._short_reads * math.exp(-passed / SHORT_LIFE) + (not is_write)
+        self._long_reads = self._long_reads * long_decay + (not is_write)
+        self._long_writes = self._long_writes * long_decay + is_write
+        self._updated_at = now
+
+    def _wanted_owners(self, demand: FleetDemand) -> float:
+        read_rate = self._min_read_rate() * demand.routers  # all routers get like parts of the traffic
+        writes = self._long_writes + PRIOR_READS * demand.write_share
+        write_rate = read_rate * writes / (self._long_reads + PRIOR_READS)
+        return min(demand.servers, read_rate / (1.0 / CACHED_TIME + write_rate) / MIN_REQUESTS)
+
+    def _min_read_rate(self) -> float:
+        """Return the lower bound of the reads per ms at this router."""
+        return max(_lower_bound(self._short_reads) / SHORT_LIFE, _lower_bound(self._long_reads) / LONG_LIFE)
+
+
+def _lower_bound(count: float) -> float:
+    return count - math.sqrt(count)
--- a/starlingthread/balance/rendezvous.py
+++ b/starlingthread/balance/rendezvous.py
@@ -1,8 +1,9 @@
-"""Which servers are a key's owners: weighted rendezvous hashing, the same at every router with the same list.
+"""The owners of a key: weighted rendezvous hashing, the same at every router with the same endpoint list.
 
-A hot key has more owners than a router keeps to. All routers draw the same many, and each keeps to few of them, by a
-hash of its own number: so the key's load is spread evenly over its owners without a word between routers, each owner
-still sees it often enough to keep it, and a router that thinks it less hot uses owners that the others use too.
+A hot key has more owners than one router uses. All routers compute the same owners, and each uses a few of them,
+selected by a hash that includes its own index: so the key's load is spread evenly over its owners without coordination,
+each owner still sees the key often enough to keep it cached, and a router that considers the key less hot uses owners
+that the others use too.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 from typing import NamedTuple
 
 MASK = (1 << 64) - 1
-LEAST = 1e-3  # a weight that draws next to nothing
+MIN_WEIGHT = 1e-3  # a server with less would never be selected, and one with 0 can't be scored
 
 
 def mix(value: int) -> int:
-    """Hash a number, the same at every router."""
+    """Hash a 64-bit number, the same at every router."""
     value = (value ^ (value >> 31)) * 0x9E3779B97F4A7C15 & MASK
     value = (value ^ (value >> 29)) * 0xBF58476D1CE4E5B9 & MASK
     return value ^ (value >> 32)
 
 
 class Candidate(NamedTuple):
-    """A server that may be an owner."""
+    """A server that may become an owner; its share of the keys is proportional to its weight."""
 
     salt: int
     weight: float
@@ -31,7 +32,7 @@
 
 
 class Owner(NamedTuple):
-    """An owner of a key: its rank for this router, and whether it is one of the zone's own."""
+    """An owner of a key: its rank for this router, and whether it was selected among the zone's servers."""
 
     number: int
     rank: int
@@ -39,40 +40,54 @@
 
 
 class Rendezvous:
-    """The servers from which owners are drawn: all, and those of this router's zone."""
+    """The candidates from which owners are selected: all servers, and those of this router's zone."""
 
-    __slots__ = ("_all", "_me", "_near", "default_owner_count", "version")
+    __slots__ = ("_fleet", "_router_salt", "_zone", "default_owner_count", "version")
 
-    def __init__(self, me: int, usual: int) -> None:
-        self.default_owner_count = usual  # owners of a key in each of the two groups
-        self.version = 0  # of the list
-        self._me = mix(me + 1)
-        self._all: list[Candidate] = []
-        self._near: list[Candidate] = []
+    def __init__(self, router_index: int, default_owner_count: int) -> None:
+        self.default_owner_count = default_owner_count  # owners of a key in each of the two groups
+        self.version = 0  # of the candidates
+        self._router_salt = mix(router_index + 1)
+        self._fleet: list[Candidate] = []
+        self._zone: list[Candidate] = []
 
-    def update(self, places: list[Candidate], near: list[Candidate]) -> None:
-        """Take in a new list; where all servers are near there is one group only."""
+    def update(self, fleet: list[Candidate], zone: list[Candidate]) -> None:
+        """Set the candidates; if all servers are in the zone there is only one group."""
         self.version += 1
-        self._all, self._near = (
-            [place._replace(weight=max(place.weight, LEAST)) for place in group]
-            for group in (places, near if len(near) < len(places) else [])
-        )
-
-    def owners(self, key: int, copies: int = 0) -> list[Owner]:
-        """Return a key's owners for this router (key: a 64-bit hash), the zone's first; copies: of a hot key."""
-        owners = []
-        for near, group in ((True, self._near), (False, self._all)):
-            share = math.ceil(copies * len(group) / len(self._all)) if group else 0
-            drawn = self._drawn(key, group)
-            if share > self.default_owner_count:
-                # Once more, by this router's own hash, among those that are the same at all.
-                drawn = self._drawn(key ^ self._me, [place for _, _, place in nlargest(share, drawn)])
-            owners += [
-                Owner(number, rank, near)
-                for rank, (_, number, _) in enumerate(nlargest(self.default_owner_count, drawn))
-            ]
-        return owners
-
-    @staticmethod
-    def _drawn(key: int, group: list[Candidate]) -> list[tuple[float, int, Candidate]]:
-        return [(math.log((mix(key ^ place.salt) + 1) / MASK) / place.weight, place.number, place) for place in group]
+        self._fleet = _with_min_weight(fleet)
+        self._zone = _with_min_weight(zone) if len(zone) < len(fleet) else []
+
+    def owners(self, key: int, owner_count: int = 0) -> list[Owner]:
+        """Return the owners that this router uses for a key (a 64-bit hash), those of the zone first.
+
+        owner_count: the owners of a hot key over the whole fleet; 0 for the default ones.
+        """
+        return [
+            *self._select(key, owner_count, self._zone, in_zone=True),
+            *self._select(key, owner_count, self._fleet, in_zone=False),
+        ]
+
+    def _select(self, key: int, owner_count: int, group: list[Candidate], in_zone: bool) -> list[Owner]:
+        scored = _score(key, group)
+        group_owner_count = math.ceil(owner_count * len(group) / len(self._fleet)) if group else 0
+        if group_owner_count > self.default_owner_count:
+            # Select again, by this router's own hash, among the owners that are the same at all routers.
+            shared_owners = [candidate for _, _, candidate in nlargest(group_owner_count, scored)]
+            scored = _score(key ^ self._router_salt, shared_owners)
+        selected = nlargest(self.default_owner_count, scored)
+        return [Owner(number, rank, in_zone) for rank, (_, number, _) in enumerate(selected)]
+
+
+def _with_min_weight(candidates: list[Candidate]) -> list[Candidate]:
+    return [candidate._replace(weight=max(candidate.weight, MIN_WEIGHT)) for candidate in candidates]
+
+
+def _score(key: int, group: list[Candidate]) -> list[tuple[float, int, Candidate]]:
+    """Return the score of each candidate, its number, which breaks ties, and the candidate.
+
+    The greatest scores select the owners. These are plain tuples as there is one per server for each new key.
+    """
+    return [
+        (math.log((mix(key ^ candidate.salt) + 1) / MASK) / candidate.weight, candidate.number, candidate)
+        for candidate in group
+    ]
--- a/starlingthread/limits/__init__.py
+++ b/starlingthread/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits: figures that the decision module asks for. No I/O, no clock: the time is handed in, in ms."""
+"""Limits: the figures that the decision module consults. No I/O, no clock: times are passed in, in ms."""
--- a/starlingthread/limits/budgets.py
+++ b/starlingthread/limits/budgets.py
@@ -1,45 +1,56 @@
-"""The budgets of descriptors and memory: how the limits are split among those who need some. No I/O, no clock.
+"""The budgets of file descriptors and memory: how the process's limits are shared out. No I/O, no clock.
 
-During an upgrade two processes hold a part of the limits each, and the sum of what both hold stays within them.
+During an upgrade two processes have a share of the limits each, and the sum of their budgets stays within the limits.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MB = 1 << 20
-OWN_SOCKETS = 24  # of the program: 12 at rest; calls of discovery, upgrades, and what is closed but not given back yet
-CALLS_SHARE = 1 / 32  # of the descriptors, for operators' calls at a time
-LEAST_CALLS = 4
+BYTES_PER_MB = 1 << 20
+PROCESS_DESCRIPTORS = 24  # 12 at rest; calls to discovery, upgrades, and what is closed but not yet released
+MANAGEMENT_SHARE = 1 / 32  # of the descriptors, for concurrent calls of operators
+MIN_MANAGEMENT_CONNECTIONS = 4
+MIN_CONNECTIONS = 16
 CLIENT_SHARE = 0.5  # of the rest for clients, whose requests need a third of all; the other half for servers
-COMFORTABLE = 0.16  # of all, for clients: they may hold a third, and those who ask need some free
-GROWTH = 1.25  # times its size at rest that the program takes with full tables and some hundred connections
-WHOLE_SHARE = 0.3  # of the memory that is left, for values that are held whole
-PIECES_SHARE = 0.2  # of the same, for values that go through in pieces, beyond one piece each
-LEAST_LEFT = 2.0  # MB that are taken to be left in any case: a router that holds nothing serves nothing
+IDLE_CLIENT_SHARE = 0.16  # of all, for clients; they may take a third, and new requests need some that are free
+MEMORY_GROWTH = 1.25  # memory of the process with full tables and some hundred connections, in terms of that at rest
+BUFFERED_SHARE = 0.3  # of the remaining memory, for values that are buffered completely
+STREAMED_SHARE = 0.2  # of the remaining memory, for streamed values beyond one chunk each
+MIN_REMAINING_MB = 2.0  # budgeted in any case: a router that can buffer nothing serves nothing
 
 
 class ResourceBudgets(NamedTuple):
-    """What each may hold: connections by their number, values by their bytes."""
+    """The budgets: connections by count, values by bytes."""
 
     max_clients: int
-    idle_client_threshold: int  # of clients, beyond which those that ask for nothing are closed sooner
+    idle_client_threshold: int  # connected clients beyond which idle ones are closed sooner
     server_connections: int
     management_connections: int
     buffered_values: int
     streamed_values: int
 
 
-def split_budgets(sockets: int, memory: float, own: float, part: float, called: bool) -> ResourceBudgets:
-    """Share out a part of the limits: descriptors, and memory in MB of which the program takes 'own' at rest.
+def split_budgets(
+    descriptors: int, memory_mb: float, idle_mb: float, share: float, has_management: bool
+) -> ResourceBudgets:
+    """Return the budgets of a process that may use a share (0 to 1) of the limits.
 
-    'called' tells whether operators may call; if not, nothing is kept for them.
+    idle_mb: what the process uses at rest; has_management: whether operators may connect, else no descriptors are
+    reserved for them.
     """
-    ours = int(sockets * part)
-    calls = max(LEAST_CALLS, int(ours * CALLS_SHARE)) if called else 0
-    left = max(16, ours - OWN_SOCKETS - calls)
-    clients = int(left * CLIENT_SHARE)
-    spare = max(LEAST_LEFT, memory * part - own * GROWTH) * MB
+    own_descriptors = int(descriptors * share)
+    management = 0
+    if has_management:
+        management = max(MIN_MANAGEMENT_CONNECTIONS, int(own_descriptors * MANAGEMENT_SHARE))
+    connections = max(MIN_CONNECTIONS, own_descriptors - PROCESS_DESCRIPTORS - management)
+    clients = int(connections * CLIENT_SHARE)
+    remaining_bytes = max(MIN_REMAINING_MB, memory_mb * share - idle_mb * MEMORY_GROWTH) * BYTES_PER_MB
     return ResourceBudgets(
-        clients, int(ours * COMFORTABLE), left - clients, calls, int(spare * WHOLE_SHARE), int(spare * PIECES_SHARE)
+        max_clients=clients,
+        idle_client_threshold=int(own_descriptors * IDLE_CLIENT_SHARE),
+        server_connections=connections - clients,
+        management_connections=management,
+        buffered_values=int(remaining_bytes * BUFFERED_SHARE),
+        streamed_values=int(remaining_bytes * STREAMED_SHARE),
     )
--- a/starlingthread/limits/concurrency.py
+++ b/starlingthread/limits/concurrency.py
@@ -1,53 +1,59 @@
-"""How many requests one server may have from this router at once, learned from what it answers.
-
-Nothing tells how many cores a server has, how long its queue is or how much of it other routers take. What shows is
-how long answers wait, and what is turned away. So the limit follows the share of bad ones: it grows a little with each
-good answer and shrinks more with each bad one, and so settles where one in UP / (UP + DOWN) is bad. Both steps are the
-same for each answer, so a server with 64 cores, which answers 64 times as often, is found as soon as one with one.
-The idea is TCP's (Jacobson, "Congestion Avoidance and Control", 1988); the steps are those that track a quantile
-(Robbins and Monro, "A Stochastic Approximation Method", 1951), as single answers say little: work varies.
+"""An adaptive concurrency limit: how many requests of this router one server may have in flight.
+
+The number of a server's cores, the length of its queue and the load from other routers are unknown. What is observable
+is the latency of responses, and rejections. So the limit follows the share of failures: it grows a little with each
+success and shrinks more with each failure, and settles where one response in INCREASE / (INCREASE + DECREASE) fails.
+Both steps are constant per response, so the limit of a server with 64 cores, which responds 64 times as often, is found
+as fast as that of a server with one core. The idea is TCP's (Jacobson, "Congestion Avoidance and Control", 1988); the
+steps are those that track a quantile (Robbins and Monro, "A Stochastic Approximation Method", 1951), as a single
+response says little: service times vary.
 """
 
 from __future__ import annotations
 
 import math
 
-FIRST = 8.0  # won back also while few are out, as a few bad ones tell little
-LEAST = 1.0  # one may always be out: who asks nothing never learns that a server is well again
-UP, DOWN = 0.1, 0.5  # for each good answer and each bad one
-USED = 0.5  # of the limit has to be out for a good answer to raise it: else it says nothing of more
+SAFE_LIMIT = 8.0  # recovered also while few requests are in flight, as a few failures say little
+DEFAULT_MINIMUM = 1.0  # one request is always allowed, to find out that the server has recovered
+INCREASE = 0.1  # for each success
+DECREASE = 0.5  # for each failure
+MIN_UTILIZATION = 0.5  # of the limit; a success at a lower one says nothing about a higher limit
 
 
 class ConcurrencyLimit:
-    """The limit of one server; none until something bad was seen."""
+    """The limit of one server; infinite until the first failure."""
 
-    __slots__ = ("minimum", "limit")
+    __slots__ = ("limit", "minimum")
 
-    def __init__(self, least: float = LEAST) -> None:
-        self.limit, self.minimum = math.inf, least
+    def __init__(self, minimum: float = DEFAULT_MINIMUM) -> None:
+        self.limit = math.inf
+        self.minimum = minimum
 
     @property
     def is_learned(self) -> bool:
-        """Whether anything has shown yet where the limit lies."""
+        """Whether the limit has been learned, which takes a failure."""
         return math.isfinite(self.limit)
 
-    def slots(self, guess: float) -> float:
-        """Return how many it is taken to work on side by side: the limit, or a guess while that is not known."""
-        return self.limit if self.is_learned else guess
+    def slots(self, default: float) -> float:
+        """Return the number of requests that the server can process concurrently; the default if it is not learned."""
+        return self.limit if self.is_learned else default
 
-    def on_success(self, out: float) -> None:
-        """Take in an answer in good time to what was sent as the out-th that this server had from us."""
-        if out >= self.limit * USED or self.limit < FIRST:
-            self.limit += UP
+    def on_success(self, in_flight: float) -> None:
+        """Record a response in good time to a request that was sent as the in_flight-th one in flight."""
+        if in_flight >= self.limit * MIN_UTILIZATION or self.limit < SAFE_LIMIT:
+            self.limit += INCREASE
 
-    def on_failure(self, out: float) -> None:
-        """Take in one that waited too long, or never came; so many were out then, where nothing else is known."""
-        self.limit = max(self.minimum, min(self.limit, max(FIRST, out)) - DOWN)
+    def on_failure(self, in_flight: float) -> None:
+        """Record a late or missing response; if the limit is not learned, it starts at the number in flight."""
+        self.limit = max(self.minimum, min(self.limit, max(SAFE_LIMIT, in_flight)) - DECREASE)
 
-    def on_rejection(self, out: float) -> None:
-        """Take in that it turned away what was sent as the out-th: that many are too many."""
-        self.limit = max(self.minimum, min(self.limit, out) - DOWN)
+    def on_rejection(self, in_flight: float) -> None:
+        """Record a rejection of the in_flight-th request in flight: that many exceed the server's capacity."""
+        self.limit = max(self.minimum, min(self.limit, in_flight) - DECREASE)
 
-    def allows(self, out: float, draw: float = 0.0) -> bool:
-        """Tell whether one more may go where so many are out; a part of one by a number in [0, 1) drawn at random."""
-        return out + draw < self.limit
+    def allows(self, in_flight: float, random: float = 0.0) -> bool:
+        """Tell whether one more request may be sent.
+
+        random: a random number in [0, 1); by it a limit with a fraction allows one more request at that probability.
+        """
+        return in_flight + random < self.limit
--- a/starlingthread/limits/hedging.py
+++ b/starlingthread/limits/hedging.py
@@ -1,12 +1,12 @@
-"""Which request that is still out gets a second copy at another server, and how many may. Times are ms.
-
-Guards against servers that stand still or vanish, and against connections on which nothing comes any more: a time-out
-at the deadline is too late for these (Dean and Barroso, "The Tail at Scale", 2013). A server that is at work, or that
-waits for the origin, would only do the same twice and fetch it again. One that has said nothing since is at rest, as
-far as we know. Where it answers others, single work may be long or a connection may be dead; which of the two shows
-only in how such requests end, so that is learned. Once it shows that requests get lost, more of them are copied, also
-those that may have been fetches and are out for far longer than a fetch, and what got lost tells nothing of how much
-the server or the origin bears.
+"""Hedged requests: which outstanding request is sent to a second server as well, and how often. Times are ms.
+
+Hedging covers servers that stall or vanish, and connections that are dead: a time-out at the deadline is too late for
+these (Dean and Barroso, "The Tail at Scale", 2013). A server that is working, or waiting for the origin, would only do
+the work twice and fetch it again. A server that has been silent since the request was sent is taken for stalled. If it
+responds to other requests, either this request takes long or its connection is dead; which of the two is learned from
+how such requests end. Once requests are found to get lost, more of them are hedged, also those that may be fetches and
+have been outstanding for far longer than a fetch takes, and a lost request says nothing of the capacity of the server
+or of the origin.
 """
 
 from __future__ import annotations
@@ -14,48 +14,57 @@
 from ..events import AttemptResult
 from .outliers import OutlierDetector
 
-AFTER = 0.65  # of the aim; what is out longer may get a copy; later still if it was uncounted
-UNCOUNTED = 1.2  # times that
-CACHED = 0.5  # chance of being kept from which what waits so long doesn't wait for the origin
-DEAD = 0.5  # share of those looked at that were never answered from which copies pay
-GAIN = 0.05  # weight of one of them in that share
-LET_BE = 0.1  # share of them that gets no copy all the same, to learn when they are answered again
-SHARE, MOST = 0.03, 6.0  # second copies for each request that is sent, and how many may be saved up
-LOST_SHARE = 0.15  # likewise while requests are seen to get lost: the first attempt costs nothing then
-OVERDUE = 2.0  # times that a request and a fetch take, after which it is likely no fetch that is waited for
+HEDGE_DELAY = 0.65  # of the latency objective, after which a request may be hedged
+UNCOUNTED_DELAY_FACTOR = 1.2  # applied to the delay for a server that has not counted the key
+MIN_HIT_PROBABILITY = 0.5  # from which a long wait is not put down to a fetch from the origin
+MIN_LOST_SHARE = 0.5  # of the checked requests that never got a response, from which hedging them pays
+LOST_SHARE_GAIN = 0.05  # weight of one request in that share
+EXPLORATION_SHARE = 0.1  # of these requests that are not hedged, to learn when responses come again
+EARNED_TOKENS = 0.03  # hedges per first attempt
+EARNED_TOKENS_WHEN_LOSING = 0.15  # likewise while requests get lost: the first attempt then costs the server nothing
+MAX_TOKENS = 6.0
+MAX_OVERDUE_RATIO = 2.0  # times the expected time of a request and a fetch; beyond, a fetch is an unlikely cause
 
 
 class HedgeBudget:
-    """What second copies may be sent, and for whom they are worth their work."""
+    """A token bucket of hedged requests, and the share of checked requests that got lost."""
 
     __slots__ = ("lost_share", "tokens")
 
     def __init__(self) -> None:
         self.tokens = 0.0
-        self.lost_share = (
-            0.0  # share of the requests looked at, at servers that answered others, that were never answered
-        )
+        self.lost_share = 0.0  # of the requests checked at servers that responded to others: those without a response
+
+    @property
+    def _is_losing(self) -> bool:
+        return self.lost_share > MIN_LOST_SHARE
 
-    def on_first_attempt(self, aim: float, counted: bool) -> float:
-        """Take in a first attempt, which earns a part of a copy; return after how long to look at it."""
-        self.tokens = min(MOST, self.tokens + (LOST_SHARE if self.lost_share > DEAD else SHARE))
-        return AFTER * aim * (1.0 if counted else UNCOUNTED)
+    def on_first_attempt(self, latency_objective: float, counted: bool) -> float:
+        """Record a first attempt, which earns a part of a hedge; return the delay after which to check it."""
+        earned = EARNED_TOKENS_WHEN_LOSING if self._is_losing else EARNED_TOKENS
+        self.tokens = min(MAX_TOKENS, self.tokens + earned)
+        return HEDGE_DELAY * latency_objective * (1.0 if counted else UNCOUNTED_DELAY_FACTOR)
 
-    def is_worthwhile(self, sent_at: float, outliers: OutlierDetector, chance: float, over: float, draw: float) -> bool:
-        """Tell whether what was sent then, and is cached by this chance, is worth a copy; 'draw' is in [0, 1).
+    def is_worthwhile(
+        self, sent_at: float, outliers: OutlierDetector, hit_probability: float, overdue_ratio: float, random: float
+    ) -> bool:
+        """Tell whether to hedge an outstanding request.
 
-        over: times that it is out already what a request and a fetch take.
+        hit_probability: that its server has the value cached; overdue_ratio: the time since sent_at in terms of the
+        expected time of a request and a fetch; random: a random number in [0, 1).
         """
         if self.tokens < 1:
             return False
-        overdue = chance > CACHED or over > OVERDUE
-        return outliers.last_response_at <= sent_at or (overdue and self.lost_share > DEAD and draw >= LET_BE)
+        if outliers.last_response_at <= sent_at:
+            return True
+        is_overdue = hit_probability > MIN_HIT_PROBABILITY or overdue_ratio > MAX_OVERDUE_RATIO
+        return is_overdue and self._is_losing and random >= EXPLORATION_SHARE
 
     def is_lost(self, result: AttemptResult, sent_at: float, outliers: OutlierDetector) -> bool:
-        """Tell whether what ended so got lost by itself, while its server answered what was sent later."""
-        return result == AttemptResult.TIMEOUT and self.lost_share > DEAD and outliers.last_answered_sent_at > sent_at
+        """Tell whether a request got lost by itself, as its server answered requests that were sent later."""
+        return result == AttemptResult.TIMEOUT and self._is_losing and outliers.last_answered_sent_at > sent_at
 
-    def on_outcome(self, result: AttemptResult, chance: float) -> None:
-        """Take in how one ended that was looked at and got no copy."""
-        if chance > CACHED and result in (AttemptResult.OK, AttemptResult.TIMEOUT):
-            self.lost_share += ((result == AttemptResult.TIMEOUT) - self.lost_share) * GAIN
+    def on_outcome(self, result: AttemptResult, hit_probability: float) -> None:
+        """Record the outcome of a request that was checked and not hedged."""
+        if hit_probability > MIN_HIT_PROBABILITY and result in (AttemptResult.OK, AttemptResult.TIMEOUT):
+            self.lost_share += ((result == AttemptResult.TIMEOUT) - self.lost_share) * LOST_SHARE_GAIN
--- a/starlingthread/limits/limit_adjustment.py
+++ b/starlingthread/limits/limit_adjustment.py
@@ -1,4 +1,4 @@
-"""What one outcome says of how many may be out: at the server that gave it, or at the origin behind it."""
+"""How the outcome of an attempt adjusts the limits of its server and of the origin."""
 
 from __future__ import annotations
 
@@ -6,39 +6,43 @@
 from .concurrency import ConcurrencyLimit
 from .origin_limit import OriginLimit
 
-LATE = 0.5  # of the aim; who waits longer at a server than this leaves no time to make up for it elsewhere
+LATE_SHARE = 0.5  # of the latency objective; a longer wait at one server leaves no time for another attempt
 
 
 def adjust_limits(
     server: ConcurrencyLimit,
-    fetches: OriginLimit,
+    origin: OriginLimit,
     event: Outcome,
-    out: int,
-    fetch: float,
-    cost: float,
-    aim: float,
-    usual: float,
+    in_flight: int,
+    fetch_probability: float,
+    expected_time: float,
+    latency_objective: float,
+    typical_fetch_time: float,
 ) -> None:
-    """Take in an outcome of an attempt.
+    """Adjust the limits by the outcome of an attempt. Times are ms.
 
-    out: its number among those out at the server; fetch: the chance, as it was seen, that it had to ask the origin;
-    cost: the time that it was expected to take there, and aim: that of its class, in ms; usual: that of a fetch,
-    infinite where the server has said nothing since. What failed in less never was at the origin, and what a silent
-    server owes tells nothing of it: a few servers that fail at once, or a lost zone, made all routers refuse fetches.
+    in_flight: the attempt's number among those in flight at the server; fetch_probability: that it had to fetch from
+    the origin, as estimated when it was sent; expected_time: as estimated then; latency_objective: of its class;
+    typical_fetch_time: infinite if the server has been silent since. An attempt that failed faster than a fetch never
+    reached the origin, and the silence of a server says nothing about the origin: a few servers that failed at once,
+    or a lost zone, once made all routers reject fetches.
     """
     result = event.result
     if result == AttemptResult.FULL:
-        server.on_rejection(out)
-    elif result == AttemptResult.OK and (
-        event.cache_status == CacheStatus.MISS or (fetch >= 1 and event.cache_status != CacheStatus.HIT)
-    ):
-        fetches.on_fetch(True, event.elapsed, aim)
-    elif result == AttemptResult.ERROR or (result == AttemptResult.TIMEOUT and fetch > 0.5):
-        if event.elapsed >= usual:
-            fetches.on_fetch(False, event.elapsed, aim)
-    elif result in (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED) or (
-        result == AttemptResult.OK and event.elapsed > max(cost, LATE * aim)
-    ):
-        server.on_failure(out)
+        server.on_rejection(in_flight)
+    elif result == AttemptResult.OK and _was_fetch(event.cache_status, fetch_probability):
+        origin.on_fetch(True, event.elapsed, latency_objective)
+    elif result == AttemptResult.ERROR or (result == AttemptResult.TIMEOUT and fetch_probability > 0.5):
+        if event.elapsed >= typical_fetch_time:
+            origin.on_fetch(False, event.elapsed, latency_objective)
+    elif result in (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED):
+        server.on_failure(in_flight)
     elif result == AttemptResult.OK:
-        server.on_success(out)
+        if event.elapsed > max(expected_time, LATE_SHARE * latency_objective):
+            server.on_failure(in_flight)
+        else:
+            server.on_success(in_flight)
+
+
+def _was_fetch(status: CacheStatus | None, fetch_probability: float) -> bool:
+    return status == CacheStatus.MISS or (fetch_probability >= 1 and status != CacheStatus.HIT)
--- a/starlingthread/limits/machine_speed.py
+++ b/starlingthread/limits/machine_speed.py
@@ -1,41 +1,46 @@
-"""How fast the kinds of machine are beside each other, learned from their answers.
+"""The relative speed of the kinds of machine, learned from their response times.
 
-A list may give the same weight to machines of which one kind is half as fast again as the other. A server's own
-answers are too few to tell, where there are many servers and many routers; those of a kind are many, so all routers
-come to the same figures and go on to name the same owners.
+The endpoint list may give the same weight to kinds of which one is half as fast again as the other. The responses of
+one server are too few to tell where there are many servers and many routers; those of a kind are many, so all routers
+come to the same figures and keep computing the same owners.
 """
 
 from __future__ import annotations
 
 import math
 
-GAIN = 0.005  # how far one answer moves a kind's figure; more while there were few
-STEP = 1.1  # figures are used when one has moved this far, so that owners seldom move
-ENOUGH = 50  # answers of a kind before it counts
+MIN_GAIN = 0.005  # weight of one response in a kind's mean; greater while there are few
+UPDATE_RATIO = 1.1  # change of a speed at which all are updated, so that owners seldom move
+MIN_RESPONSES = 50  # of a kind before its speed is used
+MIN_RESPONSE_TIME = 1e-3  # ms
 
 
 class MachineSpeeds:
-    """A time for each kind, as the logarithm of ms of the same work; speeds are those beside the quickest kind."""
+    """The mean logarithm of the response time (ms) of each kind, and the speeds relative to the fastest kind."""
 
     def __init__(self) -> None:
-        self._time: dict[int, float] = {}
-        self._seen: dict[int, int] = {}
-        self._used: dict[int, float] = {}
+        self._mean_log_time: dict[int, float] = {}
+        self._response_count: dict[int, int] = {}
+        self._speeds: dict[int, float] = {}
 
     def observe(self, kind: int, elapsed: float) -> bool:
-        """Take in the time of an answer; tell whether the speeds have changed by a step."""
-        self._seen[kind] = self._seen.get(kind, 0) + 1
-        time = self._time.get(kind, 0.0)
-        # The mean of logarithms: times have long tails, which the few answers of one router would not even out.
-        self._time[kind] = time + (math.log(max(elapsed, 1e-3)) - time) * max(GAIN, 1.0 / self._seen[kind])
-        known = {k: t for k, t in self._time.items() if self._seen[k] >= ENOUGH}
-        least = min(known.values(), default=0.0)
-        speeds = {k: math.exp(least - t) for k, t in known.items()}
-        if all(1 / STEP < speeds[k] / self._used.get(k, 1.0) < STEP for k in speeds):
+        """Record a response time in ms; tell whether the speeds have been updated."""
+        self._record(kind, elapsed)
+        known = {k: time for k, time in self._mean_log_time.items() if self._response_count[k] >= MIN_RESPONSES}
+        fastest = min(known.values(), default=0.0)
+        speeds = {k: math.exp(fastest - time) for k, time in known.items()}
+        if all(1 / UPDATE_RATIO < speed / self._speeds.get(k, 1.0) < UPDATE_RATIO for k, speed in speeds.items()):
             return False
-        self._used = speeds
+        self._speeds = speeds
         return True
 
+    def _record(self, kind: int, elapsed: float) -> None:
+        # The mean of logarithms: times have long tails, which the few responses of one router would not even out.
+        self._response_count[kind] = self._response_count.get(kind, 0) + 1
+        gain = max(MIN_GAIN, 1.0 / self._response_count[kind])
+        mean = self._mean_log_time.get(kind, 0.0)
+        self._mean_log_time[kind] = mean + (math.log(max(elapsed, MIN_RESPONSE_TIME)) - mean) * gain
+
     def speed(self, kind: int) -> float:
-        """Return the speed of a kind beside the quickest one's; 1 as long as nothing is known."""
-        return self._used.get(kind, 1.0)
+        """Return the speed of a kind relative to the fastest one; 1 if it is not known yet."""
+        return self._speeds.get(kind, 1.0)
--- a/starlingthread/limits/origin_limit.py
+++ b/starlingthread/limits/origin_limit.py
@@ -1,10 +1,11 @@
-"""How many fetches from the origin this router may cause at once, where cache servers fetch what they lack.
-
-Which request is a fetch shows only in its answer, so each counts by how likely it is one. The limit is learned as one
-server's is (`limits/concurrency.py`): from the times and the failures of what turned out to be fetches. So it is the
-origin's room itself that is learned, not how many failures there were, and it opens within some answers of a jam's
-end: a gate that opens by the clock kept refusing for seconds what the origin could serve, and what is refused is
-cached nowhere. While fetches are refused, keys give up their copies (`limits/replicas.py`), which are fetched again.
+"""The limit on concurrent fetches from the origin that this router causes, where cache servers fetch what they miss.
+
+Whether a request causes a fetch is known only from its response, so each request counts by its probability of being
+one. The limit is learned as a server's is (`limits/concurrency.py`), from the latency and the failures of what turned
+out to be fetches. So it follows the origin's capacity itself and not the number of failures, and opens within some
+responses of the end of an overload: a gate that opened by the clock went on for seconds to reject what the origin could
+serve, and what is rejected is cached nowhere. While fetches are rejected, keys give up their replicas
+(`limits/replicas.py`), each of which is a further fetch.
 """
 
 from __future__ import annotations
@@ -12,46 +13,49 @@
 from .concurrency import ConcurrencyLimit
 from .replicas import ReplicaLimit
 
-LEAST = 0.2  # at once: who asks for none never learns that the origin is well again
-LATE = 0.9  # of the aim; a fetch that takes longer earns nothing: the origin has too many
-GAIN = 0.05  # weight of one likely fetch in the share of them that is refused
+MINIMUM = 0.2  # concurrent fetches; more than none, to find out that the origin has recovered
+LATE_SHARE = 0.9  # of the latency objective; a slower fetch shows that the origin is overloaded
+REJECTED_SHARE_GAIN = 0.05  # weight of one likely fetch in the share of them that is rejected
+LIKELY_FETCH = 0.5  # probability beyond which a request counts as a likely fetch
 
 
 class OriginLimit:
-    """What is out at the origin on our account, as far as we know, and how much may be."""
+    """The fetches of this router that are probably in flight, and the limit on them."""
 
-    __slots__ = ("replicas", "limit", "in_flight", "rejected_share")
+    __slots__ = ("in_flight", "limit", "rejected_share", "replicas")
 
     def __init__(self) -> None:
-        self.in_flight = 0.0  # sum of the chances that what is out is a fetch
-        self.rejected_share = 0.0  # share of likely fetches that were refused lately
-        self.limit, self.replicas = ConcurrencyLimit(LEAST), ReplicaLimit()
+        self.in_flight = 0.0  # sum of the fetch probabilities of all requests in flight
+        self.rejected_share = 0.0  # of the recent likely fetches
+        self.limit = ConcurrencyLimit(MINIMUM)
+        self.replicas = ReplicaLimit()
 
-    def allows(self, now: float, chance: float, draw: float, write: bool = False) -> bool:
-        """Tell whether what is a fetch by this chance may go; what hardly is one counts for little.
+    def allows(self, now: float, fetch_probability: float, random: float, is_write: bool = False) -> bool:
+        """Tell whether a request may be sent, by its probability of causing a fetch and a random number in [0, 1).
 
-        A write has no other place to go, and is not asked for again less often once it is refused, as a key is once
-        it is cached. So fetches make room for writes, which are thinned only while the origin bears less than one
-        thing at a time from us: else they fail there, and hold the servers' places until they do.
+        A write cannot be served elsewhere, and rejecting it does not make the next one rarer, as caching a key does. So
+        writes have precedence over fetches and are thinned out only while the origin has capacity for less than one
+        request of ours: else they fail there, and occupy the servers' slots until they do.
         """
-        allowed = self.limit.allows(0.0 if write else self.in_flight * chance, draw * chance)
-        if chance > 0.5 and not write:
-            self.rejected_share += ((not allowed) - self.rejected_share) * GAIN
+        in_flight = 0.0 if is_write else self.in_flight * fetch_probability
+        allowed = self.limit.allows(in_flight, random * fetch_probability)
+        if fetch_probability > LIKELY_FETCH and not is_write:
+            self.rejected_share += ((not allowed) - self.rejected_share) * REJECTED_SHARE_GAIN
             self.replicas.observe(now, self.rejected_share)
         return allowed
 
-    def on_sent(self, chance: float) -> float:
-        """Take in that something went out that is a fetch by this chance; return the chance."""
-        self.in_flight += chance
-        return chance
+    def on_sent(self, fetch_probability: float) -> float:
+        """Record that a request was sent; return its fetch probability, to be passed to on_finished."""
+        self.in_flight += fetch_probability
+        return fetch_probability
 
-    def on_finished(self, chance: float) -> None:
-        """Take in that it is over, one way or the other."""
-        self.in_flight = max(0.0, self.in_flight - chance)
+    def on_finished(self, fetch_probability: float) -> None:
+        """Record that a request has ended, whatever its outcome."""
+        self.in_flight = max(0.0, self.in_flight - fetch_probability)
 
-    def on_fetch(self, served: bool, elapsed: float, aim: float) -> None:
-        """Take in a fetch that was served or not after so many ms; the aim of its class is in ms too."""
-        if not served or elapsed > LATE * aim:
+    def on_fetch(self, served: bool, elapsed: float, latency_objective: float) -> None:
+        """Record whether a fetch succeeded, the ms that it took, and the latency objective (ms) of its class."""
+        if not served or elapsed > LATE_SHARE * latency_objective:
             self.limit.on_failure(self.in_flight)
         else:
             self.limit.on_success(self.in_flight)
--- a/starlingthread/limits/origin_throttle.py
+++ b/starlingthread/limits/origin_throttle.py
@@ -1,4 +1,4 @@
-"""How hard the origin is pressed, as far as the answers that one router gets can tell. Times are ms."""
+"""The pressure on the origin, as far as the responses that one router gets show it. Times are ms."""
 
 from __future__ import annotations
 
@@ -6,49 +6,56 @@
 
 from ..events import AttemptResult
 
-PRESSURE_LIFE = 7000.0  # ms; half-life of what we remember of the origin's answers
-ALARM = 0.25  # what one bad fetch adds to the pressure at once; a quick one takes a fifth off
-SLOW_FETCH = 4.0  # a fetch that took this many times the usual does not count as served
-PRESSURE_GAIN = 1.5  # the origin may be asked for this many times what it serves, not for more
+MEMORY_HALF_LIFE = 7000.0  # ms; of the counts of fetches
+ALARM_STEP = 0.25  # added to the alarm by each bad fetch
+ALARM_RECOVERY = 0.8  # factor on the alarm for each good fetch
+SLOW_FETCH_FACTOR = 4.0  # times the typical fetch time from which a fetch does not count as served
+MAX_REQUEST_RATIO = 1.5  # requested fetches per served one that put no pressure on the origin
+TYPICAL_GAIN_UP = 0.02  # weight of a slower fetch in the typical fetch time
+TYPICAL_GAIN_DOWN = 0.1  # weight of a faster one: fast fetches show what the origin can do
 
 
 class OriginThrottle:
-    """How hard the origin is pressed, learned from its answers alone: asked for against served in time."""
-
-    def __init__(self, first_guess: float) -> None:
-        self.typical_fetch_time = first_guess  # ms of a fetch when all is well
-        self.asked, self.served, self.alarm, self.at = 0.0, 0.0, 0.0, 0.0
-
-    def _age(self, now: float) -> None:
-        fade = math.exp2((self.at - now) / PRESSURE_LIFE)
-        self.asked, self.served, self.at = self.asked * fade, self.served * fade, now
-        self.alarm *= fade * fade
+    """The pressure on the origin: the fetches requested against those served in time, with decaying counts."""
+
+    def __init__(self, initial_fetch_time: float) -> None:
+        self.typical_fetch_time = initial_fetch_time  # ms; while the origin is not overloaded
+        self._requested = 0.0
+        self._served = 0.0
+        self._alarm = 0.0
+        self._updated_at = 0.0
+
+    def _decay(self, now: float) -> None:
+        factor = math.exp2((self._updated_at - now) / MEMORY_HALF_LIFE)
+        self._requested *= factor
+        self._served *= factor
+        self._alarm *= factor * factor
+        self._updated_at = now
 
     def pressure(self, now: float) -> float:
-        """Return the present pressure: 0 while most is served, near 1 when next to nothing is."""
-        self._age(now)
-        return max(self.alarm, (self.asked - PRESSURE_GAIN * self.served) / (self.asked + 1))
+        """Return the present pressure: 0 while most fetches are served, near 1 when next to none is."""
+        self._decay(now)
+        return max(self._alarm, (self._requested - MAX_REQUEST_RATIO * self._served) / (self._requested + 1))
 
     def on_rejection(self, now: float) -> None:
-        """Count what we kept from the origin ourselves, that pressure lasts while the want does."""
-        self._age(now)
-        self.asked += 1
+        """Record a fetch that this router rejected itself, so that the pressure lasts as long as the demand."""
+        self._decay(now)
+        self._requested += 1
 
     def on_outcome(self, now: float, result: AttemptResult, elapsed: float) -> None:
-        """Take in how something that we sent to the origin ourselves ended, after so many ms."""
+        """Record the outcome of a request that this router sent to the origin, and the ms that it took."""
         if result not in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             self.observe(now, result == AttemptResult.OK, elapsed)
 
-    def observe(self, now: float, fine: bool, elapsed: float, enough: float = 0.0) -> None:
-        """Take in an answer, or the lack of one; what came within 'enough' ms is never too slow."""
-        self._age(now)
-        self.asked += 1
-        # A queue shows in the time before it fails.
-        quick = fine and elapsed < max(enough, SLOW_FETCH * self.typical_fetch_time)
-        self.served += quick
-        # Guards against a jam that a balancer with a fetch every other second would count too late.
-        self.alarm = self.alarm * 0.8 if quick else min(1.0, self.alarm + ALARM)
-        if fine:
-            self.typical_fetch_time += (elapsed - self.typical_fetch_time) * (
-                0.02 if elapsed > self.typical_fetch_time else 0.1
-            )
+    def observe(self, now: float, success: bool, elapsed: float, fast_enough: float = 0.0) -> None:
+        """Record a fetch; one that took less than fast_enough ms never counts as slow."""
+        self._decay(now)
+        self._requested += 1
+        # An overload shows in the latency before fetches fail.
+        served = success and elapsed < max(fast_enough, SLOW_FETCH_FACTOR * self.typical_fetch_time)
+        self._served += served
+        # The counts react too late in a router that sends a fetch every other second; the alarm does not.
+        self._alarm = self._alarm * ALARM_RECOVERY if served else min(1.0, self._alarm + ALARM_STEP)
+        if success:
+            gain = TYPICAL_GAIN_UP if elapsed > self.typical_fetch_time else TYPICAL_GAIN_DOWN
+            self.typical_fetch_time += (elapsed - self.typical_fetch_time) * gain
--- a/starlingthread/limits/outliers.py
+++ b/starlingthread/limits/outliers.py
@@ -1,4 +1,4 @@
-"""Whether a server is left alone for a while as it fails again and again. Times are ms."""
+"""Outlier detection: servers that fail repeatedly are ejected for a while. Times are ms."""
 
 from __future__ import annotations
 
@@ -6,51 +6,60 @@
 
 from ..events import AttemptResult
 
-BACK_OFF = 250.0  # ms; pause after a server failed; doubles, up to 16 times this
-SPOILT = 3  # failures in a row, each sent after the one before was known, that show a server to be at fault
-UNREACHED = 2  # connections in a row that never came up, likewise
+BASE_EJECTION_TIME = 250.0  # ms; doubled for each further failure
+MAX_EJECTION_DOUBLINGS = 4
+MAX_CONSECUTIVE_FAILURES = 3  # each sent after the one before was known; as many show a fault of the server
+MAX_CONSECUTIVE_CONNECT_FAILURES = 2  # likewise for connections that could not be established
+RESPONSES = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.MISS)
 
 
 class OutlierDetector:
-    """What one server's failures in a row say of it.
+    """The consecutive failures of one server, and its ejection.
 
-    Guards against leaving out half a fleet because single answers are spoilt or connections break, which scatters
-    its keys and jams the origin; and against counting what was out when it failed once more.
+    Single failures eject no server: corrupt responses and broken connections occur everywhere, and ejecting half a
+    fleet for them scatters its keys and overloads the origin. Nor do the requests count again that were in flight when
+    the server failed.
     """
 
     __slots__ = (
-        "last_answered_sent_at",
+        "consecutive_failures",
         "ejected_until",
+        "last_answered_sent_at",
         "last_failure_at",
-        "consecutive_failures",
         "last_response_at",
     )
 
     def __init__(self) -> None:
-        self.consecutive_failures, self.last_failure_at, self.ejected_until = 0, -math.inf, -math.inf
-        self.last_answered_sent_at = -math.inf  # when the last attempt was sent that it has answered
-        self.last_response_at = -math.inf  # when it said anything last
+        self.consecutive_failures = 0
+        self.last_failure_at = -math.inf
+        self.ejected_until = -math.inf
+        self.last_answered_sent_at = -math.inf  # when the latest of the answered attempts was sent
+        self.last_response_at = -math.inf  # of any kind, also an error or a rejection
 
     def on_outcome(self, now: float, sent_at: float, result: AttemptResult) -> bool:
-        """Take in an outcome of what was sent then; tell whether the server has said anything since."""
-        if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.MISS):
+        """Record the outcome of an attempt; tell whether the server has responded to anything since sent_at."""
+        if result in RESPONSES:
             self.last_response_at = now
         return self.last_response_at >= sent_at
 
     def on_success(self, sent_at: float) -> None:
-        """Take in an answer to what was sent then."""
-        self.consecutive_failures, self.last_answered_sent_at = 0, max(self.last_answered_sent_at, sent_at)
+        """Record an answer to an attempt that was sent at that time."""
+        self.consecutive_failures = 0
+        self.last_answered_sent_at = max(self.last_answered_sent_at, sent_at)
 
-    def on_failure(self, now: float, sent_at: float, unreached: bool, spread: float) -> None:
-        """Take in a failure of what was sent then; 'spread' (0.7 to 1.3) keeps routers out of step."""
+    def on_failure(self, now: float, sent_at: float, connect_failed: bool, jitter: float) -> None:
+        """Record a failure of an attempt; the jitter (0.7 to 1.3) keeps routers from returning at the same time."""
         if sent_at <= max(self.last_failure_at, self.last_answered_sent_at):
             return
-        self.consecutive_failures, self.last_failure_at = self.consecutive_failures + 1, now
-        beyond = self.consecutive_failures - (UNREACHED if unreached else SPOILT)
-        if beyond >= 0:
-            self.ejected_until = now + BACK_OFF * float(1 << min(beyond, 4)) * spread
+        self.consecutive_failures += 1
+        self.last_failure_at = now
+        allowed = MAX_CONSECUTIVE_CONNECT_FAILURES if connect_failed else MAX_CONSECUTIVE_FAILURES
+        excess = self.consecutive_failures - allowed
+        if excess >= 0:
+            factor = float(1 << min(excess, MAX_EJECTION_DOUBLINGS))
+            self.ejected_until = now + BASE_EJECTION_TIME * factor * jitter
 
     @property
     def is_faulty(self) -> bool:
-        """Whether it has failed often enough to be at fault."""
-        return self.consecutive_failures >= SPOILT
+        """Whether the server has failed often enough to be considered at fault."""
+        return self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
--- a/starlingthread/limits/replicas.py
+++ b/starlingthread/limits/replicas.py
@@ -1,41 +1,46 @@
-"""How many owners a key has: many while the origin has room, few while it has none.
+"""How many owners a key has: many while the origin has spare capacity, few while it has none.
 
-A key that is kept at several servers is fetched several times, so under overload the copies themselves jam the origin,
-what is refused for that is cached nowhere, and the fetches never end: a feedback loop that holds after its cause has
-gone (docs/design/copies.md). So the number of copies follows what the origin can't take. It moves key by
-key, in an order that is the same at every router, so that two routers whose shares differ a little disagree on few.
+A key that is cached at several servers is fetched several times, so under overload the replicas themselves overload the
+origin, what is rejected for that is cached nowhere, and the fetches never end: a feedback loop that outlasts its cause
+(docs/design/copies.md). So the number of replicas follows the share of fetches that the origin cannot serve. It changes
+key by key, in an order that is the same at every router, so that two routers whose levels differ a little disagree on
+few keys.
 """
 
 from __future__ import annotations
 
 import math
 
-HIGH, LOW = 0.1, 0.02  # share of fetches refused above which copies are given up, and below which they come back
-DOWN = 1000.0  # ms in which all keys give up one tier of copies
-UP = 20000.0  # ms in which they get it back: slower, as each copy that comes back is a fetch
-TIERS = 2.0  # first the copies inside the zone, then those beyond the first owner
+HIGH_PRESSURE = 0.1  # share of rejected fetches above which replicas are given up
+LOW_PRESSURE = 0.02  # share of rejected fetches below which they are restored
+REDUCTION_TIME = 1000.0  # ms in which all keys give up one tier of replicas
+RESTORATION_TIME = 20000.0  # ms in which all keys restore one tier: slower, as each restored replica is a fetch
+TIERS = 2.0  # first the owners inside the zone, then those of the fleet beyond the first one
+KEY_ORDER_BITS = 16
 
 
 class ReplicaLimit:
-    """The level of thrift: 0 all owners; 1 none of the zone's own; 2 the first owner alone."""
+    """The level of reduction: 0 all owners; 1 none of the zone's; 2 only the first owner of the fleet."""
 
-    __slots__ = ("updated_at", "level")
+    __slots__ = ("level", "updated_at")
 
     def __init__(self) -> None:
-        self.level, self.updated_at = 0.0, math.inf
+        self.level = 0.0
+        self.updated_at = math.inf
 
     def observe(self, now: float, pressure: float) -> None:
-        """Take in the share of fetches refused lately at a time in ms; times that go back count for nothing."""
-        passed, self.updated_at = max(0.0, now - self.updated_at), now
-        if pressure > HIGH:
-            self.level = min(TIERS, self.level + passed / DOWN)
-        elif pressure < LOW:
-            self.level = max(0.0, self.level - passed / UP)
-
-    def allows(self, key: int, rank: int, near: bool) -> bool:
-        """Tell whether a key (a 64-bit hash) may live at its owner of this rank, in its zone (near) or the fleet."""
-        if self.level <= 0.0 or (rank == 0 and not near):
+        """Record the share of recent fetches that were rejected; a time (ms) that goes back changes nothing."""
+        passed = max(0.0, now - self.updated_at)
+        self.updated_at = now
+        if pressure > HIGH_PRESSURE:
+            self.level = min(TIERS, self.level + passed / REDUCTION_TIME)
+        elif pressure < LOW_PRESSURE:
+            self.level = max(0.0, self.level - passed / RESTORATION_TIME)
+
+    def allows(self, key: int, rank: int, in_zone: bool) -> bool:
+        """Tell whether a key (a 64-bit hash) may be cached at its owner of this rank, in its zone or the fleet."""
+        if self.level <= 0.0 or (rank == 0 and not in_zone):
             return True
-        # The key's own place in the order: the low bits, as the high ones chose its owners.
-        place = (key & 0xFFFF) / 65536.0
-        return self.level <= place + (0.0 if near else 1.0)
+        # The key's position in the order of reduction: the low bits, as the high ones select its owners.
+        position = (key & ((1 << KEY_ORDER_BITS) - 1)) / float(1 << KEY_ORDER_BITS)
+        return self.level <= position + (0.0 if in_zone else 1.0)
--- a/starlingthread/limits/service_time.py
+++ b/starlingthread/limits/service_time.py
@@ -1,9 +1,9 @@
-"""How long a request of a class takes, learned from answers, and how far a client's guess at it is to be believed.
+"""The service time of a class, learned from response times, and how far a client's cost hint is to be believed.
 
-A guess ("hint") is in a unit of its own: work on some standard machine, or a count of anything else. So it is never
-set beside a time. What is learned is the time of a typical request, and by how much the time grows when the guess
-doubles: the slope of log(time) over log(hint), 0 for guesses that say nothing and 1 for exact ones, whatever their
-unit. Waiting and chance flatten that slope and so make a rough guess count for less, which is what is wanted.
+A hint is in a unit of its own: work on some reference machine, or a count of anything else. So it is never compared to
+a time. What is learned is the time of a typical request, and by how much the time grows when the hint doubles: the
+slope of log(time) over log(hint), 0 for hints without information and 1 for exact ones, whatever their unit. Queueing
+and chance flatten that slope and so reduce the effect of a rough hint, as is desired.
 Least squares with decaying sums: Ljung and Söderström, "Theory and Practice of Recursive Identification" (1983).
 """
 
@@ -11,53 +11,67 @@
 
 import math
 
-GAIN = 0.005  # weight of one answer in the sums; more while there were few
-ENOUGH = 50  # answers with a hint before hints count
-UP, DOWN = 0.03, 0.1  # how far one answer moves the typical time: it leans to quick ones, as waiting is not work
-REACH = 2.5  # standard deviations of the logarithm of hints: what lies further out counts as lying there
-USED = 1e-9, 1e12  # hints outside of this, and what is no number, count as none
+MIN_GAIN = 0.005  # weight of one response in the sums; greater while there are few
+MIN_HINTED_RESPONSES = 50  # before hints are used
+MIN_VARIANCE = 1e-6  # of the logarithms of hints, before hints are used
+TYPICAL_GAIN_UP = 0.03  # weight of a slower response in the typical time
+TYPICAL_GAIN_DOWN = 0.1  # weight of a faster one: it counts more, as queueing is not service
+MAX_DEVIATIONS = 2.5  # standard deviations of the logarithms of hints at which a hint is clamped
+MIN_HINT = 1e-9  # hints outside of these bounds, and NaN, count as none
+MAX_HINT = 1e12
+MIN_RESPONSE_TIME = 0.1  # ms
 
 
 class ServiceTime:
-    """Of one class: the time of a typical request in ms, and what hints are worth."""
+    """The time of a typical request of one class in ms, and the statistics of its hints."""
 
-    __slots__ = ("covariance", "mean_log_hint", "hinted_count", "mean_log_time", "typical", "variance")
+    __slots__ = ("covariance", "hinted_count", "mean_log_hint", "mean_log_time", "typical", "variance")
 
     def __init__(self, typical: float) -> None:
         self.typical = typical  # ms
-        self.hinted_count = 0  # answers to requests with a hint
-        self.mean_log_hint = self.mean_log_time = 0.0  # means of the logarithms
-        self.variance = self.covariance = 0.0
+        self.hinted_count = 0  # responses to requests with a hint
+        self.mean_log_hint = 0.0
+        self.mean_log_time = 0.0
+        self.variance = 0.0  # of the logarithms of hints
+        self.covariance = 0.0  # of the logarithms of hints and times
 
     def expected(self, hint: float) -> float:
-        """Return the time in ms to expect of a request with this hint; 0: none was given."""
-        return self.typical * self._factor(hint)
+        """Return the expected time in ms of a request with this hint; 0 means none."""
+        return self.typical * self._hint_factor(hint)
 
     def observe(self, hint: float, elapsed: float) -> None:
-        """Take in the time in ms that an answer took, and the hint of its request."""
-        elapsed = max(elapsed, 0.1)
-        typical = elapsed / self._factor(hint)
-        self.typical += (typical - self.typical) * (UP if typical > self.typical else DOWN)
-        if not USED[0] <= hint <= USED[1]:
-            return
+        """Record the hint of a request and the time in ms of its response."""
+        elapsed = max(elapsed, MIN_RESPONSE_TIME)
+        typical = elapsed / self._hint_factor(hint)
+        self.typical += (typical - self.typical) * (TYPICAL_GAIN_UP if typical > self.typical else TYPICAL_GAIN_DOWN)
+        if _is_usable(hint):
+            self._update_statistics(math.log(hint), math.log(elapsed))
+
+    def _update_statistics(self, log_hint: float, log_time: float) -> None:
         self.hinted_count += 1
-        gain = max(GAIN, 1.0 / self.hinted_count)
-        off_hint, off_time = math.log(hint) - self.mean_log_hint, math.log(elapsed) - self.mean_log_time
-        self.mean_log_hint += gain * off_hint
-        self.mean_log_time += gain * off_time
-        self.variance += gain * ((1 - gain) * off_hint * off_hint - self.variance)
-        self.covariance += gain * ((1 - gain) * off_hint * off_time - self.covariance)
+        gain = max(MIN_GAIN, 1.0 / self.hinted_count)
+        hint_deviation = log_hint - self.mean_log_hint
+        time_deviation = log_time - self.mean_log_time
+        self.mean_log_hint += gain * hint_deviation
+        self.mean_log_time += gain * time_deviation
+        self.variance += gain * ((1 - gain) * hint_deviation * hint_deviation - self.variance)
+        self.covariance += gain * ((1 - gain) * hint_deviation * time_deviation - self.covariance)
 
     @property
     def slope(self) -> float:
-        """By how much log(time) grows with log(hint): 0 means that hints tell nothing, 1 that they are exact."""
-        if self.hinted_count < ENOUGH or self.variance < 1e-6:
+        """The growth of log(time) with log(hint): 0 for hints without information, 1 for exact ones."""
+        if self.hinted_count < MIN_HINTED_RESPONSES or self.variance < MIN_VARIANCE:
             return 0.0
         return min(1.0, max(0.0, self.covariance / self.variance))
 
-    def _factor(self, hint: float) -> float:
+    def _hint_factor(self, hint: float) -> float:
+        """Return the expected time of a request with this hint in terms of the typical time."""
         slope = self.slope
-        if slope <= 0 or not USED[0] <= hint <= USED[1]:
+        if slope <= 0 or not _is_usable(hint):
             return 1.0
-        reach = REACH * math.sqrt(self.variance)
-        return math.exp(slope * min(reach, max(-reach, math.log(hint) - self.mean_log_hint)))
+        bound = MAX_DEVIATIONS * math.sqrt(self.variance)
+        return math.exp(slope * min(bound, max(-bound, math.log(hint) - self.mean_log_hint)))
+
+
+def _is_usable(hint: float) -> bool:
+    return MIN_HINT <= hint <= MAX_HINT
--- a/starlingthread/limits/shedding.py
+++ b/starlingthread/limits/shedding.py
@@ -1,31 +1,38 @@
-"""How much of what comes this router's own core is too small for. Times are ms."""
+"""Load shedding while this router's own core is overloaded. Times are ms."""
 
 from __future__ import annotations
 
 import math
 
-OWN_LATE = 15.0  # ms that a request may lie before we look at it; past that we have more than we can do
-EVERY = 100.0  # ms between steps of the share that is shed
-UP, DOWN, MOST = 0.03, 0.02, 0.8  # what it grows by, shrinks by, and its most
-GAIN = 0.05  # weight of one request's wait in the mean
+MAX_QUEUE_TIME = 15.0  # ms that requests may wait here on average; beyond, this router is overloaded
+STEP_INTERVAL = 100.0  # ms between changes of the share that is shed
+SHARE_INCREASE = 0.03  # for each step while overloaded
+SHARE_DECREASE = 0.02  # for each step otherwise
+MAX_SHARE = 0.8
+QUEUE_TIME_GAIN = 0.05  # weight of one request in the mean
 
 
 class LoadShedder:
-    """The share of requests to refuse at once, from how long requests lay here before they were looked at.
+    """The share of requests to reject at once, controlled by how long requests were queued here.
 
-    Guards against a day on which all wait for us: what we can't do is refused at once and cheaply, so that the rest
-    is in time; nor is our own lateness then taken for the servers'.
+    What this router cannot serve is rejected early and cheaply, so that the rest is served in time; and its own delay
+    is not put down to the servers.
     """
 
     __slots__ = ("mean_queue_time", "share", "stepped_at")
 
     def __init__(self) -> None:
-        self.mean_queue_time, self.share, self.stepped_at = 0.0, 0.0, -math.inf
-
-    def shed_share(self, now: float, waited: float) -> float:
-        """Take in how long a request lay here; return the share that is to be shed."""
-        self.mean_queue_time += (waited - self.mean_queue_time) * GAIN
-        if now - self.stepped_at >= EVERY:
+        self.mean_queue_time = 0.0
+        self.share = 0.0
+        self.stepped_at = -math.inf
+
+    def shed_share(self, now: float, queue_time: float) -> float:
+        """Record how long a request was queued; return the share that is to be shed."""
+        self.mean_queue_time += (queue_time - self.mean_queue_time) * QUEUE_TIME_GAIN
+        if now - self.stepped_at >= STEP_INTERVAL:
             self.stepped_at = now
-            self.share = min(MOST, self.share + UP) if self.mean_queue_time > OWN_LATE else max(0.0, self.share - DOWN)
+            if self.mean_queue_time > MAX_QUEUE_TIME:
+                self.share = min(MAX_SHARE, self.share + SHARE_INCREASE)
+            else:
+                self.share = max(0.0, self.share - SHARE_DECREASE)
         return self.share
--- a/starlingthread/limits/slow_start.py
+++ b/starlingthread/limits/slow_start.py
@@ -1,9 +1,9 @@
-"""What one router may send to a server that has just started: a share of the keys, and a budget of requests.
+"""The slow start of a server that has just started: a share of the keys, and a budget of requests from one router.
 
-No router can see what the others send there, so the figures are such that the sum over all of them is right. The keys
-are the same at every router. The budget is the router's part of what the server's ramp can bear, also where that part
-is far less than one request in the time in which a server falls over: it is saved up, from a first saving drawn at
-random, so that routers that were told of a server in the same moment do not all send in that moment.
+No router sees what the others send there, so the figures are such that the sum over all routers is right. The keys are
+the same at every router. The budget is this router's part of the load that the warming server can bear, also where
+that is far less than one request in the window in which an overloaded server fails: tokens are saved up, from a random
+start, so that routers that learn of a server at the same moment do not all send at that moment.
 """
 
 from __future__ import annotations
@@ -12,77 +12,101 @@
 
 from ..settings import Settings
 
-MARGIN = 1.0  # of what the ramp can bear at the least: the figures told are the lowest share and the longest time
-BURST = 0.5  # of the multiple at which a server falls over: this many times its part, as keys are not asked for evenly
-SAVED = 0.5  # of a window's part may be saved up, so that no window gets more than 0.75 of that multiple
-WARM_LIFE = 100.0  # ms for which the sum over all servers is good
+MARGIN = 1.0  # of the guaranteed capacity: the settings give the lowest share and the longest duration
+BURST_SHARE = 0.5  # of the overload factor: this multiple of the server's part, as the demand for keys is uneven
+SAVED_SHARE = 0.5  # of one window's tokens that may be saved, so that no window gets over 0.75 of the overload factor
+MIN_TOTAL_SPEED = 1e-9
+WARM_LIFE = 100.0  # ms for which the sum of the warm shares of all servers is cached
 
 
-def warm_share(now: float, started: float, cold_from: float, cold_time: float) -> float:
-    """Return the least share of its capacity that a server has by now; 1 once it is warm. Times in ms."""
+def warm_share(now: float, started: float, initial_share: float, duration: float) -> float:
+    """Return the least share of its capacity that a server has reached; 1 once it is warm. Times are ms."""
     age = now - started
-    if started <= 0 or age >= cold_time:
+    if started <= 0 or age >= duration:
         return 1.0
-    return cold_from + (1 - cold_from) * max(0.0, age) / cold_time
+    return initial_share + (1 - initial_share) * max(0.0, age) / duration
 
 
-def slow_start_rate(part: float, served: float, warm: float, rules: Settings) -> float:
-    """Return how many requests a ms this router may send to a cold server.
+def slow_start_rate(capacity: float, served_rate: float, total_capacity: float, settings: Settings) -> float:
+    """Return how many requests per ms this router may send to a server that is warming up.
 
-    part: what the server can do now, and warm: what all can do, both in warm servers of the quickest kind; served:
-    what this router is served, in requests a ms. What it is *asked* tells nothing of what servers can do: clients
-    that are refused ask again, and so the budget grew just when all were full. The least is one request a window by
-    all routers together, as nobody is served where all servers are cold.
+    capacity: of the server now, and total_capacity: of all servers, both in warm servers of the fastest kind;
+    served_rate: requests per ms of this router that are served. The rate of *incoming* requests says nothing of the
+    capacity: rejected clients retry, so a budget by that rate grew just when all servers were full. The minimum is one
+    request per window from all routers together, as otherwise nothing is served while all servers are warming up.
     """
-    least = 1.0 / (rules.overload_window * rules.router_count) if rules.overload_window > 0 else 0.0
-    return max(least, BURST * rules.overload_factor * part * served / max(warm, part, 1e-9))
+    minimum = 0.0
+    if settings.overload_window > 0:
+        minimum = 1.0 / (settings.overload_window * settings.router_count)
+    return max(
+        minimum,
+        BURST_SHARE
+        * settings.overload_factor
+        * capacity
+        * served_rate
+        / max(total_capacity, capacity, MIN_TOTAL_SPEED),
+    )
 
 
 class ServedRate:
-    """How many requests this router is served, from a decaying count that knows how long it has counted."""
+    """The rate of served requests, from an exponentially decaying count that allows for the time since its start."""
 
-    __slots__ = ("updated_at", "started_at", "count", "half_life")
+    __slots__ = ("count", "half_life", "started_at", "updated_at")
 
     def __init__(self, half_life: float) -> None:
-        self.half_life, self.count, self.updated_at, self.started_at = half_life, 0.0, 0.0, 0.0
+        self.half_life = half_life  # ms
+        self.count = 0.0
+        self.updated_at = 0.0
+        self.started_at = 0.0
 
     def start(self, now: float) -> None:
         """Start to count."""
-        self.updated_at = self.started_at = now
+        self.started_at = now
+        self.updated_at = now
 
     def record(self, now: float) -> None:
         """Count one request."""
-        self.count, self.updated_at = self.count * math.exp2((self.updated_at - now) / self.half_life) + 1, now
+        self.count = self._count_at(now) + 1
+        self.updated_at = now
 
     def per_ms(self, now: float) -> float:
-        """Return the requests a ms; what is not seen yet is taken as none for the first ms only."""
-        seen = self.half_life / math.log(2) * (1 - math.exp2((self.started_at - now) / self.half_life))
-        return self.count * math.exp2((self.updated_at - now) / self.half_life) / max(1.0, seen)
+        """Return the requests per ms since the start; the first ms counts as complete."""
+        observed = self.half_life / math.log(2) * (1 - math.exp2((self.started_at - now) / self.half_life))
+        return self._count_at(now) / max(1.0, observed)
+
+    def _count_at(self, now: float) -> float:
+        return self.count * math.exp2((self.updated_at - now) / self.half_life)
 
 
-def first_tokens(chance: float, routers: int) -> float:
-    """Return what a router has saved up for a server that it just heard of, from a number in [0, 1) drawn at random.
+def first_tokens(random: float, router_count: int) -> float:
+    """Return the tokens that a router starts with for a new server, from a random number in [0, 1).
 
-    One of all the routers may send at once, as a lone one may; the others come one by one.
+    One router of all may send at once, as a single router may; the others follow one by one.
     """
-    return 1.0 if chance * routers < 1 else (chance * routers - 1) / max(1, routers - 1)
+    if random * router_count < 1:
+        return 1.0
+    return (random * router_count - 1) / max(1, router_count - 1)
 
 
 class SlowStartBudget:
-    """The requests that this router may send to one cold server; counted in requests of mean cost."""
+    """A token bucket for the requests of this router to one warming server; a request of mean cost takes one token."""
 
-    __slots__ = ("updated_at", "tokens")
+    __slots__ = ("tokens", "updated_at")
 
-    def __init__(self, first: float) -> None:
-        self.tokens = first  # in [0, 1), at random
-        self.updated_at = math.inf  # when it was last added to
+    def __init__(self, initial_tokens: float) -> None:
+        self.tokens = initial_tokens
+        self.updated_at = math.inf  # ms; when tokens were last added
 
     def allows(self, now: float, rate: float, window: float, cost: float) -> bool:
-        """Tell whether one of this cost may go now, at so many requests a ms, no more saved than in a window (ms)."""
-        self.tokens = min(max(1.0, SAVED * rate * window), self.tokens + rate * max(0.0, now - self.updated_at))
+        """Tell whether a request of this cost may be sent now.
+
+        rate: tokens per ms; window: ms, of whose tokens SAVED_SHARE may be saved.
+        """
+        capacity = max(1.0, SAVED_SHARE * rate * window)
+        self.tokens = min(capacity, self.tokens + rate * max(0.0, now - self.updated_at))
         self.updated_at = now
-        return self.tokens >= min(cost, max(1.0, SAVED * rate * window))
+        return self.tokens >= min(cost, capacity)
 
     def spend(self, cost: float) -> None:
-        """Take in that one was sent. What is dearer than all that may be saved is paid off later."""
+        """Record that a request was sent. One that costs more than can be saved leaves a debt."""
         self.tokens -= cost
--- a/tests/test_origin_limit.py
+++ b/tests/test_origin_limit.py
@@ -8,7 +8,7 @@
 import pytest
 
 from starlingthread.events import AttemptResult, Outcome
-from starlingthread.limits.concurrency import FIRST, ConcurrencyLimit
+from starlingthread.limits.concurrency import SAFE_LIMIT, ConcurrencyLimit
 from starlingthread.limits.limit_adjustment import adjust_limits
 from starlingthread.limits.origin_limit import OriginLimit
 
@@ -55,10 +55,10 @@
     wanted, let, _ = play(fetches, 0.0, 30000.0, 100.0, 0)
     assert 0 < let < 0.1 * wanted
     assert fetches.rejected_share > 0.8 and fetches.replicas.level > 1.0
-    assert not fetches.allows(30000.0, 1.0, 0.99, write=True)  # it would fail there as well
+    assert not fetches.allows(30000.0, 1.0, 0.99, is_write=True)  # it would fail there as well
     fetches.on_sent(1.0)
     assert fetches.allows(30000.0, 0.02, 0.99) and fetches.allows(30000.0, 0.0, 0.99)
-    assert not fetches.allows(30000.0, 1.0, 0.0) and fetches.allows(30000.0, 1.0, 0.0, write=True)
+    assert not fetches.allows(30000.0, 1.0, 0.0) and fetches.allows(30000.0, 1.0, 0.0, is_write=True)
     fetches.on_finished(1.0)
     _, let, _ = play(fetches, 30000.0, 20000.0, 100.0, 1000)
     assert let > 1000 and fetches.rejected_share < 0.1
@@ -72,7 +72,7 @@
             limit.on_failure(1)
         else:
             limit.on_success(1)
-    assert limit.limit > FIRST - 2.0
+    assert limit.limit > SAFE_LIMIT - 2.0
 
 
 def test_a_limit_is_never_under_its_least_and_always_finite_once_known() -> None:
