--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""Rendezvous and hot keys: the same at all routers, as many as their load asks for, given back, few moved."""
+"""Owners of keys: the same at all routers, as many as the load requires, released again, few keys moved."""
 
 from __future__ import annotations
 
@@ -17,101 +17,112 @@
 from .world import THROUGH, World, members, only_send
 
 
-def drawn(me: int = 0, servers: int = 60, usual: int = 3, gone: int = 0, shuffle: int = 0) -> Rendezvous:
-    owners = Rendezvous(me, usual)
-    places = [Candidate(mix(n + 1), 1.0, n) for n in range(1, servers + 1) if n != gone]
-    Random(shuffle).shuffle(places)
-    owners.update(places, [])
-    return owners
+def rendezvous(
+    router_index: int = 0, servers: int = 60, owner_count: int = 3, removed: int = 0, shuffle: int = 0
+) -> Rendezvous:
+    result = Rendezvous(router_index, owner_count)
+    candidates = [Candidate(mix(n + 1), 1.0, n) for n in range(1, servers + 1) if n != removed]
+    Random(shuffle).shuffle(candidates)
+    result.update(candidates, [])
+    return result
 
 
-def heat_of(
+def request_key(
     per_s: float,
-    writes: float = 0.0,
+    write_share: float = 0.0,
     routers: int = 200,
     span: float = 60.0,
-    heat: Popularity | None = None,
+    popularity: Popularity | None = None,
     begin: float = 0.0,
     seed: int = 1,
 ) -> tuple[Popularity, int]:
-    """Let a router be asked for a key so often; return its heat, and how often its number of owners changed."""
-    rng, crowd, heat, now, changes = Random(seed), FleetDemand(), heat or Popularity(), begin, 0
-    crowd.set_fleet_size(routers, 60, 1)
+    """Send requests for a key at a rate; return its popularity, and how often its number of owners changed."""
+    rng = Random(seed)
+    demand = FleetDemand()
+    demand.set_fleet_size(routers, 60, 1)
+    popularity = popularity or Popularity()
+    now = begin
+    changes = 0
     while (now := now + rng.expovariate(per_s / 1000.0)) < begin + span * 1000.0:
-        changes += heat.record(now, rng.random() < writes, crowd)
-    return heat, changes
+        changes += popularity.record(now, rng.random() < write_share, demand)
+    return popularity, changes
 
 
 @given(st.integers(1, 2**64 - 1), st.integers(0, 40), st.integers(0, 64))
-def test_equal_lists_give_equal_owners_whatever_their_order(key: int, me: int, copies: int) -> None:
-    one, other = drawn(me).owners(key, copies), drawn(me, shuffle=7).owners(key, copies)
-    assert one == other and len({h.number for h in one}) == 3
-    if copies <= 3:
-        assert one == drawn(me + 1).owners(key, copies)  # the usual owners are the same at every router
+def test_equal_lists_give_equal_owners_whatever_their_order(key: int, router: int, owner_count: int) -> None:
+    owners = rendezvous(router).owners(key, owner_count)
+    assert owners == rendezvous(router, shuffle=7).owners(key, owner_count)
+    assert len({owner.number for owner in owners}) == 3
+    if owner_count <= 3:
+        assert owners == rendezvous(router + 1).owners(key, owner_count)  # the same at every router
 
 
 @given(st.integers(1, 2**64 - 1), st.integers(0, 40), st.sampled_from((0, 8, 16, 32)), st.integers(1, 60))
-def test_a_server_that_goes_moves_only_what_was_there(key: int, me: int, copies: int, gone: int) -> None:
-    before, after = (h.owners(key, copies) for h in (drawn(me), drawn(me, gone=gone)))
-    kept = [h.number for h in before if h.number != gone]
-    moved = set(kept) - {h.number for h in after}
-    # Of a hot key one owner takes the place of the one that went, and may come before one of ours.
-    assert len(moved) <= (1 if copies > 3 else 0)
+def test_the_removal_of_a_server_moves_only_its_own_keys(key: int, router: int, owner_count: int, removed: int) -> None:
+    before = {owner.number for owner in rendezvous(router).owners(key, owner_count)}
+    after = {owner.number for owner in rendezvous(router, removed=removed).owners(key, owner_count)}
+    moved = before - {removed} - after
+    # Of a hot key one owner replaces the removed one, and may come before one that this router used.
+    assert len(moved) <= (1 if owner_count > 3 else 0)
 
 
-def test_a_hot_key_is_even_over_its_owners_and_fewer_owners_are_a_part_of_more() -> None:
-    routers = [drawn(me) for me in range(200)]
+def test_a_hot_key_is_spread_evenly_over_its_owners_and_fewer_owners_are_a_subset_of_more() -> None:
+    routers = [rendezvous(index) for index in range(200)]
     for key in (mix(k) for k in range(1, 6)):
-        many, few = ({r.owners(key, copies)[0].number for r in routers} for copies in (32, 8))
+        many, few = ({r.owners(key, owner_count)[0].number for r in routers} for owner_count in (32, 8))
         assert len(many) >= 30 and few <= many and len(few) == 8
         assert max(Counter(r.owners(key, 8)[0].number for r in routers).values()) < 2 * 200 / 8
-    fast = Rendezvous(0, 3)
-    fast.update([Candidate(mix(n), 3.0 if n < 30 else 1.0, n) for n in range(60)], [])
-    assert 0.65 < sum(fast.owners(mix(k))[0].number < 30 for k in range(400)) / 400 < 0.85
+    weighted = Rendezvous(0, 3)
+    weighted.update([Candidate(mix(n), 3.0 if n < 30 else 1.0, n) for n in range(60)], [])
+    assert 0.65 < sum(weighted.owners(mix(k))[0].number < 30 for k in range(400)) / 400 < 0.85
 
 
-def test_a_key_has_owners_by_its_load_and_none_more_for_being_asked_once() -> None:
-    assert heat_of(0.01)[0].owner_count == 0  # 2 a second over 200 routers: 20 in the time that a copy is kept
-    warm, hot = heat_of(0.06, span=400.0)[0].owner_count, heat_of(1.5)[0].owner_count
-    assert 8 <= warm < hot == 32  # the greatest power of two that 60 servers hold
-    assert heat_of(1.5, routers=1)[0].owner_count <= 4  # the same at a router that is alone
+def test_a_key_has_owners_by_its_load_and_no_more_for_a_single_request() -> None:
+    assert (
+        request_key(0.01)[0].owner_count == 0
+    )  # 2 a second over 200 routers: 20 in the time that a replica stays cached
+    popular, hot = request_key(0.06, span=400.0)[0].owner_count, request_key(1.5)[0].owner_count
+    assert 8 <= popular < hot == 32  # the greatest power of two that 60 servers hold
+    assert request_key(1.5, routers=1)[0].owner_count <= 4  # the same at a single router
 
 
-def test_a_key_that_is_written_has_as_many_owners_as_are_read_often_between_two_writes() -> None:
-    copies = [heat_of(1.5, writes=share, span=200.0)[0].owner_count for share in (0.0, 0.01, 0.06, 0.3)]
-    assert copies[0] == 32 and 8 <= copies[1] <= 32 and copies[2] <= 4 and copies[3] == 0
-    assert copies == sorted(copies, reverse=True)
+def test_a_written_key_has_as_many_owners_as_are_read_often_between_two_writes() -> None:
+    counts = [request_key(1.5, write_share=share, span=200.0)[0].owner_count for share in (0.0, 0.01, 0.06, 0.3)]
+    assert counts[0] == 32 and 8 <= counts[1] <= 32 and counts[2] <= 4 and counts[3] == 0
+    assert counts == sorted(counts, reverse=True)
 
 
-def test_owners_are_given_back_when_it_cools_and_do_not_swing_in_a_steady_load_or_a_beat_of_two_seconds() -> None:
-    hot, changes = heat_of(1.5, span=120.0)
+def test_owners_are_released_with_the_load_and_do_not_oscillate_under_a_steady_or_a_pulsed_load() -> None:
+    hot, changes = request_key(1.5, span=120.0)
     assert changes <= 6  # up, one power of two at a time
-    _, more = heat_of(1.5, span=300.0, heat=hot, begin=120e3, seed=2)
+    _, more = request_key(1.5, span=300.0, popularity=hot, begin=120e3, seed=2)
     assert more <= 4
-    cool, _ = heat_of(0.005, span=1200.0, heat=hot, begin=420e3)
-    assert cool.owner_count == 0
-    beat, changes = Popularity(), 0
+    unpopular, _ = request_key(0.005, span=1200.0, popularity=hot, begin=420e3)
+    assert unpopular.owner_count == 0
+    pulsed, changes = Popularity(), 0
     for second in range(0, 60, 4):
-        beat, more = heat_of(20.0, span=2.0, heat=beat, begin=second * 1e3, seed=second + 1)
+        pulsed, more = request_key(20.0, span=2.0, popularity=pulsed, begin=second * 1e3, seed=second + 1)
         changes += more
-    assert beat.owner_count == 32 and changes <= 6
+    assert pulsed.owner_count == 32 and changes <= 6
 
 
-def test_times_that_go_back_count_for_nothing() -> None:
-    heat, crowd = Popularity(), FleetDemand()
-    crowd.set_fleet_size(200, 60, 3)
+def test_times_that_go_back_change_nothing() -> None:
+    popularity, demand = Popularity(), FleetDemand()
+    demand.set_fleet_size(200, 60, 3)
     for now in (1000.0, 0.0, -5.0, 2000.0):
-        heat.record(now, False, crowd)
-    assert 0 <= heat.owner_count <= 60
+        popularity.record(now, False, demand)
+    assert 0 <= popularity.owner_count <= 60
 
 
-# the module
+# the decision module
 
 
-def ask_often(me: int, hot_keys: bool, times: int = 60) -> Counter[int]:
-    world = World(THROUGH._replace(hot_keys=hot_keys, router_count=100, router_index=me), members(24), seed=me + 1)
+def servers_used(router: int, hot_keys: bool, requests: int = 60) -> Counter[int]:
+    world = World(
+        THROUGH._replace(hot_keys=hot_keys, router_count=100, router_index=router), members(24), seed=router + 1
+    )
     used: Counter[int] = Counter()
-    for _ in range(times):
+    for _ in range(requests):
         send = only_send(world.ask(7, cost=0.0))
         world.now += 30.0
         world.do(Outcome(send.id, 0, send.server, AttemptResult.OK, 30.0, True, CacheStatus.HIT))
@@ -120,18 +131,18 @@
     return used
 
 
-def test_routers_spread_a_hot_key_over_its_owners_and_each_stays_with_its_own() -> None:
+def test_routers_spread_a_hot_key_over_its_owners_and_each_uses_the_same_ones_again() -> None:
     plain, spread = Counter[int](), Counter[int]()
-    for me in range(30):
-        plain += ask_often(me, hot_keys=False)
-        mine = ask_often(me, hot_keys=True)
-        assert mine.most_common(1)[0][1] > 40  # it returns to one of them
-        spread += mine
+    for router in range(30):
+        plain += servers_used(router, hot_keys=False)
+        used = servers_used(router, hot_keys=True)
+        assert used.most_common(1)[0][1] > 40  # it returns to one of them
+        spread += used
     assert plain.most_common(1)[0][1] > 0.8 * plain.total()
     assert spread.most_common(1)[0][1] < 0.3 * spread.total() and len(spread) >= 12
 
 
-def test_the_operators_file_turns_it_on_and_a_reload_off_again() -> None:
+def test_the_operators_file_enables_hot_keys_and_a_reload_disables_them() -> None:
     assert not options.parse("", "f").apply_to(THROUGH).hot_keys
     own = options.parse("[hot_keys]\nenabled = true\n", "f")
     assert own.apply_to(THROUGH).hot_keys
@@ -145,8 +156,8 @@
     assert before[0] == plain.read(7) != before[-1] and before[-1] in away
 
 
-def test_a_fleet_that_grew_by_a_reload_counts_at_once() -> None:
+def test_a_fleet_size_changed_by_a_reload_takes_effect_at_once() -> None:
     world = World(THROUGH._replace(hot_keys=True), members(24, zones=3))
     world.do(SettingsChanged(world.set._replace(router_count=90)))
-    crowd = world.balancer.fleet.demand
-    assert (crowd.routers, crowd.servers, crowd.routers_per_zone) == (90, 24, 30.0)
+    demand = world.balancer.fleet.demand
+    assert (demand.routers, demand.servers, demand.routers_per_zone) == (90, 24, 30.0)
--- a/tests/test_service_time.py
+++ b/tests/test_service_time.py
@@ -1,4 +1,4 @@
-"""Hints at the work: of any unit, rough, absent or wild."""
+"""Cost hints: of any unit, rough, absent or absurd."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 from .world import READ, THROUGH, World, only_send
 
 
-def learned(scale: float, noise: float, answers: int = 2000) -> ServiceTime:
-    """Return what is learned from answers of 40 to 160 ms whose hints are off by a factor, and by chance."""
-    rng, work = Random(5), ServiceTime(500.0)
-    for _ in range(answers):
+def learned(scale: float, noise: float, responses: int = 2000) -> ServiceTime:
+    """Learn from responses of 40 to 160 ms whose hints are wrong by a constant factor and by random noise."""
+    rng, service_time = Random(5), ServiceTime(500.0)
+    for _ in range(responses):
         time = 80.0 * 2 ** rng.uniform(-1, 1)
-        work.observe(time * scale * math.exp(rng.gauss(0, noise)), time)
-    return work
+        service_time.observe(time * scale * math.exp(rng.gauss(0, noise)), time)
+    return service_time
 
 
 @pytest.mark.parametrize("scale", [1e-3, 1.0, 1000.0])
 def test_an_exact_hint_is_believed_in_whatever_unit(scale: float) -> None:
-    work = learned(scale, 0.0)
+    service_time = learned(scale, 0.0)
     for time in (50.0, 100.0, 150.0):
-        assert work.expected(time * scale) == pytest.approx(time, rel=0.1)
+        assert service_time.expected(time * scale) == pytest.approx(time, rel=0.1)
 
 
 def test_a_rough_hint_is_believed_in_part_and_a_random_one_not_at_all() -> None:
-    rough, empty = learned(1.0, 0.5), learned(1.0, 0.5)
+    rough, random = learned(1.0, 0.5), learned(1.0, 0.5)
     rng = Random(6)
     for _ in range(3000):
-        empty.observe(math.exp(rng.gauss(0, 1)), 80.0 * 2 ** rng.uniform(-1, 1))
+        random.observe(math.exp(rng.gauss(0, 1)), 80.0 * 2 ** rng.uniform(-1, 1))
     assert 0.2 < rough.slope < 0.7
-    assert empty.slope < 0.1
+    assert random.slope < 0.1
 
 
-@pytest.mark.parametrize("wild", [0.0, -5.0, math.nan, math.inf, -math.inf, 1e300, 1e12])
-def test_a_wild_hint_is_bounded_and_spoils_nothing(wild: float) -> None:
-    work = learned(1.0, 0.1)
-    before = work.expected(80.0)
-    assert before / 5 < work.expected(wild) < before * 5
+@pytest.mark.parametrize("hint", [0.0, -5.0, math.nan, math.inf, -math.inf, 1e300, 1e12])
+def test_an_absurd_hint_has_a_bounded_effect(hint: float) -> None:
+    service_time = learned(1.0, 0.1)
+    before = service_time.expected(80.0)
+    assert before / 5 < service_time.expected(hint) < before * 5
     for _ in range(20):
-        work.observe(wild, 80.0)
-    assert work.expected(80.0) == pytest.approx(before, rel=0.3)
-    assert math.isfinite(work.expected(wild))
+        service_time.observe(hint, 80.0)
+    assert service_time.expected(80.0) == pytest.approx(before, rel=0.3)
+    assert math.isfinite(service_time.expected(hint))
 
 
 @pytest.mark.parametrize("hint", [0.0, 0.08, 80.0, 80000.0, 1e12])
-def test_the_module_learns_a_time_whatever_the_hints_are(hint: float) -> None:
+def test_the_balancer_learns_the_service_time_whatever_the_hints(hint: float) -> None:
     world = World(THROUGH)
     for key in range(1, 300):
         send = only_send(world.do(Request(key, READ, 1000.0, key=key, cost_hint=hint)))
