--- a/starlingthread/balance/rendezvous.py
+++ b/starlingthread/balance/rendezvous.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 MASK = (1 << 64) - 1
-MIN_WEIGHT = 1e-3  # a server with less would never be selected, and one with 0 can't be scored
+MIN_WEIGHT = 1e-3  # selects a server for next to no key; a weight of 0 would divide by zero
 
 
 def mix(value: int) -> int:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""Crowds, with several instances of the module under one clock."""
+"""Overload, with several instances of the decision module under one simulated clock."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_crowd_that_asks_again_does_not_push_over_a_cold_server(seed: int) -> None:
-    """The budget grew with what was asked, refused tries included, just when all servers were full."""
+def test_a_crowd_of_retries_does_not_overload_a_server_in_slow_start(seed: int) -> None:
+    """The budget once grew with the incoming requests, rejected attempts included, just when all servers were full."""
     fleet = VirtualFleet([Server(6, 90.0, 9) for _ in range(7)], seed=seed)
     fleet.play(8000.0, 300.0)
     fleet.restart(1)
@@ -18,27 +18,29 @@
     assert len([1 for at, _ in fleet.servers[1].sent if at >= fleet.servers[1].started]) > 30  # and is put to work
 
 
-@pytest.mark.parametrize(("cores", "turned"), [(1, 0.5), (2, 0.25), (7, 0.2), (64, 0.2)])
-def test_servers_of_any_size_that_tell_nothing_are_used_well_and_seldom_turn_away(cores: int, turned: float) -> None:
-    """Two cores were taken for granted, and what was turned away taught nothing: the next one went there again."""
+@pytest.mark.parametrize(("cores", "max_rejected_share"), [(1, 0.5), (2, 0.25), (7, 0.2), (64, 0.2)])
+def test_servers_of_any_size_without_load_reports_are_well_used_and_seldom_reject(
+    cores: int, max_rejected_share: float
+) -> None:
+    """Two cores were once assumed, and nothing was learned from a rejection: the next request went there again."""
     fleet = VirtualFleet([Server(cores, 90.0, 2 * cores) for _ in range(6)])
-    can = 6 * cores / 0.092  # a second
-    calm = fleet.play(4000.0 if cores > 2 else 10000.0, 0.6 * can)
+    capacity = 6 * cores / 0.092  # requests a second
+    calm = fleet.play(4000.0 if cores > 2 else 10000.0, 0.6 * capacity)
     assert calm["served"] > 0.97 * sum(calm.values())
-    crowd = fleet.play(2000.0, 1.6 * can)
-    after = fleet.play(3000.0, 1.6 * can)
-    assert after["served"] > 0.75 * 3.0 * can and after["late"] < 0.15 * after["served"]
+    crowd = fleet.play(2000.0, 1.6 * capacity)
+    after = fleet.play(3000.0, 1.6 * capacity)
+    assert after["served"] > 0.75 * 3.0 * capacity and after["late"] < 0.15 * after["served"]
     sent = sum(len(server.sent) for server in fleet.servers.values())
-    # Three routers have one out each at the least, where one core has a queue of two.
-    assert fleet.turned < turned * sent, (fleet.turned, sent, crowd)
+    # Three routers have at least one request in flight each, where one core has a queue of two.
+    assert fleet.turned < max_rejected_share * sent, (fleet.turned, sent, crowd)
 
 
-def test_a_server_that_turned_all_away_is_found_again_once_it_is_well() -> None:
+def test_a_server_that_rejected_everything_is_used_again_once_it_has_recovered() -> None:
     fleet = VirtualFleet([Server(6, 90.0, 9) for _ in range(6)])
     fleet.play(5000.0, 200.0)
     fleet.servers[1].slow = 10.0
-    ill = fleet.play(6000.0, 200.0)
-    assert ill["served"] > 0.9 * sum(ill.values())
+    degraded = fleet.play(6000.0, 200.0)
+    assert degraded["served"] > 0.9 * sum(degraded.values())
     fleet.servers[1].slow = 1.0
     fleet.play(5000.0, 390.0)  # nearly all that the servers can do: each is needed
     before = len(fleet.servers[1].sent)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""What answers and time-outs tell of the waiting at servers."""
+"""What responses and time-outs show of the queueing at servers."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from .world import THROUGH, World, only_send
 
 
-def test_a_timeout_is_no_queue_where_later_work_was_answered() -> None:
-    """Guards against refusing all when one connection fell silent: its server answers as ever."""
+def test_a_timeout_shows_no_queue_if_later_requests_were_answered() -> None:
+    """Guards against rejecting everything when one connection falls silent: its server responds as ever."""
     world = World(THROUGH)
     silent = only_send(world.ask(7))
     world.now += 100.0
@@ -17,9 +17,9 @@
     before = world.balancer.load.views.mean_wait
     world.end(silent, AttemptResult.TIMEOUT, elapsed=930.0)
     assert world.balancer.load.views.mean_wait == before
-    unheard = only_send(world.ask(7))
+    unanswered = only_send(world.ask(7))
     world.now += 930.0
-    world.end(unheard, AttemptResult.TIMEOUT, elapsed=930.0)
+    world.end(unanswered, AttemptResult.TIMEOUT, elapsed=930.0)
     assert world.balancer.load.views.mean_wait == before  # a lost server is no sign of queues at the others
     busy = only_send(world.ask(7))
     world.now += 10.0
@@ -33,7 +33,7 @@
     assert world.balancer.load.views.mean_wait > before
 
 
-def test_the_time_of_a_fetch_is_no_queue_at_its_server() -> None:
+def test_the_time_of_a_fetch_shows_no_queue_at_its_server() -> None:
     world = World(THROUGH)
     world.read(7)
     send = only_send(world.ask(9))
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -1,4 +1,4 @@
-"""The origin's guard: what it lets through while the origin is well, jammed, and well again."""
+"""The origin throttle: what it allows while the origin is healthy, overloaded, and recovered."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def fetch_result(world: World, key: int, result: AttemptResult, elapsed: float) -> bool:
-    """Read a key that no cache holds; end its fetch so; tell whether there was a fetch."""
+    """Read a key that is cached nowhere and end its fetch with a result; tell whether there was a fetch."""
     first = only_send(world.ask(key))
     if first.server != ORIGIN:
         done = world.end(first, AttemptResult.MISS)
@@ -25,27 +25,27 @@
     return True
 
 
-def test_a_well_origin_gets_every_fetch() -> None:
+def test_a_healthy_origin_gets_every_fetch() -> None:
     world = World()
     assert all(fetch_result(world, key, AttemptResult.OK, 60.0) for key in range(1, 60))
 
 
-def test_a_jammed_origin_is_left_nearly_alone() -> None:
+def test_an_overloaded_origin_gets_few_fetches() -> None:
     """Incident if95e43: fetches went on unchecked while 97% of them failed."""
     world = World()
-    let = [fetch_result(world, key, AttemptResult.TIMEOUT, 400.0) for key in range(1, 60)]
-    assert sum(let[20:]) < 0.4 * len(let[20:])
+    fetched = [fetch_result(world, key, AttemptResult.TIMEOUT, 400.0) for key in range(1, 60)]
+    assert sum(fetched[20:]) < 0.4 * len(fetched[20:])
 
 
-def test_slow_fetches_press_before_any_fails() -> None:
+def test_slow_fetches_raise_the_pressure_before_any_fails() -> None:
     world = World()
     for key in range(1, 20):
         fetch_result(world, key, AttemptResult.OK, 60.0)
-    let = [fetch_result(world, key, AttemptResult.OK, 900.0) for key in range(20, 40)]
-    assert not all(let)
+    fetched = [fetch_result(world, key, AttemptResult.OK, 900.0) for key in range(20, 40)]
+    assert not all(fetched)
 
 
-def test_the_origin_is_asked_again_once_it_has_rested() -> None:
+def test_fetches_are_allowed_again_after_a_pause() -> None:
     world = World()
     for key in range(1, 40):
         fetch_result(world, key, AttemptResult.TIMEOUT, 400.0)
@@ -53,7 +53,7 @@
     assert fetch_result(world, 1000, AttemptResult.OK, 60.0)
 
 
-def test_a_write_waits_out_a_full_origin_and_is_answered_in_time() -> None:
+def test_a_write_is_retried_at_a_full_origin_and_rejected_before_its_deadline() -> None:
     world = World()
     send = only_send(world.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
     assert not answers(world.end(send, AttemptResult.FULL))
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -1,4 +1,4 @@
-"""Servers that fail again and again are left alone, single failures are not."""
+"""Servers that fail repeatedly are ejected, single failures eject none."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from .world import COPIES, THROUGH, World, only_send, sends, warmed_up
 
 
-def test_single_failures_leave_no_server_out_and_a_row_of_them_does() -> None:
-    """Guards against spoilt answers that leave out half a fleet and scatter its keys."""
-    for result, row in ((AttemptResult.ERROR, 3), (AttemptResult.RESET, 3), (AttemptResult.CONNECT_FAILED, 2)):
+def test_single_failures_eject_no_server_and_consecutive_ones_do() -> None:
+    """Guards against corrupt responses that eject half a fleet and scatter its keys."""
+    for result, max_failures in ((AttemptResult.ERROR, 3), (AttemptResult.RESET, 3), (AttemptResult.CONNECT_FAILED, 2)):
         world = World(THROUGH)
         owner = [world.read(7) for _ in range(12)][-1]
-        for failed in range(row + 1):
+        for failures in range(max_failures + 1):
             world.now += 50.0
             send = only_send(world.ask(7))
-            assert (send.server == owner) == (failed < row)
+            assert (send.server == owner) == (failures < max_failures)
             world.now += 20.0
             world.end(send, result, elapsed=20.0)
 
 
-def test_what_was_out_when_a_server_failed_is_not_held_against_it_again() -> None:
+def test_requests_in_flight_at_a_failure_do_not_count_again() -> None:
     world = World(THROUGH)
     owner = [world.read(7) for _ in range(12)][-1]
-    out = [s for s in (only_send(world.ask(7)) for _ in range(5)) if s.server == owner]
-    assert len(out) > 3
-    for send in out:
+    in_flight = [s for s in (only_send(world.ask(7)) for _ in range(5)) if s.server == owner]
+    assert len(in_flight) > 3
+    for send in in_flight:
         world.now += 1.0
         world.end(send, AttemptResult.RESET, elapsed=500.0)
     assert world.balancer.fleet.servers[owner].outliers.consecutive_failures <= 1
 
 
-def test_a_server_that_answers_nothing_is_found_out_before_the_deadline() -> None:
-    """Guards against machines that vanish and say nothing, not even that they are gone."""
+def test_a_silent_server_is_ejected_before_the_deadline() -> None:
+    """Guards against machines that vanish without closing their connections."""
     world = World(COPIES)
     owner = warmed_up(world)
     for _ in range(30):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What the module knows does not grow for ever."""
+"""The state of the decision module is bounded."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .world import THROUGH, World
 
 
-def test_servers_and_keys_that_are_long_gone_are_forgotten() -> None:
+def test_the_state_of_removed_servers_and_unused_keys_is_dropped() -> None:
     """Guards memory on a day on which servers and keys come and go."""
     world = World(THROUGH)
     for turn in range(40):
