--- a/starlingthread/__main__.py
+++ b/starlingthread/__main__.py
@@ -73,7 +73,7 @@
     meanwhile.
     """
     try:
-        return options_file.read(options_file.where()), ""
+        return options_file.read(options_file.find_file()), ""
     except options_file.OptionsError as error:
         return options_file.Options(), one_line(error)
 
--- a/starlingthread/config.py
+++ b/starlingthread/config.py
@@ -9,7 +9,7 @@
 
 from .net.discovery import parse_address
 from .settings import Settings
-from .settings_json import SettingsError, settings_of
+from .settings_json import SettingsError, settings_from_json
 
 
 class ConfigError(Exception):
@@ -31,15 +31,15 @@
     peer_listen: tuple[str, int] | None
     peers: list[tuple[str, int]]
     peers_all: tuple[str, int] | None
-    known: object
+    cached_list: object
     settings: Settings
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
-    idle_close: float
+    server_kinds: tuple[str, ...]
+    idle_timeout: float
     shape: dict[str, str]
 
 
-def shape_of(raw: object, place: str = "") -> dict[str, str]:
+def json_shape(raw: object, place: str = "") -> dict[str, str]:
     """Return the JSON type at each place of an object; of a list of objects, what all of them have.
 
     What 'known' holds is not looked at: it is a list as it was at some time.
@@ -48,10 +48,10 @@
         found = {place or ".": "object"}
         for name, value in raw.items():
             if (place, name) != ("", "known"):
-                found.update(shape_of(value, f"{place}.{name}" if place else str(name)))
+                found.update(json_shape(value, f"{place}.{name}" if place else str(name)))
         return found
     if isinstance(raw, list) and raw and all(isinstance(item, dict) for item in raw):
-        shapes = [shape_of(item, f"{place}[]") for item in raw]
+        shapes = [json_shape(item, f"{place}[]") for item in raw]
         return {place: "list"} | {
             name: kind for name, kind in shapes[0].items() if all(s.get(name) == kind for s in shapes)
         }
@@ -61,7 +61,7 @@
 
 def _missing(old: dict[str, str], raw: dict[str, Any]) -> str:
     """Tell what a file lacks, or has of another type, beside one that was good; empty if nothing."""
-    new = shape_of(raw)
+    new = json_shape(raw)
     for place, kind in old.items():
         if kind != new.get(place):
             # All parts of a list are looked at, so what one of them lacks is missing here.
@@ -101,11 +101,11 @@
             [parse_address(p) for p in raw.get("peers", ())],
             parse_address(peers_all) if peers_all else None,
             raw.get("known"),
-            settings_of(settings),
+            settings_from_json(settings),
             tuple(settings.get("zones", ())),
             tuple(settings.get("kinds", ())),
             float(settings["permissions"].get("idleCloseMs", 15000.0)),
-            shape_of(raw),
+            json_shape(raw),
         )
     except KeyError as error:
         raise ConfigError(f"{path} lacks {error}") from None
--- a/starlingthread/core/clock.py
+++ b/starlingthread/core/clock.py
@@ -18,6 +18,6 @@
         """Return the time in milliseconds."""
         return self._base + time.monotonic() * 1000.0
 
-    def on_loop(self, at: float) -> float:
+    def to_loop_time(self, at: float) -> float:
         """Return a time of this clock as the event loop counts it (seconds, monotonic)."""
         return (at - self._base) / 1000.0
--- a/starlingthread/core/deadlines.py
+++ b/starlingthread/core/deadlines.py
@@ -21,7 +21,7 @@
         self._sorted: list[Deadline] = []
         self._due: dict[int, Callable[[], None]] = {}
         self._number = 0
-        self.on_sooner: Callable[[], None] = lambda: None  # told when the first deadline moved forward
+        self.on_earlier_deadline: Callable[[], None] = lambda: None  # told when the first deadline moved forward
 
     def __len__(self) -> int:
         return len(self._sorted)
@@ -33,7 +33,7 @@
         self._due[entry.number] = then
         insort(self._sorted, entry)
         if self._sorted[0] is entry:
-            self.on_sooner()
+            self.on_earlier_deadline()
         return entry
 
     def clear(self, entry: Deadline | None) -> None:
--- a/starlingthread/core/maintenance.py
+++ b/starlingthread/core/maintenance.py
@@ -16,7 +16,7 @@
 
 from ..logs import log
 
-NAME = "starlingthread.excluded"
+FILE_NAME = "starlingthread.excluded"
 VERSION = 1
 MAX_SIZE = 1 << 20  # bytes of a file that we read
 TRIES = 50  # for the lock, which is held for microseconds; who holds it longer stands still and is not waited for
@@ -34,7 +34,7 @@
 
     def __init__(self, folder: Path | None, on_change: Callable[[str, bool], None]) -> None:
         self.names: set[str] = set()
-        self._path = folder / NAME if folder is not None else None
+        self._path = folder / FILE_NAME if folder is not None else None
         self._on_change = on_change
         self._seen: tuple[int, int, int] | None = None  # what the file looked like when it was read last
 
@@ -88,7 +88,7 @@
     def _write(self, names: set[str]) -> None:
         """Write the file whole and rename it, so that nobody ever reads a part of it."""
         assert self._path is not None
-        other = self._path.with_name(f"{NAME}.{os.getpid()}")
+        other = self._path.with_name(f"{FILE_NAME}.{os.getpid()}")
         try:
             other.write_bytes(msgspec.json.encode(Held(VERSION, sorted(names))))
             os.replace(other, self._path)
@@ -102,7 +102,9 @@
         handle = -1
         if self._path is not None:
             with contextlib.suppress(OSError):
-                handle = os.open(self._path.with_name(f"{NAME}.lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+                handle = os.open(
+                    self._path.with_name(f"{FILE_NAME}.lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
+                )
         try:
             for _ in range(TRIES if handle >= 0 else 0):
                 try:
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -54,7 +54,7 @@
     Served,
 )
 from .ports import CacheServers, Discovery, Peers
-from .telemetry import End, Telemetry
+from .telemetry import FinalStatus, Telemetry
 
 OVERDUE = 15.0  # ms past a request's end at which we answer for a module that has not
 MAILBOX = 20000  # messages; past that new requests are turned away unseen
@@ -63,7 +63,7 @@
 FULL = 0.9  # of it, from which on we count as full
 
 
-ENDS: dict[type, End] = {Served: End.SUCCESS, Rejected: End.BUSY, Failed: End.FAILURE}
+ENDS: dict[type, FinalStatus] = {Served: FinalStatus.SUCCESS, Rejected: FinalStatus.BUSY, Failed: FinalStatus.FAILURE}
 
 
 class Router:
@@ -106,7 +106,7 @@
 
     async def run(self) -> None:
         """Take turns for ever: take in what has come, then sweep the deadlines."""
-        self.deadlines.on_sooner = self._arm
+        self.deadlines.on_earlier_deadline = self._arm
         while True:
             self.turn()
             self._arm()
@@ -126,7 +126,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = first
-        self._timer = asyncio.get_running_loop().call_at(self.clock.on_loop(first), self._ring)
+        self._timer = asyncio.get_running_loop().call_at(self.clock.to_loop_time(first), self._ring)
 
     def _ring(self) -> None:
         self._timer, self._timer_at = None, math.inf
@@ -249,7 +249,7 @@
         if request.finished:
             return
         self.counters.increment("requests.withdrawn")
-        self.telemetry.on_finished(request.request_class.name, End.ABANDONED)
+        self.telemetry.on_finished(request.request_class.name, FinalStatus.ABANDONED)
         request.finished = True
         if request.body is not None:
             request.body.abandon()
@@ -280,7 +280,12 @@
 
         def settled() -> None:
             self.telemetry.on_finished(
-                cls, End.SUCCESS if pipe.complete else End.FAILURE if pipe.complete is False else End.ABANDONED
+                cls,
+                FinalStatus.SUCCESS
+                if pipe.complete
+                else FinalStatus.FAILURE
+                if pipe.complete is False
+                else FinalStatus.ABANDONED,
             )
 
         pipe.on_settled(settled)
--- a/starlingthread/core/telemetry.py
+++ b/starlingthread/core/telemetry.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 
-class End(Enum):
+class FinalStatus(Enum):
     """How a request ended."""
 
     SUCCESS = "success"
@@ -25,7 +25,7 @@
     """Counts from 0 at the start of the process. A class that vanishes keeps its counts."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self._ends: dict[str, dict[End, int]] = {}
+        self._ends: dict[str, dict[FinalStatus, int]] = {}
         self.inflight = 0  # requests taken and not ended
         self.backend_calls = 0  # attempts written whole to cache servers
         self.reconfig_ok = self.reconfig_failed = 0  # files taken and turned down at SIGHUP
@@ -34,24 +34,24 @@
     def register_classes(self, classes: Iterable[str]) -> None:
         """Take in the names of classes; each is told from now on, also at 0."""
         for name in classes:
-            self._ends.setdefault(name, dict.fromkeys(End, 0))
+            self._ends.setdefault(name, dict.fromkeys(FinalStatus, 0))
 
     def on_received(self) -> None:
         """Count a request that was taken."""
         self.inflight += 1
 
-    def on_finished(self, cls: str, end: End) -> None:
+    def on_finished(self, cls: str, end: FinalStatus) -> None:
         """Count the one end of a request that was taken."""
         self.inflight -= 1
         self._ends[cls][end] += 1
 
-    def finished_count(self, cls: str, end: End) -> int:
+    def finished_count(self, cls: str, end: FinalStatus) -> int:
         """Return how many requests of a class ended so."""
         return self._ends[cls][end]
 
     def snapshot(self, listed: int, down: int) -> dict[str, object]:
         """Return the figures as they are told; of cache servers, how many are listed and avoided."""
-        told = (End.SUCCESS, End.BUSY, End.FAILURE)
+        told = (FinalStatus.SUCCESS, FinalStatus.BUSY, FinalStatus.FAILURE)
         return {
             "calls": {name: {end.value: ends[end] for end in told} for name, ends in self._ends.items()},
             "inflight": self.inflight,
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -13,7 +13,7 @@
 import tomli_w
 from msgspec import Meta
 
-from ..options import OptionsError, with_new_name
+from ..options import OptionsError, with_rename_hint
 from ..options import parse as parse_options
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -388,7 +388,7 @@
         key = key.rstrip("`").lstrip(".") or "the top level"
         if key.startswith("faults[") and key.endswith(".kind"):
             message += f", expected one of {', '.join(get_args(FaultKind))}"
-        message = with_new_name(message, RENAMED)
+        message = with_rename_hint(message, RENAMED)
         raise ScenarioError(f"{where}: {key}: {message[:1].lower()}{message[1:]}") from None
     return check(scenario, where)
 
--- a/starlingthread/logs.py
+++ b/starlingthread/logs.py
@@ -10,7 +10,7 @@
 from logging.handlers import QueueHandler, QueueListener
 from typing import Any, TextIO
 
-from .options import Log
+from .options import LogOptions
 
 
 @contextlib.contextmanager
@@ -87,7 +87,7 @@
 class LogWriter:
     """Owns the thread that writes. Format and level may change while it runs."""
 
-    def __init__(self, options: Log, stream: TextIO = sys.stderr) -> None:
+    def __init__(self, options: LogOptions, stream: TextIO = sys.stderr) -> None:
         lines: queue.Queue[object] = queue.Queue(MOST_WAITING)
         self._handler = logging.StreamHandler(stream)
         self._listener = QueueListener(lines, self._handler)
@@ -95,10 +95,10 @@
         for logger in (self._own, logging.getLogger("asyncio")):
             logger.handlers[:] = [DroppingHandler(lines)]
             logger.propagate = False
-        self.set(options)
+        self.apply_options(options)
         self._listener.start()
 
-    def set(self, options: Log) -> None:
+    def apply_options(self, options: LogOptions) -> None:
         """Change format and level, at once."""
         self._handler.setFormatter(_formatter(options.format))
         self._own.setLevel(options.level.upper())
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -7,7 +7,7 @@
 
 from ..core.router import Router
 from ..logs import log
-from ..options import Failover, Members
+from ..options import FailoverOptions, MembershipOptions
 from .members import MemberActor
 from .peer_keys import PeerKeyError, read_peer_keys
 from .peers import PeerActor
@@ -37,7 +37,9 @@
         self._exchanges_votes = False
         self._timer = Timer(router.deadlines, self._tick)
 
-    def apply_settings(self, options: Failover, members: Members, zone_names: tuple[str, ...], allowed: bool) -> None:
+    def apply_settings(
+        self, options: FailoverOptions, members: MembershipOptions, zone_names: tuple[str, ...], allowed: bool
+    ) -> None:
         """Start, stop or reconfigure the failover; with invalid options everything stays as it was.
 
         zone_names: all zones of the configuration; allowed: whether the platform permits messages between routers.
@@ -151,7 +153,7 @@
         )
 
 
-def _check_drained_zones(options: Failover, zone_names: tuple[str, ...]) -> None:
+def _check_drained_zones(options: FailoverOptions, zone_names: tuple[str, ...]) -> None:
     """Raise a TopologyError if the operator's file drains a zone that the configuration does not name."""
     from ..failover.topology import TopologyError
 
--- a/starlingthread/net/members.py
+++ b/starlingthread/net/members.py
@@ -7,7 +7,7 @@
 
 from ..core.router import Router
 from ..logs import log
-from ..options import Members
+from ..options import MembershipOptions
 from .peer_keys import PeerKeyError, read_peer_keys
 from .peers import PeerActor
 from .timer import Timer
@@ -28,7 +28,7 @@
         self.router_index = router_index
         self.membership: Membership | None = None
         self.on_change: Callable[[], None] = lambda: None  # called when a member's state has changed
-        self._options = Members()
+        self._options = MembershipOptions()
         self._timer = Timer(router.deadlines, self._tick)
 
     def alive_members(self) -> list[int]:
@@ -37,7 +37,7 @@
             return list(range(len(self.peers.peers)))
         return self.membership.alive_members()
 
-    def apply_settings(self, options: Members, allowed: bool) -> None:
+    def apply_settings(self, options: MembershipOptions, allowed: bool) -> None:
         """Start, stop or reconfigure the membership; with an invalid key everything stays as it was.
 
         allowed: whether the platform permits messages between routers.
@@ -66,7 +66,7 @@
             return False
         return True
 
-    def _must_restart(self, previous: Members) -> bool:
+    def _must_restart(self, previous: MembershipOptions) -> bool:
         assert self.membership is not None
         return self.membership.member_count != len(self.peers.peers) or previous.period_ms != self._options.period_ms
 
--- a/starlingthread/net/peer_keys.py
+++ b/starlingthread/net/peer_keys.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from ..options import Members
+from ..options import MembershipOptions
 
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64  # what BLAKE2b takes
@@ -14,7 +14,7 @@
     """A key file is unreadable or holds no valid key; the text says which and why."""
 
 
-def read_peer_keys(options: Members) -> tuple[bytes, ...]:
+def read_peer_keys(options: MembershipOptions) -> tuple[bytes, ...]:
     """Return the keys, the one that seals first; one empty key if no file is named. Raise a PeerKeyError."""
     file_names = [name for name in (options.key_file, options.old_key_file) if name]
     return tuple(_read_key(name) for name in file_names) or (b"",)
--- a/starlingthread/options.py
+++ b/starlingthread/options.py
@@ -24,20 +24,20 @@
     """The operator's file makes no sense; the text names the file, the key and what was expected."""
 
 
-class Log(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class LogOptions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """How log lines are written."""
 
     format: Literal["text", "logfmt", "json"] = "text"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
-class HotKeys(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class HotKeyOptions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Whether keys that are asked for often have more owners than others."""
 
     enabled: bool = False
 
 
-class Members(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class MembershipOptions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Which of the routers live, as they tell one another. Needs messages between routers, which have a price."""
 
     enabled: bool = False
@@ -46,7 +46,7 @@
     old_key_file: str = ""  # good as well while keys are changed
 
 
-class Failover(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class FailoverOptions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """What the routers do in common about a zone that is lost. Needs messages between them for more than each alone."""
 
     enabled: bool = False
@@ -58,17 +58,17 @@
 class Options(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """The whole file."""
 
-    log: Log = Log()
-    hot_keys: HotKeys = HotKeys()
-    membership: Members = Members()
-    failover: Failover = Failover()
+    log: LogOptions = LogOptions()
+    hot_keys: HotKeyOptions = HotKeyOptions()
+    membership: MembershipOptions = MembershipOptions()
+    failover: FailoverOptions = FailoverOptions()
 
     def apply_to(self, settings: Settings) -> Settings:
         """Return the platform's settings with what this file turns on in the module."""
         return settings._replace(hot_keys=self.hot_keys.enabled)
 
 
-def with_new_name(message: str, renamed: dict[str, str]) -> str:
+def with_rename_hint(message: str, renamed: dict[str, str]) -> str:
     """Add to an error of msgspec's that names an older key, or an older value, what it is called now."""
     for old, new in renamed.items():
         if message.endswith((f"unknown field `{old}`", f"enum value '{old}'")):
@@ -76,7 +76,7 @@
     return message
 
 
-def where() -> Path | None:
+def find_file() -> Path | None:
     """Return the file that counts, None if there is none."""
     named = os.environ.get(VARIABLE)
     return Path(named) if named else USUAL if USUAL.is_file() else None
@@ -90,7 +90,7 @@
         raise OptionsError(f"{name}: not valid TOML: {error}") from None
     except msgspec.ValidationError as error:
         message, _, key = str(error).partition(" - at `$")
-        message = with_new_name(message, RENAMED)
+        message = with_rename_hint(message, RENAMED)
         raise OptionsError(
             f"{name}: {key.rstrip('`').lstrip('.') or 'the top level'}: {message[:1].lower()}{message[1:]}"
         ) from None
--- a/starlingthread/router_process/actors.py
+++ b/starlingthread/router_process/actors.py
@@ -26,8 +26,8 @@
         router_index = settings.router_index
         self.router = Router(settings, config.seed, Clock(), Deadlines(), counters)
         self.router.cores = config.cores
-        self.fleet = ServerFleet(settings, self.router, watcher, 0, config.idle_close)
-        parser = EndpointListParser(config.zones, config.kinds)
+        self.fleet = ServerFleet(settings, self.router, watcher, 0, config.idle_timeout)
+        parser = EndpointListParser(config.zones, config.server_kinds)
         self.discovery = DiscoveryActor(self.router, parser, config.discovery, watcher, pushed=not settings.must_poll)
         self.peers = PeerActor(self.router, config.peers, config.peers_all, router_index)
         self.members = MemberActor(self.router, self.peers, router_index)
@@ -54,8 +54,8 @@
         """Apply a reloaded configuration to the running actors."""
         self.router.apply_settings(config.settings)
         self.clients.apply_settings(config.settings)
-        self.fleet.apply_settings(config.settings, config.idle_close)
-        self.discovery.apply_settings(config.zones, config.kinds, pushed=not config.settings.must_poll)
+        self.fleet.apply_settings(config.settings, config.idle_timeout)
+        self.discovery.apply_settings(config.zones, config.server_kinds, pushed=not config.settings.must_poll)
         # Polls even if the address is unchanged: the new settings take effect with the next endpoint list.
         self.discovery.set_address(config.discovery)
         self.peers.set_addresses(config.peers, config.peers_all)
--- a/starlingthread/router_process/configuration.py
+++ b/starlingthread/router_process/configuration.py
@@ -74,13 +74,13 @@
 
     def _reload_options(self) -> None:
         try:
-            new = options_file.read(options_file.where())
+            new = options_file.read(options_file.find_file())
         except options_file.OptionsError as error:
             self._counters.increment("reloads.options_failed")
             log.error("options-failed", why=one_line(error))
             return
         self.options = new
-        self._log_writer.set(new.log)
+        self._log_writer.apply_options(new.log)
 
     def _apply_options_alone(self) -> None:
         """Apply the options on top of the platform's settings that stay in force."""
--- a/starlingthread/router_process/process.py
+++ b/starlingthread/router_process/process.py
@@ -98,8 +98,8 @@
     async def _start(self) -> None:
         """Start the parts in the order in which they depend on one another; log when clients are served."""
         config = self.configuration.config
-        if config.known is not None:
-            self.actors.discovery.load_cached_list(config.known)
+        if config.cached_list is not None:
+            self.actors.discovery.load_cached_list(config.cached_list)
         self.control.poll_maintenance()
         self.actors.router.begin()
         self._run_discovery()
--- a/starlingthread/settings_json.py
+++ b/starlingthread/settings_json.py
@@ -24,10 +24,10 @@
         raw = json.loads(text)
     except ValueError as error:
         raise SettingsError(f"settings are not valid JSON: {error}") from None
-    return settings_of(raw)
+    return settings_from_json(raw)
 
 
-def settings_of(raw: object) -> Settings:
+def settings_from_json(raw: object) -> Settings:
     """Turn the settings object, already parsed, into Settings."""
     if not isinstance(raw, dict):
         raise SettingsError("settings are not a JSON object")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from starlingthread.core.messages import AttemptEnded, ClientDisconnected, PendingRequest, RequestReceived
-from starlingthread.core.telemetry import End
+from starlingthread.core.telemetry import FinalStatus
 from starlingthread.core.watcher import Watcher
 from starlingthread.events import AttemptResult
 from starlingthread.net.management import MAX_HEAD, REQUEST_TIMEOUT_MS, ManagementServer
@@ -176,9 +176,11 @@
         elif place.started and step in results:
             place.give(AttemptEnded(place.started[which % len(place.started)], results[step], payload=b""))
         telemetry = place.router.telemetry
-        ends = {cls.name: {end: telemetry.finished_count(cls.name, end) for end in End} for cls in THROUGH.classes}
+        ends = {
+            cls.name: {end: telemetry.finished_count(cls.name, end) for end in FinalStatus} for cls in THROUGH.classes
+        }
         assert sum(map(sum, (e.values() for e in ends.values()))) + telemetry.inflight == len(requests)
-        answered = sum(e[End.SUCCESS] + e[End.BUSY] + e[End.FAILURE] for e in ends.values())
+        answered = sum(e[FinalStatus.SUCCESS] + e[FinalStatus.BUSY] + e[FinalStatus.FAILURE] for e in ends.values())
         assert answered == len(place.answers)
     place.pass_time(2000.0)
     assert place.router.telemetry.inflight == 0
@@ -192,5 +194,5 @@
     for number in range(2):
         now = place.clock.time
         place.router.submit(PendingRequest(place, THROUGH.classes[0], number + 1, now + 900.0, b"p", now))
-    assert len(place.answers) == 1 and place.router.telemetry.finished_count("read", End.BUSY) == 1
+    assert len(place.answers) == 1 and place.router.telemetry.finished_count("read", FinalStatus.BUSY) == 1
     assert isinstance(place.router.mailbox.take()[0], RequestReceived)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,9 +13,9 @@
 
 from starlingthread.actions import Reject
 from starlingthread.config import ConfigError, read_config
-from starlingthread.core.maintenance import NAME, MaintenanceSet
+from starlingthread.core.maintenance import FILE_NAME, MaintenanceSet
 from starlingthread.core.messages import AttemptEnded, PendingRequest
-from starlingthread.core.telemetry import End
+from starlingthread.core.telemetry import FinalStatus
 from starlingthread.events import (
     AttemptResult,
     EndpointList,
@@ -156,7 +156,7 @@
     later = Party(tmp_path)
     later.maintenance.reload_if_changed()
     assert later.told == [("b", True)]
-    assert {p.name for p in tmp_path.iterdir()} == {NAME, f"{NAME}.lock"}
+    assert {p.name for p in tmp_path.iterdir()} == {FILE_NAME, f"{FILE_NAME}.lock"}
 
 
 @pytest.mark.parametrize(
@@ -174,7 +174,7 @@
 def test_a_file_that_is_torn_or_not_ours_changes_nothing(text: str, tmp_path: Path) -> None:
     party = Party(tmp_path)
     party.maintenance.set_maintenance("a", True)
-    (tmp_path / NAME).write_text(text)
+    (tmp_path / FILE_NAME).write_text(text)
     party.maintenance.reload_if_changed()
     party.maintenance.reload_if_changed()
     assert party.maintenance.names == {"a"} and party.told == [("a", True)]
@@ -194,12 +194,12 @@
 
 
 def test_who_stands_still_with_the_lock_holds_up_nobody(tmp_path: Path) -> None:
-    handle = os.open(tmp_path / f"{NAME}.lock", os.O_RDWR | os.O_CREAT)
+    handle = os.open(tmp_path / f"{FILE_NAME}.lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(handle, fcntl.LOCK_EX)
     party = Party(tmp_path)
     party.maintenance.set_maintenance("a", True)
     os.close(handle)
-    assert party.maintenance.names == {"a"} and (tmp_path / NAME).exists()
+    assert party.maintenance.names == {"a"} and (tmp_path / FILE_NAME).exists()
 
 
 def test_only_listed_names_are_known() -> None:
@@ -235,8 +235,12 @@
     assert len(place.started) == 4
     assert [len([a for r, a in place.answers if r is request]) for request in [*before, new]] == [1, 1, 1, 1]
     figures = place.router.telemetry
-    assert figures.finished_count("keyed", End.SUCCESS) == figures.finished_count("unsafe", End.SUCCESS) == 1
-    assert figures.finished_count("read-2", End.FAILURE) == 1 and figures.inflight == 0
+    assert (
+        figures.finished_count("keyed", FinalStatus.SUCCESS)
+        == figures.finished_count("unsafe", FinalStatus.SUCCESS)
+        == 1
+    )
+    assert figures.finished_count("read-2", FinalStatus.FAILURE) == 1 and figures.inflight == 0
 
 
 def test_what_was_read_before_the_change_is_asked_under_the_old_settings() -> None:
@@ -247,7 +251,7 @@
     place.router.turn()
     (attempt,) = place.started
     place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
-    assert place.router.telemetry.finished_count("read", End.SUCCESS) == 1
+    assert place.router.telemetry.finished_count("read", FinalStatus.SUCCESS) == 1
     assert place.router.balancer.fleet.settings is FEWER and place.router.settings is FEWER
 
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -18,7 +18,7 @@
     Served,
 )
 from starlingthread.core.pipe import WINDOW, ByteBudget, Pipe
-from starlingthread.core.telemetry import End
+from starlingthread.core.telemetry import FinalStatus
 from starlingthread.events import AttemptResult, CacheStatus, Request
 from starlingthread.net import meta
 from starlingthread.net.clients.limits import COMMAND_TIMEOUT_MS
@@ -177,7 +177,7 @@
 
 
 def test_a_chunked_answer_is_timed_by_its_first_bytes_and_counted_once_complete() -> None:
-    for complete, end in ((True, End.SUCCESS), (False, End.FAILURE), (None, End.ABANDONED)):
+    for complete, end in ((True, FinalStatus.SUCCESS), (False, FinalStatus.FAILURE), (None, FinalStatus.ABANDONED)):
         place = Place()
         request, pipe = place.ask(), Pipe(ByteBudget(0))
         place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"x", pipe=pipe))
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -239,7 +239,7 @@
         place.router._ring()
         place.router.deadlines.sweep(3.0)
         place.router._arm()
-        assert loop.set == [place.clock.on_loop(at) for at in (5.0, 3.0, 4.0)]
+        assert loop.set == [place.clock.to_loop_time(at) for at in (5.0, 3.0, 4.0)]
 
 
 def test_what_lay_here_is_told_to_the_module_only_while_our_core_is_full(monkeypatch: pytest.MonkeyPatch) -> None:
