--- a/starlingthread/core/__init__.py
+++ b/starlingthread/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every dialect shares: the module's actor, its deadlines, mailboxes and counters."""
+"""What every dialect shares: the router's actor, its requests and messages, deadlines, mailboxes and counters."""
--- a/starlingthread/core/clock.py
+++ b/starlingthread/core/clock.py
@@ -6,9 +6,9 @@
 
 
 class Clock:
-    """Milliseconds that never go back, anchored at the Unix time of the start.
+    """A monotonic clock in milliseconds, anchored at the Unix time of the start.
 
-    Discovery's since_ms is Unix time too, so it stands on this clock as it is.
+    Discovery's since_ms is Unix time too, so it compares with this clock as it is.
     """
 
     def __init__(self) -> None:
@@ -19,5 +19,5 @@
         return self._base + time.monotonic() * 1000.0
 
     def to_loop_time(self, at: float) -> float:
-        """Return a time of this clock as the event loop counts it (seconds, monotonic)."""
+        """Convert a time of this clock to the event loop's time (seconds, monotonic)."""
         return (at - self._base) / 1000.0
--- a/starlingthread/core/counters.py
+++ b/starlingthread/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the router takes in, sends and answers."""
+"""Counters of the router's requests, attempts, answers and faults."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class Counters(Counter[str]):
-    """Counts by name; a name starts with what it is about, so the printed list sorts by topic."""
+    """Counts by dotted name; the topic comes first, so that a sorted list groups by topic."""
 
     def increment(self, name: str, by: int = 1) -> None:
-        """Count something."""
+        """Add to a counter."""
         self[name] += by
--- a/starlingthread/core/deadlines.py
+++ b/starlingthread/core/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the router in one sorted list, swept each turn; there is no timer per request."""
+"""All deadlines of the router in one sorted list, swept each turn: no event loop timer per request."""
 
 from __future__ import annotations
 
@@ -8,53 +8,57 @@
 
 
 class Deadline(NamedTuple):
-    """A deadline that was set; give it back to clear()."""
+    """Handle of a deadline that was set, for Deadlines.clear()."""
 
     at: float
-    number: int
+    number: int  # in order of creation, so that deadlines of the same time expire in that order
 
 
 class Deadlines:
-    """Times in the clock's milliseconds, each with what to do then."""
+    """Callbacks by their time, in milliseconds of the clock."""
 
     def __init__(self) -> None:
         self._sorted: list[Deadline] = []
-        self._due: dict[int, Callable[[], None]] = {}
-        self._number = 0
-        self.on_earlier_deadline: Callable[[], None] = lambda: None  # told when the first deadline moved forward
+        self._callbacks: dict[int, Callable[[], None]] = {}
+        self._last_number = 0
+        self.on_earlier_deadline: Callable[[], None] = lambda: None  # called when the earliest deadline got earlier
 
     def __len__(self) -> int:
         return len(self._sorted)
 
-    def set(self, at: float, then: Callable[[], None]) -> Deadline:
-        """Have something done at a time, or in the first turn after it."""
-        self._number += 1
-        entry = Deadline(at, self._number)
-        self._due[entry.number] = then
-        insort(self._sorted, entry)
-        if self._sorted[0] is entry:
+    def set(self, at: float, callback: Callable[[], None]) -> Deadline:
+        """Schedule a callback for the first sweep at or after a time."""
+        self._last_number += 1
+        deadline = Deadline(at, self._last_number)
+        self._callbacks[deadline.number] = callback
+        insort(self._sorted, deadline)
+        if self._sorted[0] is deadline:
             self.on_earlier_deadline()
-        return entry
+        return deadline
 
-    def clear(self, entry: Deadline | None) -> None:
-        """Take a deadline back; one that is over or None is passed over."""
-        if entry is not None and self._due.pop(entry.number, None) is not None:
-            at = bisect_left(self._sorted, entry)
-            if at < len(self._sorted) and self._sorted[at] == entry:  # not so while it is being swept
-                del self._sorted[at]
+    def clear(self, deadline: Deadline | None) -> None:
+        """Cancel a deadline; None and one that has expired are ignored."""
+        if deadline is None or self._callbacks.pop(deadline.number, None) is None:
+            return
+        index = bisect_left(self._sorted, deadline)
+        if index < len(self._sorted) and self._sorted[index] == deadline:  # not so while it is being swept
+            del self._sorted[index]
 
     def first(self) -> float | None:
-        """Return the time of the first deadline."""
+        """Return the time of the earliest deadline, None if there is none."""
         return self._sorted[0].at if self._sorted else None
 
     def sweep(self, now: float) -> int:
-        """Do what is due, in order of time; what that sets anew waits for the next turn. Return how many."""
-        count = bisect_left(self._sorted, Deadline(now, self._number + 1))
-        entries = self._sorted[:count]
+        """Call back what has expired, in order of time, and return the number of expired deadlines.
+
+        A deadline that a callback sets waits for the next sweep, even if it is due already.
+        """
+        count = bisect_left(self._sorted, Deadline(now, self._last_number + 1))
+        expired = self._sorted[:count]
         del self._sorted[:count]
-        for entry in entries:
-            # A deadline swept in this turn may be cleared by an earlier one of the same turn.
-            then = self._due.pop(entry.number, None)
-            if then is not None:
-                then()
-        return len(entries)
+        for deadline in expired:
+            # An earlier callback of this sweep may have cleared it.
+            callback = self._callbacks.pop(deadline.number, None)
+            if callback is not None:
+                callback()
+        return len(expired)
--- a/starlingthread/core/mailbox.py
+++ b/starlingthread/core/mailbox.py
@@ -10,44 +10,45 @@
 
 
 class Mailbox(Generic[T]):
-    """A bounded queue with one reader, which takes all there is at once."""
+    """A bounded queue with one reader, which takes all waiting messages at once."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self._items: deque[T] = deque()
+        self._messages: deque[T] = deque()
         self._waiter: asyncio.Future[None] | None = None
 
     def __len__(self) -> int:
-        return len(self._items)
+        return len(self._messages)
 
-    def put(self, item: T) -> bool:
-        """Leave a message; False when the server is full and the message was not taken."""
-        if len(self._items) >= self.limit:
+    def put(self, message: T) -> bool:
+        """Append a message; return False if the mailbox is full and the message was not accepted."""
+        if len(self._messages) >= self.limit:
             return False
-        self._items.append(item)
-        self.wake()
+        self.must_put(message)
         return True
 
-    def must_put(self, item: T) -> None:
-        """Leave a message that something taken earlier has made room for (an outcome, a withdrawal)."""
-        self._items.append(item)
+    def must_put(self, message: T) -> None:
+        """Append a message whatever the limit: one that ends something already accepted, such as an outcome."""
+        self._messages.append(message)
         self.wake()
 
     def wake(self) -> None:
-        """Give the reader a turn, message or not."""
+        """Wake the reader, even without a message."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def take(self) -> deque[T]:
-        """Return what is there."""
-        items, self._items = self._items, deque()
-        return items
+        """Remove and return all waiting messages."""
+        messages = self._messages
+        self._messages = deque()
+        return messages
 
     async def wait(self) -> None:
         """Wait for a message or a wake()."""
-        if not self._items:
-            self._waiter = asyncio.get_running_loop().create_future()
-            try:
-                await self._waiter
-            finally:
-                self._waiter = None
+        if self._messages:
+            return
+        self._waiter = asyncio.get_running_loop().create_future()
+        try:
+            await self._waiter
+        finally:
+            self._waiter = None
--- a/starlingthread/core/messages.py
+++ b/starlingthread/core/messages.py
@@ -1,4 +1,7 @@
-"""What the router's actor exchanges with its clients and servers: requests, attempts, answers and mailbox messages."""
+"""What the router's actor exchanges with its clients and servers: requests, attempts, answers and mailbox messages.
+
+Times are in milliseconds of the router's clock, sizes in bytes.
+"""
 
 from __future__ import annotations
 
@@ -21,90 +24,90 @@
 
 
 class Served(NamedTuple):
-    """Final answer: what a server made for this request, in the dialect's own form."""
+    """Final answer: a server's response, in the dialect's own form."""
 
     payload: object
-    pipe: Pipe | None = None  # where its value follows in pieces
+    pipe: Pipe | None = None  # the rest of the value, where the response is streamed
 
 
 class Rejected(NamedTuple):
-    """Final answer: turned away, come again after so many ms (0: no advice)."""
+    """Final answer: rejected before it ran; the client may retry."""
 
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # 0: no advice
 
 
 class Failed(NamedTuple):
-    """Final answer: failed, with no promise."""
+    """Final answer: failed, and it may have run."""
 
 
 Answer: TypeAlias = Served | Rejected | Failed
 
 
 class Requester(Protocol):
-    """Whoever is owed a final answer."""
+    """The owner of a request, who is owed its final answer."""
 
     def answer(self, request: PendingRequest, answer: Answer) -> None:
-        """Take the one final answer of a request."""
+        """Receive the one final answer of a request."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that was taken and is owed one final answer."""
+    """A request that was accepted and is owed one final answer."""
 
     requester: Requester
     request_class: RequestClass
     key: int
-    deadline: float  # clock time at which the client gives up
+    deadline: float  # when the client gives up
     payload: object  # in the dialect's own form
-    received_at: float  # clock time at which it was whole
+    received_at: float  # when its last byte was read; of a streamed value, that of its head
     size: float = 0.0
-    cost_hint: float = 0.0  # the client's guess at the work, in whatever unit; 0: none
+    cost_hint: float = 0.0  # the client's estimate of the work, in a unit of its own; 0: none
     is_retry: bool = False
     is_write: bool = False
-    id: int = 0
-    finished: bool = False
-    cancelled: bool = False  # whoever asked has left, and the message that says so is on its way: begin nothing more
+    id: int = 0  # 0 until the actor has processed its arrival
+    finished: bool = False  # it was answered, or its client has disconnected
+    cancelled: bool = False  # its client has disconnected and ClientDisconnected is under way: start no attempt
     attempts_started: int = 0
     attempts_in_flight: int = 0
     deadline_timer: Deadline | None = None
-    body: Pipe | None = None  # where its value follows in pieces: it can be sent once only
+    body: Pipe | None = None  # its value, where that is streamed: it can be sent only once
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt: it is out until its one outcome."""
+    """One attempt of a request at one server."""
 
     request: PendingRequest
-    number: int
+    number: int  # 0 for the first attempt of the request
     server: int
     sent_at: float
-    deadline: float  # clock time at which we stop waiting for it
-    write_deadline: float = math.inf  # clock time from which on it must not be written any more
-    pending: bool = True  # false once it has its outcome: whoever is about to write it must not
+    deadline: float  # when we stop waiting for it
+    write_deadline: float = math.inf  # from then on it must not be written any more
+    pending: bool = True  # it has no outcome yet; once it has one it must not be written any more
     timeout_timer: Deadline | None = None
 
 
 class RequestReceived(NamedTuple):
-    """Message: a request has come in."""
+    """Message: a client has sent a request."""
 
     request: PendingRequest
 
 
 class BodyReceived(NamedTuple):
-    """Message: the last byte of a request's value has come; its time runs from now, and ends at 'ends'."""
+    """Message: the last byte of a request's streamed value was read; its deadline counts from there."""
 
     request: PendingRequest
     deadline: float
 
 
 class ClientDisconnected(NamedTuple):
-    """Message: the client of a request has left."""
+    """Message: the client of a request has disconnected."""
 
     request: PendingRequest
 
 
 class AttemptEnded(NamedTuple):
-    """Message: how an attempt ended."""
+    """Message: the outcome of an attempt."""
 
     attempt: Attempt
     result: AttemptResult
@@ -115,7 +118,7 @@
 
 
 class EndpointsReceived(NamedTuple):
-    """Message: what discovery told, with each server's address where it is known."""
+    """Message: an endpoint list or a change to it, with the servers' addresses as far as they are known."""
 
     event: EndpointList
     addresses: dict[int, tuple[str, int]]
--- a/starlingthread/core/pipe.py
+++ b/starlingthread/core/pipe.py
@@ -1,7 +1,7 @@
-"""A value on its way in pieces, from whoever reads it off a socket to whoever writes it to another.
+"""A value streamed in pieces, from the producer that reads it off a socket to the consumer that writes it to another.
 
-The reader's side waits for the budget before it reads on, so a slow writer holds up its own value and no other. A pipe
-may always hold one piece; more only within its window and within the budget that all pipes share.
+The producer waits for the byte budget before it reads on, so a slow consumer delays its own value and no other. A pipe
+may always buffer one piece; more only within its window and within the budget that all pipes share.
 """
 
 from __future__ import annotations
@@ -10,118 +10,122 @@
 from collections import deque
 from collections.abc import Callable
 
-WINDOW = 131072  # bytes that one pipe may hold before its reader waits, where the budget allows
+WINDOW = 131072  # bytes that one pipe may buffer before its producer waits, where the budget allows
 
 
 class ByteBudget:
-    """The bytes that all pipes together hold, and may hold beyond one piece each."""
+    """The bytes that all pipes together buffer, and may buffer beyond one piece each."""
 
-    def __init__(self, most: int) -> None:
-        self.limit, self.used = most, 0
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self.used = 0
 
 
 class Pipe:
-    """One value. The reader's side puts and ends; the writer's side takes, or abandons."""
+    """One value. The producer puts and finishes; the consumer takes, or abandons."""
 
     def __init__(self, budget: ByteBudget) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
         self.buffered = 0  # bytes
-        self._waiter: asyncio.Future[None] | None = None  # the writer's side, for a piece or the end
-        self._reader: asyncio.Future[None] | None = None  # the reader's side, until it is not full
-        self._then: list[Callable[[], None]] = []
-        self.complete: bool | None = None  # whether all of it was put, once that is known
-        self.abandoned = False  # nobody takes any more
+        self._consumer: asyncio.Future[None] | None = None  # waits for a piece or the end
+        self._producer: asyncio.Future[None] | None = None  # waits for room
+        self._on_settled: list[Callable[[], None]] = []
+        self.complete: bool | None = None  # whether all of the value was put; None until that is known
+        self.abandoned = False  # the consumer takes no more
 
-    # the reader's side
+    # the producer's side
 
     def put(self, piece: bytes) -> None:
-        """Add a piece; one that nobody takes any more is dropped."""
+        """Add a piece; it is dropped once the pipe is finished or abandoned."""
         if self.abandoned or self.complete is not None or not piece:
             return
         self._pieces.append(piece)
-        self._hold(len(piece))
-        self._wake(self._waiter)
+        self._account(len(piece))
+        self._wake(self._consumer)
 
-    def finish(self, whole: bool) -> None:
-        """Tell that all of it was put, or that the rest will not come. Only the first word counts."""
+    def finish(self, complete: bool) -> None:
+        """End the value: all of it was put, or the rest will not come. Only the first call counts."""
         if self.complete is not None:
             return
-        self.complete = whole
-        self._wake(self._waiter)
-        self._wake(self._reader)
-        self._tell()
+        self.complete = complete
+        self._wake(self._consumer)
+        self._wake(self._producer)
+        self._notify_settled()
 
     def is_full(self) -> bool:
-        """Tell whether the reader's side should wait before it reads on."""
+        """Return whether the producer should wait before it reads on."""
         if self.abandoned or self.complete is not None or not self.buffered:
             return False
         return self.buffered >= WINDOW or self._budget.used > self._budget.limit
 
     async def until_not_full(self) -> None:
-        """Wait until it may read on."""
+        """Wait until the producer may read on."""
         while self.is_full():
-            self._reader = asyncio.get_running_loop().create_future()
+            self._producer = asyncio.get_running_loop().create_future()
             try:
-                await self._reader
+                await self._producer
             finally:
-                self._reader = None
+                self._producer = None
 
-    # the writer's side
+    # the consumer's side
 
     def take(self) -> list[bytes]:
-        """Return the pieces that are there."""
+        """Remove and return the buffered pieces."""
         pieces = list(self._pieces)
-        self._pieces.clear()
-        self._hold(-self.buffered)
-        self._wake(self._reader)
+        self._release()
         return pieces
 
     def has_more(self) -> bool:
-        """Tell whether there is a piece to take now."""
+        """Return whether there is a piece to take now."""
         return bool(self._pieces)
 
     def is_finished(self) -> bool:
-        """Tell whether there is nothing more to take, now or later."""
+        """Return whether there is nothing more to take, now or later."""
         return self.abandoned or (self.complete is not None and not self._pieces)
 
     async def until_more(self) -> None:
         """Wait for a piece or the end."""
         while not self._pieces and not self.is_finished():
-            self._waiter = asyncio.get_running_loop().create_future()
+            self._consumer = asyncio.get_running_loop().create_future()
             try:
-                await self._waiter
+                await self._consumer
             finally:
-                self._waiter = None
+                self._consumer = None
 
     def abandon(self) -> None:
-        """Take no more. The one place where what is still held is given back."""
+        """Take no more, and release what is buffered."""
         if self.abandoned:
             return
         self.abandoned = True
-        self._pieces.clear()
-        self._hold(-self.buffered)
-        self._wake(self._reader)
-        self._wake(self._waiter)
-        self._tell()
+        self._release()
+        self._wake(self._consumer)
+        self._notify_settled()
 
-    # both
+    # both sides
 
-    def on_settled(self, then: Callable[[], None]) -> None:
-        """Have something done once it has ended or is abandoned, at once if that is so."""
+    def on_settled(self, callback: Callable[[], None]) -> None:
+        """Call back once the pipe is finished or abandoned; at once if it is."""
         if self.complete is not None or self.abandoned:
-            then()
+            callback()
         else:
-            self._then.append(then)
+            self._on_settled.append(callback)
 
-    def _tell(self) -> None:
-        then, self._then = self._then, []
-        for each in then:
-            each()
+    def _notify_settled(self) -> None:
+        callbacks = self._on_settled
+        self._on_settled = []
+        for callback in callbacks:
+            callback()
+
+    def _release(self) -> None:
+        """Drop the buffered pieces, give their bytes back to the budget and let the producer go on."""
+        self._pieces.clear()
+        self._account(-self.buffered)
+        self._wake(self._producer)
 
-    def _hold(self, more: int) -> None:
-        self.buffered += more
-        self._budget.used += more
+    def _account(self, size: int) -> None:
+        self.buffered += size
+        self._budget.used += size
 
     def _wake(self, waiter: asyncio.Future[None] | None) -> None:
         if waiter is not None and not waiter.done():
--- a/starlingthread/core/ports.py
+++ b/starlingthread/core/ports.py
@@ -8,36 +8,36 @@
 
 
 class CacheServers(Protocol):
-    """The cache servers, as the module's actor sees them."""
+    """The connections to the cache servers."""
 
     def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
-        """Take in a list before the module does."""
+        """Apply an endpoint list; called before the decision module sees it."""
 
     def start(self, attempt: Attempt) -> None:
-        """Make an attempt; an Ended message follows unless it is abandoned."""
+        """Start an attempt; an AttemptEnded message follows unless it is abandoned."""
 
     def abandon(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt that has its outcome."""
+        """Stop an attempt that has its outcome already."""
 
     def check_health(self, server: int) -> None:
-        """Check a server; a ProbeResult follows."""
+        """Check a server's health; a HealthCheckResult follows."""
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
 
 
 class Discovery(Protocol):
-    """Discovery, as the module's actor sees it."""
+    """The client of the discovery service."""
 
     def watch(self, active: bool) -> None:
-        """Ask for changes from now on, or no longer."""
+        """Start or stop to watch the endpoint list."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Fetch the whole endpoint list once."""
 
 
 class Peers(Protocol):
-    """The other routers, as the module's actor sees them."""
+    """The messages to the other routers."""
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """Send a message to one, or to all (None)."""
+        """Send a message to one router, or to all of them (None)."""
--- a/starlingthread/core/watcher.py
+++ b/starlingthread/core/watcher.py
@@ -1,4 +1,4 @@
-"""The watcher of all actors' tasks: none dies unseen."""
+"""The watcher of the actors' tasks: none dies unnoticed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Watcher:
-    """Holds the tasks of all actors, so that none dies unseen."""
+    """Runs the tasks of all actors, and logs and reports each that dies of an exception."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
@@ -18,22 +18,22 @@
     def start(
         self, work: Coroutine[Any, Any, None], name: str, on_death: Callable[[BaseException], None]
     ) -> asyncio.Task[None]:
-        """Run an actor's work; on_death is called if it ends by an exception."""
+        """Run an actor's coroutine in a task; on_death is called if an exception ends it."""
         task = asyncio.get_running_loop().create_task(work, name=name)
         self._tasks.add(task)
 
-        def ended(done: asyncio.Task[None]) -> None:
+        def on_done(done: asyncio.Task[None]) -> None:
             self._tasks.discard(done)
             error = None if done.cancelled() else done.exception()
             if error is not None:
                 log.error("actor-died", name=name, error=repr(error), exc_info=error)
                 on_death(error)
 
-        task.add_done_callback(ended)
+        task.add_done_callback(on_done)
         return task
 
     async def stop(self) -> None:
-        """Cancel all that is left and wait for it."""
+        """Cancel all running tasks and wait for their ends."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -75,10 +75,10 @@
             pauses: list[float] = []
             later: Callable[[float, Callable[[], None]], Deadline] = now.router.deadlines.set
 
-            def note(at: float, then: Callable[[], None]) -> Deadline:
-                if then == now.program.actors.discovery._watch_again:
+            def note(at: float, callback: Callable[[], None]) -> Deadline:
+                if callback == now.program.actors.discovery._watch_again:
                     pauses.append(at - now.router.clock.now())
-                return later(at, then)
+                return later(at, callback)
 
             now.router.deadlines.set = note  # type: ignore[method-assign]
             watch.reset()
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import time
+from collections.abc import Callable
 from unittest.mock import Mock, patch
 
 import pytest
@@ -12,6 +13,7 @@
 
 from starlingthread.core.clock import Clock
 from starlingthread.core.counters import Counters
+from starlingthread.core.deadline_timer import DeadlineTimer
 from starlingthread.core.deadlines import Deadline, Deadlines
 from starlingthread.core.mailbox import Mailbox
 from starlingthread.core.messages import (
@@ -224,22 +226,26 @@
     class Loop:
         def __init__(self) -> None:
             self.set: list[float] = []
+            self.callback: Callable[[], None] = lambda: None
 
-        def call_at(self, at: float, then: object) -> asyncio.Handle:
+        def call_at(self, at: float, callback: Callable[[], None]) -> asyncio.Handle:
             self.set.append(at)
+            self.callback = callback
             return Mock()
 
-    place, loop = Place(), Loop()
-    place.router.deadlines = Deadlines()
+    clock, loop, deadlines, wake = HandClock(), Loop(), Deadlines(), Mock()
+    timer = DeadlineTimer(clock, deadlines, wake)
     with patch("asyncio.get_running_loop", return_value=loop):
         for at in (5.0, 9.0, 3.0, 4.0):
-            place.router.deadlines.set(at, lambda: None)
-            place.router._arm()
+            deadlines.set(at, lambda: None)
+            timer.arm()
         assert len(loop.set) == 2
-        place.router._ring()
-        place.router.deadlines.sweep(3.0)
-        place.router._arm()
-        assert loop.set == [place.clock.to_loop_time(at) for at in (5.0, 3.0, 4.0)]
+        wake.assert_not_called()
+        loop.callback()
+        wake.assert_called_once_with()
+        deadlines.sweep(3.0)
+        timer.arm()
+        assert loop.set == [clock.to_loop_time(at) for at in (5.0, 3.0, 4.0)]
 
 
 def test_what_lay_here_is_told_to_the_module_only_while_our_core_is_full(monkeypatch: pytest.MonkeyPatch) -> None:
