--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from starlingthread import Balancer, simulator_adapter
+from starlingthread import Balancer, simulator_adapter, simulator_wire
 from starlingthread.actions import (
     Action,
     Cancel,
@@ -165,13 +165,13 @@
     ],
 )
 def test_other_actions(action: Action, text: str) -> None:
-    reply = simulator_adapter.Reply()
+    reply = simulator_wire.Reply()
     reply.add(3, action)
     assert reply.frame(1)[12:] == frame(text).ljust(24, b"\0")
 
 
 def test_the_worked_message() -> None:
-    reply = simulator_adapter.Reply()
+    reply = simulator_wire.Reply()
     reply.add(3, SendToPeer(None, b"hi 7"))
     assert reply.frame(1)[12:] == frame("08 0300 ffff 00000000 04000000" + "00" * 11 + "68692037")
 
