--- a/starlingthread/config.py
+++ b/starlingthread/config.py
@@ -1,113 +1,150 @@
-"""What a router is told by the platform: the JSON file that LB_CONFIG names."""
+"""The router's configuration by the platform: the JSON file that LB_CONFIG names."""
 
 from __future__ import annotations
 
 import json
 import os
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, NoReturn, TypeAlias
 
 from .net.discovery import parse_address
 from .settings import Settings
 from .settings_json import SettingsError, settings_from_json
 
+Address: TypeAlias = tuple[str, int]  # host and port
+JsonShape: TypeAlias = dict[str, str]  # the type of each value of a JSON object, by its path
+
+DEFAULT_SOCKETS = 256
+DEFAULT_MEMORY = 32  # MB
+DEFAULT_IDLE_TIMEOUT = 15000.0  # ms
+MIN_CORES = 0.05
+CACHED_LIST_KEY = "known"
+TYPE_NAMES = {
+    dict: "object",
+    list: "list",
+    str: "text",
+    int: "number",
+    float: "number",
+    bool: "boolean",
+    type(None): "nothing",
+}
+
 
 class ConfigError(Exception):
-    """The configuration makes no sense."""
+    """The configuration file is missing or invalid; the text names the file and the fault."""
 
 
 class Config(NamedTuple):
-    """What this router is told."""
+    """The configuration of one router process."""
 
     path: str
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    listen: Address
+    discovery: Address
     seed: int
-    sockets: int
-    memory: float
-    cores: float
-    management: tuple[str, int] | None
-    peer_listen: tuple[str, int] | None
-    peers: list[tuple[str, int]]
-    peers_all: tuple[str, int] | None
-    cached_list: object
+    sockets: int  # limit
+    memory: float  # limit in MB
+    cores: float  # CPU share
+    management: Address | None
+    peer_listen: Address | None
+    peers: list[Address]
+    peers_all: Address | None  # reaches all peers
+    cached_list: object  # endpoint list as it was at some time, in discovery's JSON
     settings: Settings
     zones: tuple[str, ...]
     server_kinds: tuple[str, ...]
-    idle_timeout: float
-    shape: dict[str, str]
+    idle_timeout: float  # ms after which an idle connection is closed
+    shape: JsonShape
 
 
-def json_shape(raw: object, place: str = "") -> dict[str, str]:
-    """Return the JSON type at each place of an object; of a list of objects, what all of them have.
+def json_shape(raw: object, path: str = "") -> JsonShape:
+    """Return the type of each value below a JSON value, by its path; of a list of objects, what all of them share.
 
-    What 'known' holds is not looked at: it is a list as it was at some time.
+    The cached endpoint list is left out: its content depends on when it was taken.
     """
     if isinstance(raw, dict):
-        found = {place or ".": "object"}
-        for name, value in raw.items():
-            if (place, name) != ("", "known"):
-                found.update(json_shape(value, f"{place}.{name}" if place else str(name)))
-        return found
+        return _object_shape(raw, path)
     if isinstance(raw, list) and raw and all(isinstance(item, dict) for item in raw):
-        shapes = [json_shape(item, f"{place}[]") for item in raw]
-        return {place: "list"} | {
-            name: kind for name, kind in shapes[0].items() if all(s.get(name) == kind for s in shapes)
-        }
-    kinds = {bool: "boolean", int: "number", float: "number", str: "text", list: "list", type(None): "nothing"}
-    return {place: kinds[type(raw)]}
-
-
-def _missing(old: dict[str, str], raw: dict[str, Any]) -> str:
-    """Tell what a file lacks, or has of another type, beside one that was good; empty if nothing."""
-    new = json_shape(raw)
-    for place, kind in old.items():
-        if kind != new.get(place):
-            # All parts of a list are looked at, so what one of them lacks is missing here.
-            return f"{place} is {new[place]}, not {kind}" if place in new else f"lacks {place}, at least once"
+        return _objects_shape(raw, path)
+    return {path: TYPE_NAMES[type(raw)]}
+
+
+def _object_shape(raw: dict[str, Any], path: str) -> JsonShape:
+    shape = {path or ".": TYPE_NAMES[dict]}
+    for name, value in raw.items():
+        if path or name != CACHED_LIST_KEY:
+            shape.update(json_shape(value, f"{path}.{name}" if path else str(name)))
+    return shape
+
+
+def _objects_shape(items: list[Any], path: str) -> JsonShape:
+    first, *others = [json_shape(item, f"{path}[]") for item in items]
+    shared = {
+        item_path: type_name
+        for item_path, type_name in first.items()
+        if all(other.get(item_path) == type_name for other in others)
+    }
+    return {path: TYPE_NAMES[list], **shared}
+
+
+def _shape_difference(expected: JsonShape, raw: dict[str, Any]) -> str:
+    """Return the first difference of a JSON object from an expected shape, empty if it has all of it."""
+    actual = json_shape(raw)
+    for path, type_name in expected.items():
+        if path not in actual:
+            # The shape of a list has what all its items share, so a path that one item lacks is missing here.
+            return f"lacks {path}, at least once"
+        if actual[path] != type_name:
+            return f"{path} is {actual[path]}, not {type_name}"
     return ""
 
 
-def _no_number(text: str) -> float:
+def _reject_constant(text: str) -> NoReturn:
+    """Reject NaN and Infinity, which json.loads would accept."""
     raise ValueError(f"{text} is no number")
 
 
-def read_config(path: str, like: dict[str, str] | None = None) -> Config:
-    """Read the configuration file, or raise a ConfigError with one plain line.
+def read_config(path: str, expected_shape: JsonShape | None = None) -> Config:
+    """Read the configuration file. Raise a ConfigError with one plain line.
 
-    A file that is read anew must hold all that the first one held ('like', its shape): one that was cut short and is
-    still good JSON is no new configuration.
+    A file that is read again must have the shape of the first one: one that was truncated and is still valid JSON is no
+    new configuration.
     """
     try:
-        raw: dict[str, Any] = json.loads(Path(path).read_text(), parse_constant=_no_number)
-        if like is not None and (why := _missing(like, raw)):
-            raise ConfigError(f"{path}: {why}")
-        settings = raw["settings"]
-        limits = raw.get("limits", {})
-        management = raw.get("management") or os.environ.get("LB_MANAGEMENT")
-        peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
-        return Config(
-            path,
-            str(raw.get("name", "")),
-            parse_address(raw["listen"]),
-            parse_address(raw["discovery"]),
-            int(raw.get("seed", "0"), 16),
-            int(limits.get("sockets", 256)),
-            float(limits.get("memory_mb", 32)),
-            max(0.05, float(limits.get("cores", 1.0))),
-            parse_address(management) if management else None,
-            parse_address(peer_listen) if peer_listen else None,
-            [parse_address(p) for p in raw.get("peers", ())],
-            parse_address(peers_all) if peers_all else None,
-            raw.get("known"),
-            settings_from_json(settings),
-            tuple(settings.get("zones", ())),
-            tuple(settings.get("kinds", ())),
-            float(settings["permissions"].get("idleCloseMs", 15000.0)),
-            json_shape(raw),
-        )
+        raw: dict[str, Any] = json.loads(Path(path).read_text(), parse_constant=_reject_constant)
+        if expected_shape is not None and (difference := _shape_difference(expected_shape, raw)):
+            raise ConfigError(f"{path}: {difference}")
+        return _config(path, raw)
     except KeyError as error:
         raise ConfigError(f"{path} lacks {error}") from None
     except (OSError, ValueError, TypeError, AttributeError, SettingsError) as error:
         raise ConfigError(f"{path}: {error}") from None
+
+
+def _config(path: str, raw: dict[str, Any]) -> Config:
+    settings = raw["settings"]
+    limits = raw.get("limits", {})
+    return Config(
+        path=path,
+        name=str(raw.get("name", "")),
+        listen=parse_address(raw["listen"]),
+        discovery=parse_address(raw["discovery"]),
+        seed=int(raw.get("seed", "0"), 16),
+        sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
+        memory=float(limits.get("memory_mb", DEFAULT_MEMORY)),
+        cores=max(MIN_CORES, float(limits.get("cores", 1.0))),
+        management=_optional_address(raw.get("management") or os.environ.get("LB_MANAGEMENT")),
+        peer_listen=_optional_address(raw.get("peer_listen")),
+        peers=[parse_address(peer) for peer in raw.get("peers", ())],
+        peers_all=_optional_address(raw.get("peers_all")),
+        cached_list=raw.get(CACHED_LIST_KEY),
+        settings=settings_from_json(settings),
+        zones=tuple(settings.get("zones", ())),
+        server_kinds=tuple(settings.get("kinds", ())),
+        idle_timeout=float(settings["permissions"].get("idleCloseMs", DEFAULT_IDLE_TIMEOUT)),
+        shape=json_shape(raw),
+    )
+
+
+def _optional_address(text: str | None) -> Address | None:
+    return parse_address(text) if text else None
--- a/starlingthread/settings_json.py
+++ b/starlingthread/settings_json.py
@@ -1,13 +1,15 @@
-"""The settings object as JSON, turned into Settings; shared by the simulator's adapter and the router."""
+"""The platform's settings object in JSON, turned into Settings; used by the simulator's adapter and the router."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
+from typing import Any, TypeAlias
 
 from .settings import Idempotency, RequestClass, Settings, Tenant
 
-EFFECTS = {
+JsonObject: TypeAlias = dict[str, Any]
+
+IDEMPOTENCY_BY_EFFECT = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENCY_KEY,
     "once": Idempotency.NOT_IDEMPOTENT,
@@ -15,11 +17,11 @@
 
 
 class SettingsError(Exception):
-    """The settings are not what the wire page says."""
+    """The settings object is invalid."""
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Turn the settings of a Start event into Settings."""
+    """Parse the settings object. Raise a SettingsError."""
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -28,7 +30,7 @@
 
 
 def settings_from_json(raw: object) -> Settings:
-    """Turn the settings object, already parsed, into Settings."""
+    """Turn the settings object, already parsed as JSON, into valid Settings. Raise a SettingsError."""
     if not isinstance(raw, dict):
         raise SettingsError("settings are not a JSON object")
     try:
@@ -39,59 +41,84 @@
         raise SettingsError(f"settings: {error}") from None
 
 
-def _settings(raw: dict[str, Any]) -> Settings:
-    classes = tuple(
-        RequestClass(
-            name=str(c.get("name", "")),
-            idempotency=EFFECTS[c["effect"]],
-            latency_objective=float(c["promiseMs"]),
-            deadline=float(c["hardLimitMs"]),
-            priority_weight=float(c.get("worth", 1.0)),
-            late_priority_weight=float(c.get("lateWorth", 0.0)),
-            deduplication_scope=c.get("group", "all"),
-            idempotency_window=float(c.get("memorySpanMs", 0.0)),
-            streamed=bool(c.get("streamed", False)),
-            latency_objective_stretch=float(c.get("aimStretch", 0.0)),
-        )
-        for c in raw["grades"]
-    )
-    extra, may, prices = raw.get("extra", {}), raw["permissions"], raw.get("prices", {})
-    rules, report = raw["rules"], raw.get("report", {})
-    tenants = tuple(
-        Tenant(str(t.get("name", "")), float(t.get("quotaPerS", 0.0)), float(t.get("share", 1.0)))
-        for t in raw.get("tenants", ())
-    )
-    return Settings(
+def _settings(raw: JsonObject) -> Settings:
+    classes = tuple(_request_class(grade) for grade in raw["grades"])
+    permissions = raw["permissions"]
+    rules = raw["rules"]
+    extra = raw.get("extra", {})
+    report = raw.get("report", {})
+    settings = Settings(
         classes=classes,
         router_index=int(raw.get("me", 0)),
         router_count=int(raw.get("groupSize", 1)),
         zone=int(raw.get("zone", 0)),
         must_poll=raw.get("discovery") == "subscribe",
-        poll_interval=float(rules.get("askWithinMs", 10000.0)),
         mode=extra.get("mode", "through"),
         origin_kind=int(extra.get("originKind", -1)),
-        tenants=tenants,
+        tenants=tuple(_tenant(tenant) for tenant in raw.get("tenants", ())),
         over_quota_weight=float(raw.get("overShareWorth", 1.0)),
         load_report_fields=tuple(report.get("fields", ())),
         load_report_delivery=report.get("how", "silent"),
-        can_cancel=bool(may.get("cancel", False)),
-        can_health_check=bool(may.get("probing", False)),
-        can_message_peers=bool(may.get("peerMessages", False)),
-        hedging_allowed=bool(may.get("mayDuplicate", False)),
-        max_attempts=int(may.get("tryLimit", 3)),
-        max_open_requests=int(may.get("maxOpen", 1000000)),
-        max_retry_after=float(may.get("maxRetryAfterMs", 0.0)),
-        connect_timeout=float(may.get("connectTimeoutMs", 250.0)),
-        answer_slack=float(rules.get("answerSlackMs", 0.0)),
-        drain_grace=float(rules["drainGraceMs"]),
-        initial_capacity_share=float(rules.get("coldFrom", 1.0)),
-        slow_start_duration=float(rules.get("coldMs", 0.0)),
-        overload_factor=float(rules.get("overloadFactor", 3.0)),
-        overload_window=float(rules.get("tipAfterMs", 2000.0)),
-        price_cross_zone=float(prices.get("crossZone", 0.0)),
-        price_origin=float(prices.get("origin", 0.0)),
-        price_handshake=float(prices.get("handshake", 0.0)),
-        price_late_fail=float(prices.get("lateFail", 0.0)),
-        price_waste=float(prices.get("waste", 0.0)),
         weight_by_cost=raw.get("worthBy") == "work",
     )
+    settings = _with_permissions(settings, permissions)
+    settings = _with_rules(settings, rules)
+    return _with_prices(settings, raw.get("prices", {}))
+
+
+def _request_class(raw: JsonObject) -> RequestClass:
+    return RequestClass(
+        name=str(raw.get("name", "")),
+        idempotency=IDEMPOTENCY_BY_EFFECT[raw["effect"]],
+        latency_objective=float(raw["promiseMs"]),
+        deadline=float(raw["hardLimitMs"]),
+        priority_weight=float(raw.get("worth", 1.0)),
+        late_priority_weight=float(raw.get("lateWorth", 0.0)),
+        deduplication_scope=raw.get("group", "all"),
+        idempotency_window=float(raw.get("memorySpanMs", 0.0)),
+        streamed=bool(raw.get("streamed", False)),
+        latency_objective_stretch=float(raw.get("aimStretch", 0.0)),
+    )
+
+
+def _tenant(raw: JsonObject) -> Tenant:
+    return Tenant(
+        name=str(raw.get("name", "")),
+        quota_per_s=float(raw.get("quotaPerS", 0.0)),
+        share=float(raw.get("share", 1.0)),
+    )
+
+
+def _with_permissions(settings: Settings, raw: JsonObject) -> Settings:
+    return settings._replace(
+        can_cancel=bool(raw.get("cancel", False)),
+        can_health_check=bool(raw.get("probing", False)),
+        can_message_peers=bool(raw.get("peerMessages", False)),
+        hedging_allowed=bool(raw.get("mayDuplicate", False)),
+        max_attempts=int(raw.get("tryLimit", 3)),
+        max_open_requests=int(raw.get("maxOpen", 1000000)),
+        max_retry_after=float(raw.get("maxRetryAfterMs", 0.0)),
+        connect_timeout=float(raw.get("connectTimeoutMs", 250.0)),
+    )
+
+
+def _with_rules(settings: Settings, raw: JsonObject) -> Settings:
+    return settings._replace(
+        poll_interval=float(raw.get("askWithinMs", 10000.0)),
+        answer_slack=float(raw.get("answerSlackMs", 0.0)),
+        drain_grace=float(raw["drainGraceMs"]),
+        initial_capacity_share=float(raw.get("coldFrom", 1.0)),
+        slow_start_duration=float(raw.get("coldMs", 0.0)),
+        overload_factor=float(raw.get("overloadFactor", 3.0)),
+        overload_window=float(raw.get("tipAfterMs", 2000.0)),
+    )
+
+
+def _with_prices(settings: Settings, raw: JsonObject) -> Settings:
+    return settings._replace(
+        price_cross_zone=float(raw.get("crossZone", 0.0)),
+        price_origin=float(raw.get("origin", 0.0)),
+        price_handshake=float(raw.get("handshake", 0.0)),
+        price_late_fail=float(raw.get("lateFail", 0.0)),
+        price_waste=float(raw.get("waste", 0.0)),
+    )
