--- a/starlingthread/core/maintenance.py
+++ b/starlingthread/core/maintenance.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..logs import log
+from ..logs import log, one_line
 
 FILE_NAME = "starlingthread.excluded"
 VERSION = 1
@@ -100,7 +100,7 @@
             if content.version != VERSION:
                 raise ValueError(f"version {content.version}")
         except (OSError, ValueError, msgspec.MsgspecError) as error:
-            log.error("maintenance-unreadable", file=str(path), why=" ".join(str(error).split()))
+            log.error("maintenance-unreadable", file=str(path), why=one_line(error))
             return set(self.names)
         return set(content.excluded)
 
@@ -111,7 +111,7 @@
             temporary.write_bytes(msgspec.json.encode(MaintenanceFile(VERSION, sorted(names))))
             os.replace(temporary, path)
         except OSError as error:
-            log.error("maintenance-unwritten", file=str(path), why=" ".join(str(error).split()))
+            log.error("maintenance-unwritten", file=str(path), why=one_line(error))
         self._loaded = self._stamp(path)
 
     @contextlib.contextmanager
--- a/starlingthread/logs.py
+++ b/starlingthread/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines: an event's name and its fields, written by a thread that never holds up an answer."""
+"""Structured log lines: an event's name and its fields, written by a thread so that no answer waits for the output."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @contextlib.contextmanager
-def _hidden(name: str) -> Iterator[None]:
-    """Guards the router's memory: structlog loads rich where it is installed, 6 MB that nothing here uses."""
+def _import_blocked(name: str) -> Iterator[None]:
+    """Make the import of a module fail, unless it is loaded already."""
     if name in sys.modules:
         yield
         return
@@ -26,83 +26,99 @@
         del sys.modules[name]
 
 
-with _hidden("rich"):
+# structlog loads rich where it is installed: 6 MB of the router's memory that nothing here uses.
+with _import_blocked("rich"):
     import structlog
 
-MOST_WAITING = 1000  # lines; past that they are dropped, not kept
+LOGGER_NAME = "starlingthread"
+MAX_QUEUED = 1000  # lines; further ones are dropped
+TIME_FORMAT = "%Y-%m-%d %H:%M:%S.%f"
 
 structlog.configure(
     processors=[
         structlog.stdlib.filter_by_level,
         structlog.stdlib.add_log_level,
-        structlog.processors.TimeStamper(fmt="%Y-%m-%d %H:%M:%S.%f", utc=False),
+        structlog.processors.TimeStamper(fmt=TIME_FORMAT, utc=False),
         structlog.stdlib.ProcessorFormatter.wrap_for_formatter,
     ],
     logger_factory=structlog.stdlib.LoggerFactory(),
     wrapper_class=structlog.stdlib.BoundLogger,
     cache_logger_on_first_use=True,
 )
-log: structlog.stdlib.BoundLogger = structlog.stdlib.get_logger("starlingthread")
+log: structlog.stdlib.BoundLogger = structlog.stdlib.get_logger(LOGGER_NAME)
 
-_logfmt = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], bool_as_flag=False)
-_fields = structlog.processors.LogfmtRenderer(bool_as_flag=False)
+_render_logfmt = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], bool_as_flag=False)
+_render_fields = structlog.processors.LogfmtRenderer(bool_as_flag=False)
 
 
-def _text(logger: Any, method: str, event: Any) -> str:
-    """Render a line for eyes: time, level, event, fields."""
-    when, level, name = event.pop("timestamp", ""), event.pop("level", ""), event.pop("event", "")
-    trace = event.pop("exception", "")
-    line = f"{when} {level.upper()} {name} {_fields(logger, method, event)}".rstrip()
-    return f"{line}\n{trace}" if trace else line
+def one_line(error: BaseException) -> str:
+    """Return an exception's text as one line."""
+    return " ".join(str(error).split())
 
 
-def _formatter(how: str) -> logging.Formatter:
-    render: Any = {"logfmt": _logfmt, "json": structlog.processors.JSONRenderer(default=str), "text": _text}[how]
+def _render_text(logger: Any, method: str, event: Any) -> str:
+    """Render a line for humans: time, level, event, fields; then the traceback, if there is one."""
+    timestamp = event.pop("timestamp", "")
+    level = event.pop("level", "")
+    name = event.pop("event", "")
+    traceback = event.pop("exception", "")
+    line = f"{timestamp} {level.upper()} {name} {_render_fields(logger, method, event)}".rstrip()
+    return f"{line}\n{traceback}" if traceback else line
+
+
+_RENDERERS: dict[str, Any] = {
+    "text": _render_text,
+    "logfmt": _render_logfmt,
+    "json": structlog.processors.JSONRenderer(default=str),
+}
+
+
+def _formatter(log_format: str) -> logging.Formatter:
     return structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=[
             structlog.stdlib.add_log_level,
-            structlog.processors.TimeStamper(fmt="%Y-%m-%d %H:%M:%S.%f", utc=False),
+            structlog.processors.TimeStamper(fmt=TIME_FORMAT, utc=False),
         ],
         processors=[
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
             structlog.processors.format_exc_info,
-            render,
+            _RENDERERS[log_format],
         ],
     )
 
 
 class DroppingHandler(QueueHandler):
-    """Hands log lines to the thread that writes them; when that one is stuck they are dropped, not kept."""
+    """Queues log records for the writing thread; drops them while that thread is blocked and the queue full."""
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Leave all rendering to the thread that writes."""
+        """Leave all rendering to the writing thread."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Leave a line, or drop it."""
+        """Queue a record, or drop it."""
         with contextlib.suppress(queue.Full):
             self.queue.put_nowait(record)
 
 
 class LogWriter:
-    """Owns the thread that writes. Format and level may change while it runs."""
+    """Owns the writing thread. Format and level may change while it runs."""
 
     def __init__(self, options: LogOptions, stream: TextIO = sys.stderr) -> None:
-        lines: queue.Queue[object] = queue.Queue(MOST_WAITING)
-        self._handler = logging.StreamHandler(stream)
-        self._listener = QueueListener(lines, self._handler)
-        self._own = logging.getLogger("starlingthread")
-        for logger in (self._own, logging.getLogger("asyncio")):
-            logger.handlers[:] = [DroppingHandler(lines)]
+        records: queue.Queue[object] = queue.Queue(MAX_QUEUED)
+        self._stream_handler = logging.StreamHandler(stream)
+        self._listener = QueueListener(records, self._stream_handler)
+        self._logger = logging.getLogger(LOGGER_NAME)
+        for logger in (self._logger, logging.getLogger("asyncio")):
+            logger.handlers[:] = [DroppingHandler(records)]
             logger.propagate = False
         self.apply_options(options)
         self._listener.start()
 
     def apply_options(self, options: LogOptions) -> None:
         """Change format and level, at once."""
-        self._handler.setFormatter(_formatter(options.format))
-        self._own.setLevel(options.level.upper())
+        self._stream_handler.setFormatter(_formatter(options.format))
+        self._logger.setLevel(options.level.upper())
 
     def stop(self) -> None:
-        """Write what waits and end the thread."""
+        """Write the queued lines and end the thread."""
         self._listener.stop()
