--- a/starlingthread/__main__.py
+++ b/starlingthread/__main__.py
@@ -10,9 +10,8 @@
 from . import options as options_file
 from .config import Config, ConfigError, read_config
 from .handover.channel import InheritedSockets, request_handover
-from .logs import LogWriter, log
+from .logs import LogWriter, log, one_line
 from .net.discovery import EndpointListError
-from .router_process.configuration import one_line
 from .router_process.process import RouterProcess, shared_folder
 
 CONFIG_VARIABLE = "LB_CONFIG"
--- a/starlingthread/router_process/configuration.py
+++ b/starlingthread/router_process/configuration.py
@@ -5,18 +5,13 @@
 from .. import options as options_file
 from ..config import Config, ConfigError, read_config
 from ..core.counters import Counters
-from ..logs import LogWriter, log
+from ..logs import LogWriter, log, one_line
 from .actors import RouterActors
 
 # Fields of the configuration that a reload leaves unchanged: bound sockets, limits, and the shape that files must have.
 NEEDS_RESTART = ("name", "listen", "management", "sockets", "memory", "cores", "peer_listen", "shape")
 
 
-def one_line(error: Exception) -> str:
-    """Return the text of an error on one line, for the log."""
-    return " ".join(str(error).split())
-
-
 class ActiveConfiguration:
     """The platform's configuration and the operator's options, merged. SIGHUP reloads both.
 
