--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The module's actor: one outcome per attempt, one answer per request, deadlines in order."""
+"""The router's actor: one outcome per attempt, one answer per request, deadlines in order."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 from .world import IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, members
 
 
-class HandClock(Clock):
-    """A clock that tests turn."""
+class ManualClock(Clock):
+    """A clock that tests set."""
 
     time = 1000.0
 
@@ -46,10 +46,10 @@
 
 
 class Place:
-    """A router whose clients, fleet and discovery only take notes."""
+    """A router whose clients, cache servers and discovery only record what it does."""
 
     def __init__(self, settings: Settings = THROUGH) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.router = Router(settings, 1, self.clock, Deadlines(), Counters())
         self.router.fleet = self.router.discovery = self.router.peers = self  # type: ignore[assignment]
         self.started: list[Attempt] = []
@@ -95,7 +95,7 @@
         self.clock.time = until
 
 
-def test_an_answer_goes_to_the_client_and_all_is_forgotten() -> None:
+def test_an_answer_goes_to_the_client_and_the_request_is_removed() -> None:
     place = Place()
     request = place.ask()
     place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"value"))
@@ -103,7 +103,7 @@
     assert not place.router.requests and not place.router.attempts
 
 
-def test_a_late_outcome_is_dropped_and_an_abandoned_attempt_is_told_once() -> None:
+def test_a_late_outcome_is_dropped_and_an_abandoned_attempt_has_one_outcome() -> None:
     place = Place()
     request = place.ask()
     place.pass_time(900.0)
@@ -113,7 +113,7 @@
     assert len(place.answers) == 1
 
 
-def test_an_answer_that_is_here_does_not_lose_to_its_limit() -> None:
+def test_an_answer_in_the_mailbox_does_not_lose_to_an_expired_deadline() -> None:
     """Guards the order of a turn: after a pause of the process both are due at once."""
     place = Place()
     request = place.ask()
@@ -123,7 +123,7 @@
     assert place.answers == [(request, Served(b"v"))]
 
 
-def test_a_client_that_left_gets_no_answer_and_its_attempt_is_given_up() -> None:
+def test_a_disconnected_client_gets_no_answer_and_its_attempt_is_abandoned() -> None:
     place = Place()
     request = place.ask()
     place.give(ClientDisconnected(request))
@@ -141,7 +141,7 @@
     assert [type(a) for _, a in place.answers] == [Failed]
 
 
-def test_a_module_that_fails_costs_the_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_module_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     place = Place()
     with monkeypatch.context() as patch:
         patch.setattr(place.router.balancer, "handle", lambda *_: 1 // 0)
@@ -151,7 +151,7 @@
     assert len(place.started) == 1
 
 
-def test_a_module_that_forgets_is_answered_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_the_module_forgets_is_answered_as_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     place = Place()
     monkeypatch.setattr(place.router.balancer, "handle", lambda *_: [])
     request = place.ask(wait=300.0)
@@ -161,7 +161,9 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["ask", "end", "gone", "time"]), st.integers(0, 9), st.sampled_from(list(AttemptResult)[:7])
+        st.sampled_from(["request", "outcome", "disconnect", "time"]),
+        st.integers(0, 9),
+        st.sampled_from(list(AttemptResult)[:7]),
     ),
     min_size=20,
     max_size=120,
@@ -171,28 +173,31 @@
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(STEPS)
 def test_every_request_gets_one_answer_at_most_and_in_time(steps: list[tuple[str, int, AttemptResult]]) -> None:
-    place, asked, left = Place(), [], set()
-    for what, pick, result in steps:
+    place = Place()
+    requests: list[PendingRequest] = []
+    disconnected: set[int] = set()
+    for step, pick, result in steps:
         place.clock.time += 1.0
-        if what == "ask":
-            asked.append(place.ask((READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)[pick % 3], 100.0 + 200 * pick))
-        elif what == "end" and place.started:
+        if step == "request":
+            requests.append(place.ask((READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)[pick % 3], 100.0 + 200 * pick))
+        elif step == "outcome" and place.started:
             place.give(AttemptEnded(place.started[-1 - pick % len(place.started)], result, payload=b"v"))
-        elif what == "gone" and asked:
-            request = asked[pick % len(asked)]
-            left |= set() if request.finished else {request.id}
+        elif step == "disconnect" and requests:
+            request = requests[pick % len(requests)]
+            if not request.finished:
+                disconnected.add(request.id)
             place.give(ClientDisconnected(request))
         else:
             place.pass_time(30.0 * pick)
     place.pass_time(5000.0)
-    assert sorted([r.id for r, _ in place.answers] + list(left)) == [r.id for r in asked]
+    assert sorted([r.id for r, _ in place.answers] + list(disconnected)) == [r.id for r in requests]
     assert not place.router.requests and not any(a.pending for a in place.started)
-    assert all(r.attempts_started <= THROUGH.max_attempts for r in asked)
+    assert all(r.attempts_started <= THROUGH.max_attempts for r in requests)
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 100), st.booleans())))
-def test_deadlines_come_in_order_and_never_once_taken_back(items: list[tuple[float, bool]]) -> None:
+def test_deadlines_expire_in_order_and_never_once_cleared(items: list[tuple[float, bool]]) -> None:
     deadlines, done = Deadlines(), []
     entries: list[Deadline] = []
     for at, _ in items:
@@ -206,7 +211,7 @@
     assert len(deadlines) == 0 and deadlines.first() is None
 
 
-def test_a_deadline_cleared_by_one_of_the_same_sweep_is_not_done() -> None:
+def test_a_deadline_cleared_by_one_of_the_same_sweep_does_not_expire() -> None:
     deadlines, done = Deadlines(), []
     later = Deadline(0.0, 0)
     deadlines.set(1.0, lambda: deadlines.clear(later))
@@ -215,14 +220,14 @@
     assert done == []
 
 
-def test_a_full_mailbox_takes_no_more_but_what_it_must() -> None:
-    server: Mailbox[int] = Mailbox(1)
-    assert server.put(1) and not server.put(2)
-    server.must_put(3)
-    assert list(server.take()) == [1, 3]
+def test_a_full_mailbox_accepts_only_what_it_must() -> None:
+    mailbox: Mailbox[int] = Mailbox(1)
+    assert mailbox.put(1) and not mailbox.put(2)
+    mailbox.must_put(3)
+    assert list(mailbox.take()) == [1, 3]
 
 
-def test_one_timer_serves_all_deadlines_and_is_only_set_anew_for_a_sooner_one() -> None:
+def test_one_timer_serves_all_deadlines_and_is_only_replaced_for_an_earlier_one() -> None:
     class Loop:
         def __init__(self) -> None:
             self.set: list[float] = []
@@ -233,7 +238,7 @@
             self.callback = callback
             return Mock()
 
-    clock, loop, deadlines, wake = HandClock(), Loop(), Deadlines(), Mock()
+    clock, loop, deadlines, wake = ManualClock(), Loop(), Deadlines(), Mock()
     timer = DeadlineTimer(clock, deadlines, wake)
     with patch("asyncio.get_running_loop", return_value=loop):
         for at in (5.0, 9.0, 3.0, 4.0):
@@ -248,9 +253,11 @@
         assert loop.set == [clock.to_loop_time(at) for at in (5.0, 3.0, 4.0)]
 
 
-def test_what_lay_here_is_told_to_the_module_only_while_our_core_is_full(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against refusing half of all because connections came in bursts, on a core with room."""
-    place, told, used = Place(), list[float](), 0.0
+def test_queue_time_is_passed_to_the_module_only_while_the_cpu_is_saturated(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against load shedding because connections came in bursts, on a core with spare capacity."""
+    place = Place()
+    queue_times: list[float] = []
+    used = 0.0  # s of CPU time
     monkeypatch.setattr(time, "process_time", lambda: used)
     place.router.cores = 0.4
     place.router.begin()
@@ -262,5 +269,5 @@
         )
         with patch.object(place.router.balancer, "handle", return_value=[]) as handle:
             place.give(RequestReceived(request))
-        told.append(handle.call_args.args[1].queue_time)
-    assert told == [0.0, 30.0, 0.0]
+        queue_times.append(handle.call_args.args[1].queue_time)
+    assert queue_times == [0.0, 30.0, 0.0]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter against the wire's worked frames, byte for byte, and against bad input."""
+"""The simulator's adapter against the example frames of the wire format, byte for byte, and against invalid input."""
 
 from __future__ import annotations
 
@@ -71,14 +71,14 @@
 
 
 class Scripted(Balancer):
-    """Notes what it hears and answers a request with the wire page's three actions."""
+    """Records its events and answers a request with the three actions of the wire format's example."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.heard: list[Event] = []
+        self.events: list[Event] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        self.heard.append(event)
+        self.events.append(event)
         if isinstance(event, Request):
             return [Send(event.id, 0x03124A07, 80.0), SetTimer(8912.25, 77), Log("two servers known")]
         return []
@@ -95,8 +95,8 @@
 CALL = "04 0300 c4913a5de37b0900 00 00000000 640ad2557c3bf091 0000000000006e400000000000002840 0000e144 01 000000"
 
 
-def test_worked_events_and_actions() -> None:
-    host, made = scripted(3, 5)
+def test_example_events_and_actions() -> None:
+    host, balancers = scripted(3, 5)
     batch = frame(
         "a0000000 03000000 00000000206ec040 0c000000"
         + CALL
@@ -108,8 +108,8 @@
     reply = host.answer(batch[4:])
     rid = int.from_bytes(frame("c4913a5de37b0900"), "little")
     key = int.from_bytes(frame("640ad2557c3bf091"), "little")
-    assert made[3].heard == [Request(rid, 0, 240.0, key, 0, 12.0, 1800.0), Timer(77)]
-    assert made[5].heard == [RequestCancelled(int.from_bytes(frame("192b6f0e42550100"), "little"))]
+    assert balancers[3].events == [Request(rid, 0, 240.0, key, 0, 12.0, 1800.0), Timer(77)]
+    assert balancers[5].events == [RequestCancelled(int.from_bytes(frame("192b6f0e42550100"), "little"))]
     assert reply == frame(
         "61000000 03000000 0c000000"
         "01 0300 c4913a5de37b0900 074a1203 0000000000005440 00"
@@ -122,8 +122,8 @@
     return struct.pack("<IdI", 1, 8412.25, 3) + record.ljust(48, b"\0") + tail
 
 
-def test_worked_list_and_outcome() -> None:
-    host, made = scripted(3)
+def test_example_endpoint_list_and_outcome() -> None:
+    host, balancers = scripted(3)
     host.answer(
         batch_of(
             frame("03 0300 01 2900000000000000 00000000 02000000"),
@@ -138,7 +138,7 @@
             )
         )
     )
-    listed, outcome = made[3].heard
+    listed, outcome = balancers[3].events
     assert listed == EndpointList(
         EndpointListKind.CACHED,
         41,
@@ -170,7 +170,7 @@
     assert reply.frame(1)[12:] == frame(text).ljust(24, b"\0")
 
 
-def test_the_worked_message() -> None:
+def test_example_peer_message() -> None:
     reply = simulator_wire.Reply()
     reply.add(3, SendToPeer(None, b"hi 7"))
     assert reply.frame(1)[12:] == frame("08 0300 ffff 00000000 04000000" + "00" * 11 + "68692037")
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "expected"),
     [
         (b"\x10", "ends inside a length field"),
         (EMPTY[:-2], "ends inside a batch"),
@@ -198,13 +198,13 @@
         (start(GOOD.replace(b"1000.0", b"-1.0")), "latency_objective and deadline"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data: bytes, said: str) -> None:
+def test_invalid_input_ends_with_one_plain_line(data: bytes, expected: str) -> None:
     code, _, text = run(data)
     assert code != 0
-    assert said in text and text.count("\n") == 1 and "Traceback" not in text
+    assert expected in text and text.count("\n") == 1 and "Traceback" not in text
 
 
-def test_a_failed_decision_is_told_on_the_wire() -> None:
+def test_an_exception_of_the_module_is_reported_on_the_wire() -> None:
     class Broken(Balancer):
         def handle(self, now: float, event: Event) -> list[Action]:
             raise RuntimeError("no idea")
