--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,7 +16,7 @@
 from starlingthread.net.upstreams.actor import ServerActor
 from starlingthread.net.upstreams.connection import Connection
 
-from .test_router import Place
+from .router_harness import RouterHarness
 from .world import THROUGH
 
 
@@ -82,7 +82,7 @@
     """A client's connection to a listener whose router is never run: tests answer the requests."""
 
     def __init__(self) -> None:
-        place = Place()
+        place = RouterHarness()
         self.router, self.watcher = place.router, Watcher()
         self.listener = ClientListener(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
         self.reader, self.writer = asyncio.StreamReader(), Writer()
@@ -126,7 +126,7 @@
     def __init__(self) -> None:
         with contextlib.suppress(RuntimeError):  # streams want a loop, though none is run here
             asyncio.set_event_loop(asyncio.new_event_loop())
-        self.place = Place()
+        self.place = RouterHarness()
         self.fleet = ServerFleet(THROUGH, self.place.router, Watcher(), 10, 15000.0)
         self.actor = ServerActor(self.fleet, 1, ("127.0.0.1", 1))
         self.reader, self.writer = asyncio.StreamReader(), Writer()
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -12,7 +12,7 @@
 from starlingthread.events import Endpoint, EndpointListKind, ServerState
 from starlingthread.net.discovery import LIST_PATH, DiscoveryActor, EndpointListError, EndpointListParser, ServerIds
 
-from .test_router import Place
+from .router_harness import RouterHarness
 
 LINE = {
     "name": "s-1",
@@ -67,7 +67,7 @@
     """Guards a reload: what is told at the new address counts as told soon after the signal."""
 
     async def play() -> None:
-        place, spoken = Place(), []
+        place, spoken = RouterHarness(), []
         registry = DiscoveryActor(place.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
 
         async def speak(path: str, watch: bool) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,8 +22,8 @@
 from starlingthread.net.clients.listener import bind
 from starlingthread.net.peers import PeerActor
 
+from .router_harness import RouterHarness
 from .standins import READS, ClientHarness, run_client_script
-from .test_router import Place
 from .world import THROUGH
 
 
@@ -240,7 +240,7 @@
 
 def test_a_paused_listener_accepts_again_once_resumed() -> None:
     async def play() -> None:
-        place = Place()
+        place = RouterHarness()
         front = ClientListener(THROUGH, place.router, Watcher(), 4, 4, 1 << 20, lambda: True)
         await front.listen("127.0.0.1", 0)
         assert front.socket is not None
@@ -262,7 +262,7 @@
 
 def test_datagrams_reach_the_serving_process() -> None:
     async def play() -> None:
-        old, new = (PeerActor(Place().router, [], None, 0) for _ in range(2))
+        old, new = (PeerActor(RouterHarness().router, [], None, 0) for _ in range(2))
         await old.listen("127.0.0.1", 0)
         assert old.socket is not None
         await new.listen("127.0.0.1", 0, old.socket.dup())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -16,8 +16,8 @@
 from starlingthread.events import AttemptResult
 from starlingthread.net.management import MAX_HEAD, REQUEST_TIMEOUT_MS, ManagementServer
 
+from .router_harness import RouterHarness
 from .standins import Writer
-from .test_router import Place
 from .world import THROUGH
 
 
@@ -62,7 +62,7 @@
     """A management server whose connections are hand-fed."""
 
     def __init__(self, max_connections: int = 4) -> None:
-        self.place, self.control, self.watcher = Place(), FakeRouter(), Watcher()
+        self.place, self.control, self.watcher = RouterHarness(), FakeRouter(), Watcher()
         router = self.place.router
         self.management = ManagementServer(
             self.control, self.watcher, self.place.clock, router.counters, router.deadlines, max_connections
@@ -159,7 +159,7 @@
     )
 )
 def test_each_submitted_request_has_ended_or_is_in_flight(steps: list[tuple[str, int, int]]) -> None:
-    place = Place()
+    place = RouterHarness()
     requests: list[PendingRequest] = []
     results = {"ok": AttemptResult.OK, "error": AttemptResult.ERROR, "full": AttemptResult.FULL}
     for step, cls, which in steps:
@@ -189,7 +189,7 @@
 
 
 def test_a_full_mailbox_rejects_and_counts() -> None:
-    place = Place()
+    place = RouterHarness()
     place.router.mailbox.limit = 1
     for number in range(2):
         now = place.clock.time
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -28,8 +28,8 @@
 from starlingthread.net.upstreams import messages
 from starlingthread.settings import Idempotency
 
+from .router_harness import RouterHarness
 from .standins import ClientHarness, ServerActorHarness, run_client_script
-from .test_router import Place
 from .world import IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, members, only_send, sends
 
 # the module leaves servers out
@@ -203,7 +203,7 @@
 
 
 def test_only_listed_names_are_known() -> None:
-    place = Place()
+    place = RouterHarness()
     registry = DiscoveryActor(place.router, EndpointListParser((), ()), ("127.0.0.1", 1), None)  # type: ignore[arg-type]
     line = {"name": "s-1", "address": "127.0.0.1:1", "status": "in_service"}
     registry.load_cached_list({"index": 1, "snapshot": True, "endpoints": [line]})
@@ -221,7 +221,7 @@
 
 
 def test_requests_under_way_keep_their_class_and_what_comes_after_has_the_new_one() -> None:
-    place = Place()
+    place = RouterHarness()
     before = [place.ask(cls) for cls in (READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)]
     place.router.mailbox.must_put(HealthCheckResult(1, AttemptResult.OK, 1.0))
     place.router.apply_settings(FEWER)
@@ -244,7 +244,7 @@
 
 
 def test_what_was_read_before_the_change_is_asked_under_the_old_settings() -> None:
-    place = Place()
+    place = RouterHarness()
     now = place.clock.time
     place.router.submit(PendingRequest(place, THROUGH.classes[0], 7, now + 900.0, b"p", now))
     place.router.apply_settings(FEWER)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -24,8 +24,8 @@
 from starlingthread.net.clients.limits import COMMAND_TIMEOUT_MS
 from starlingthread.net.upstreams import messages
 
+from .router_harness import RouterHarness
 from .standins import ClientHarness, ServerActorHarness, run_client_script
-from .test_router import Place
 from .world import THROUGH, World, answers, only_send, sends
 
 LONG = meta.MAX_UNCHUNKED_BYTES + 5000
@@ -167,7 +167,7 @@
 
 
 def test_a_late_chunked_answer_is_abandoned() -> None:
-    place = Place()
+    place = RouterHarness()
     place.ask()
     (attempt,) = place.started
     late = Pipe(ByteBudget(0))
@@ -178,7 +178,7 @@
 
 def test_a_chunked_answer_is_timed_by_its_first_bytes_and_counted_once_complete() -> None:
     for complete, end in ((True, FinalStatus.SUCCESS), (False, FinalStatus.FAILURE), (None, FinalStatus.ABANDONED)):
-        place = Place()
+        place = RouterHarness()
         request, pipe = place.ask(), Pipe(ByteBudget(0))
         place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"x", pipe=pipe))
         assert place.answers == [(request, Served(b"x", pipe))] and place.router.telemetry.inflight == 1
@@ -378,7 +378,7 @@
 
 
 def test_a_request_gets_its_deadline_once_its_value_is_received() -> None:
-    place = Place()
+    place = RouterHarness()
     now = place.clock.time
     request = PendingRequest(
         place, THROUGH.classes[1], 7, now + 30000.0, b"p", now, is_write=True, body=Pipe(ByteBudget(0))
