--- a/starlingthread/analysis/__init__.py
+++ b/starlingthread/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""What the records of a run show: broken rules, results, evenness of the load, and reports. Needs the extra ``lab``."""
+"""Analysis of the records of a run: broken rules, results, evenness of the load, reports. Needs the extra ``lab``."""
--- a/starlingthread/analysis/results.py
+++ b/starlingthread/analysis/results.py
@@ -15,7 +15,7 @@
 from ..experiment.records import RUN, FaultRecord, Ledger, Operation, RouterSample
 from ..experiment.scenario import RequestClass, Scenario
 from .evenness import Evenness, measure
-from .judge import Verdict
+from .verdict import Verdict
 
 FORMAT = 2
 LEAST_US, MOST_US, DIGITS = 1, 120_000_000, 3
--- /dev/null
+++ b/starlingthread/analysis/rules/__init__.py
@@ -0,0 +1,25 @@
+"""The rules of the judge: each check goes through the evidence of a run and yields what it finds."""
+
+from __future__ import annotations
+
+from .answers import check_answer_time, check_extra_answers, check_foreign_values, check_idle_waits, check_unknown
+from .base import Check, Note
+from .effects import check_idempotency_keys, check_run_once
+from .processes import check_crashes, check_resource_limits
+from .servers import check_drained_servers, check_warming_servers
+
+CHECKS: tuple[Check, ...] = (
+    check_answer_time,
+    check_extra_answers,
+    check_foreign_values,
+    check_run_once,
+    check_idempotency_keys,
+    check_drained_servers,
+    check_warming_servers,
+    check_resource_limits,
+    check_crashes,
+    check_idle_waits,
+    check_unknown,
+)
+
+__all__ = ["CHECKS", "Check", "Note"]
--- /dev/null
+++ b/starlingthread/analysis/rules/base.py
@@ -0,0 +1,32 @@
+"""What the checks of the judge share: the type of a check and of its findings."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from typing import NamedTuple, TypeAlias
+
+from ...experiment.records import ClientAttempt
+from ..evidence import RunEvidence
+from ..verdict import Rule, Violation
+
+NO_ROUTER = -1
+
+
+class Note(NamedTuple):
+    """An occurrence that is no violation but worth counting."""
+
+    text: str
+
+
+Finding: TypeAlias = Violation | Note
+Check: TypeAlias = Callable[[RunEvidence], Iterator[Finding]]
+
+
+def violation(run: RunEvidence, rule: Rule, request_id: str, router: int, at: float, text: str) -> Violation:
+    """Return a violation at a time of the monotonic clock (ms)."""
+    return Violation(rule.value, request_id, router, run.seconds_since_start(at), text)
+
+
+def violation_by(run: RunEvidence, rule: Rule, attempt: ClientAttempt, at: float, text: str) -> Violation:
+    """Return a violation by the router that a client's attempt went to."""
+    return violation(run, rule, attempt.request_id, attempt.router, at, text)
