--- a/starlingthread/cli/common.py
+++ b/starlingthread/cli/common.py
@@ -44,12 +44,13 @@
 
 def read_scenario(file: Path, settings: tuple[str, ...] = (), seed: int | None = None) -> Scenario:
     """Return a scenario with changed settings ('KEY=VALUE') and seed; exit with 1 if it is invalid."""
-    from ..experiment import scenario
+    from ..experiment import scenario_file
+    from ..experiment.validation import ScenarioError
 
     seed_setting = (f"seed={seed}",) if seed is not None else ()
     try:
-        return scenario.read(file, (*settings, *seed_setting))
-    except scenario.ScenarioError as error:
+        return scenario_file.read(file, (*settings, *seed_setting))
+    except ScenarioError as error:
         fail(str(error))
 
 
--- a/starlingthread/cli/demo.py
+++ b/starlingthread/cli/demo.py
@@ -46,7 +46,8 @@
     """Return the demo's scenario; of another length, the fault is in the middle third."""
     import msgspec
 
-    from ..experiment import scenario
+    from ..experiment.scenario import Scenario
+    from ..experiment.validation import validate
 
     raw: dict[str, Any] = tomllib.loads(DEMO_SCENARIO)
     if seconds is not None:
@@ -54,4 +55,4 @@
         fault = raw["faults"][0]
         fault["start_s"] = seconds / 3
         fault["length_s"] = seconds / 3
-    return scenario.check(msgspec.convert(raw, scenario.Scenario), "demo")
+    return validate(msgspec.convert(raw, Scenario), "demo")
--- a/starlingthread/cli/emulate.py
+++ b/starlingthread/cli/emulate.py
@@ -32,11 +32,12 @@
       LB_CONFIG=emulated/r0.json python -m starlingthread
     """
     require_lab()
-    from ..testbed import run
+    from ..testbed.errors import RunError
+    from ..testbed.run import emulate as hold_platform
 
     try:
-        run.emulate(read_scenario(scenario, settings), folder, routers, seconds, click.echo)
-    except run.RunError as error:
+        hold_platform(read_scenario(scenario, settings), folder, routers, seconds, click.echo)
+    except RunError as error:
         fail(str(error))
     except KeyboardInterrupt:
         click.echo("ended")
--- a/starlingthread/cli/playing.py
+++ b/starlingthread/cli/playing.py
@@ -24,7 +24,7 @@
     from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
     from ..testbed.bench import bench
-    from ..testbed.run import RunError
+    from ..testbed.errors import RunError
 
     console = Console(stderr=True)
     with Progress(
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -1,21 +1,15 @@
-"""Scenarios: fleet, traffic, faults and limits in TOML, validated before anything starts.
+"""Types of a scenario: fleet, traffic, faults and limits. ``scenario_file`` reads them from TOML.
 
 Times are in milliseconds where a name ends in ``_ms``, in seconds where it ends in ``_s``.
 """
 
 from __future__ import annotations
 
-import tomllib
-from pathlib import Path
-from typing import Annotated, Any, Literal, get_args
+from typing import Annotated, Any, Literal
 
 import msgspec
-import tomli_w
 from msgspec import Meta
 
-from ..options import OptionsError, with_rename_hint
-from ..options import parse as parse_options
-
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0)]
 NotNegative = Annotated[float, Meta(ge=0.0)]
@@ -58,21 +52,7 @@
     "", "random", "round-robin", "hash", "bounded-hash", "two-choices", "two-reported", "least-reported", "truth"
 ]  # as baselines/policies.py has them
 
-RENAMED = {
-    "boxes": "servers",
-    "cold_boxes": "cold_servers",
-    "box_processes": "server_processes",
-    "from-box": "from-server",
-    "to-box": "to-server",
-    "told_at_latest_ms": "notified_within_ms",
-}  # keys and values of older scenarios
-
-DAY_LIMIT = 24 * 3600.0
-MAX_OPERATIONS = 20_000_000  # arrivals are drawn ahead and lie in memory: about 40 bytes each
-
-
-class ScenarioError(Exception):
-    """A scenario makes no sense; the text names the file, the key and what was expected."""
+MAX_LENGTH_S = 24 * 3600.0
 
 
 class RequestClass(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -241,7 +221,7 @@
     """One whole run."""
 
     name: Name
-    length_s: Annotated[float, Meta(gt=0.0, le=DAY_LIMIT)] = 20.0
+    length_s: Annotated[float, Meta(gt=0.0, le=MAX_LENGTH_S)] = 20.0
     about: str = ""
     seed: Annotated[int, Meta(ge=0)] = 1
     fleet: Fleet = Fleet()
@@ -255,28 +235,6 @@
     faults: tuple[Fault, ...] = ()
 
 
-# Strengths that make sense, by kind: least, most, and what the figure is.
-STRENGTHS: dict[str, tuple[float, float, str]] = {
-    "slow": (1.0, 1000.0, "how many times slower"),
-    "pauses": (1.0, 10000.0, "ms of each pause"),
-    "heavy-tail": (1.0, 1000.0, "how many times longer a share of the commands takes"),
-    "reset": (0.0, 1.0, "share of answers that become a reset"),
-    "late-reports": (0.0, 60000.0, "ms by which load reports are older"),
-    "spoilt": (0.0, 1.0, "share of answers that are spoilt"),
-    "half-answers": (0.0, 1.0, "share of answers that stop in the middle"),
-    "garbage-clients": (0.0, 500.0, "connections a second"),
-    "half-commands": (0.0, 500.0, "connections a second"),
-    "leaving-clients": (0.0, 1.0, "share of requests whose client leaves"),
-    "lost-datagrams": (0.0, 1.0, "share that is lost"),
-    "origin-jam": (1.0, 1000.0, "how many times less the origin takes"),
-    "surge": (0.0, 100.0, "rate as a multiple"),
-    "link-slow": (0.0, 60000.0, "ms more, each way"),
-    "link-lossy": (0.0, 1.0, "share of what is sent that is lost at first"),
-    "link-broken": (0.0, 1.0, "share of answers in which the connection ends"),
-    "replace": (0.0, 60000.0, "ms until the new server answers at the same address"),
-}
-
-
 def link_groups(scenario: Scenario) -> int:
     """Return how many groups of routers have links of their own to the servers."""
     return scenario.routers.link_groups or len(scenario.fleet.zones)
@@ -291,120 +249,3 @@
     if fleet.regions and fleet.regions[zones[0]] != fleet.regions[zones[1]]:
         return fleet.region_ms
     return fleet.zone_ms
-
-
-def check(scenario: Scenario, where: str) -> Scenario:
-    """Check what types can't say. Raise a ScenarioError that names file, key and what was expected."""
-
-    def wrong(key: str, text: str) -> ScenarioError:
-        return ScenarioError(f"{where}: {key}: {text}")
-
-    traffic, fleet = scenario.traffic, scenario.fleet
-    if not traffic.classes or sum(c.share for c in traffic.classes) <= 0:
-        raise wrong("traffic.classes", "expected at least one class with a share above 0")
-    names = [c.name for c in traffic.classes]
-    if len(set(names)) < len(names):
-        raise wrong("traffic.classes", f"expected different names, found {names}")
-    for number, cls in enumerate(traffic.classes):
-        if cls.effect != "repeatable" and not cls.write:
-            raise wrong(
-                f"traffic.classes[{number}].write", f"expected true, as effect is {cls.effect!r}: only writes have one"
-            )
-        if cls.latency_objective_ms > cls.deadline_ms:
-            raise wrong(f"traffic.classes[{number}].aim_ms", f"expected at most deadline_ms {cls.deadline_ms:g}")
-    if fleet.regions and len(fleet.regions) != len(fleet.zones):
-        raise wrong("fleet.regions", f"expected the region of each of the {len(fleet.zones)} zones, in their order")
-    if link_groups(scenario) % len(fleet.zones):
-        raise wrong(
-            "routers.link_groups",
-            f"expected a multiple of the {len(fleet.zones)} zones, so that the routers of a group are of one zone",
-        )
-    try:
-        parse_options(tomli_w.dumps(scenario.routers.options), "routers.options")
-    except OptionsError as error:
-        raise ScenarioError(f"{where}: {error}") from None
-    if fleet.cold_servers > fleet.servers:
-        raise wrong("fleet.cold_servers", f"expected at most fleet.servers {fleet.servers}")
-    for number, fault in enumerate(scenario.faults):
-        key = f"faults[{number}]"
-        if fault.start_s >= scenario.length_s:
-            raise wrong(f"{key}.start_s", f"expected less than length_s {scenario.length_s:g}")
-        if fault.kind in STRENGTHS:
-            least, most, meaning = STRENGTHS[fault.kind]
-            if not least <= fault.strength <= most:
-                raise wrong(f"{key}.strength", f"expected {least:g} to {most:g} ({meaning}), found {fault.strength:g}")
-        elif fault.strength:
-            raise wrong(f"{key}.strength", f"expected none: {fault.kind!r} has no strength")
-        if any(not 0 <= b < fleet.servers for b in fault.servers):
-            raise wrong(f"{key}.servers", f"expected numbers from 0 to {fleet.servers - 1}")
-        if any(not 0 <= r < scenario.routers.count for r in fault.routers):
-            raise wrong(f"{key}.routers", f"expected numbers from 0 to {scenario.routers.count - 1}")
-        for name, zone in (("zone", fault.zone), ("from_zone", fault.from_zone)):
-            if zone not in fleet.zones and (zone or (name == "zone" and fault.kind == "zone-dark")):
-                raise wrong(f"{key}.{name}", f"expected one of {', '.join(fleet.zones)}, found {zone!r}")
-        if any(not 0 <= g < link_groups(scenario) for g in fault.groups):
-            raise wrong(f"{key}.groups", f"expected numbers from 0 to {link_groups(scenario) - 1}")
-    operations = (
-        traffic.rate * scenario.length_s * max([1.0, *(f.strength for f in scenario.faults if f.kind == "surge")])
-    )
-    if operations > MAX_OPERATIONS:
-        raise wrong(
-            "traffic.rate",
-            f"expected at most {MAX_OPERATIONS} requests in all, this asks for "
-            f"{operations:.0f}; lower traffic.rate or length_s",
-        )
-    return scenario
-
-
-def _set(raw: dict[str, Any], text: str) -> None:
-    """Put one ``key.path=value`` of the command line over a scenario; the value is TOML."""
-    path, found, value = text.partition("=")
-    if not found or not path.strip():
-        raise ScenarioError(f"--set {text!r}: expected key=value, as in traffic.rate=800")
-    try:
-        parsed: Any = tomllib.loads(f"v = {value}")["v"]
-    except tomllib.TOMLDecodeError:
-        parsed = value.strip()  # a plain word is taken as a string
-    *tables, last = path.strip().split(".")
-    for table in tables:
-        raw = raw.setdefault(table, {})
-        if not isinstance(raw, dict):
-            raise ScenarioError(f"--set {text!r}: {table!r} is no table")
-    raw[last] = parsed
-
-
-def parse(text: str, where: str, overrides: tuple[str, ...] = ()) -> Scenario:
-    """Parse and check a scenario's text. Raise a ScenarioError."""
-    try:
-        raw = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as error:
-        raise ScenarioError(f"{where}: not valid TOML: {error}") from None
-    for override in overrides:
-        _set(raw, override)
-    try:
-        scenario = msgspec.convert(raw, Scenario)
-    except msgspec.ValidationError as error:
-        message, _, key = str(error).partition(" - at `$")
-        key = key.rstrip("`").lstrip(".") or "the top level"
-        if key.startswith("faults[") and key.endswith(".kind"):
-            message += f", expected one of {', '.join(get_args(FaultKind))}"
-        message = with_rename_hint(message, RENAMED)
-        raise ScenarioError(f"{where}: {key}: {message[:1].lower()}{message[1:]}") from None
-    return check(scenario, where)
-
-
-def read(path: str | Path, overrides: tuple[str, ...] = ()) -> Scenario:
-    """Read a scenario from a file. Raise a ScenarioError."""
-    try:
-        text = Path(path).read_text(encoding="utf-8")
-    except (OSError, UnicodeDecodeError) as error:
-        raise ScenarioError(f"{path}: {error}") from None
-    return parse(text, str(path), overrides)
-
-
-def descriptors_needed(scenario: Scenario) -> int:
-    """Return about how many descriptors the largest process of a run holds, to refuse what can't be played."""
-    per_server = scenario.fleet.servers / scenario.machine.server_processes
-    servers = per_server * (2 + min(scenario.fleet.connections, 40 * scenario.routers.count))
-    load = 2 * scenario.traffic.connections / scenario.machine.load_processes + 200
-    return int(max(servers, load, 6 * scenario.routers.count + 200))
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -5,7 +5,6 @@
 import asyncio
 import contextlib
 import os
-import resource
 import signal
 import sys
 import tempfile
@@ -28,7 +27,9 @@
 from ..emulator.schedule import EventLoopSchedule
 from ..experiment.randomness import streams
 from ..experiment.records import FaultRecord, Ledger, ServerEvent, StatusNotification
-from ..experiment.scenario import Scenario, descriptors_needed
+from ..experiment.scenario import Scenario
+from .errors import RunError
+from .machine import check_machine
 
 SAMPLE_EVERY = 0.25  # s between looks at the routers
 START_WITHIN = 30.0  # s for workers to come up
@@ -38,10 +39,6 @@
 STOP_WITHIN = 8.0  # s that a router has after SIGTERM
 
 
-class RunError(Exception):
-    """The run could not be played; the text says why and what to do."""
-
-
 class Outcome(NamedTuple):
     """What a run leaves."""
 
@@ -52,20 +49,6 @@
 Progress = Callable[[float, float, str], None]  # seconds done, seconds in all, what goes on
 
 
-def check_machine(scenario: Scenario) -> None:
-    """Raise a RunError if this machine can't hold what a scenario asks for."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    needed = descriptors_needed(scenario)
-    if needed > soft and hard not in (resource.RLIM_INFINITY,) and needed > hard:
-        raise RunError(
-            f"scenario {scenario.name!r} needs about {needed} descriptors in one process, this machine allows "
-            f"{hard}: raise machine.server_processes or machine.load_processes, or lower fleet.servers, "
-            f"routers.count or traffic.connections"
-        )
-    if needed > soft:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(needed * 2, hard) if hard > 0 else needed * 2, hard))
-
-
 class Run:
     """The testbed. One object plays one run."""
 
--- a/tests/test_failover_process.py
+++ b/tests/test_failover_process.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from starlingthread.analysis.judge import judge
-from starlingthread.experiment import scenario
+from starlingthread.experiment import scenario_file
 from starlingthread.testbed.run import play
 
 SCENARIO = """
@@ -56,7 +56,7 @@
 
 
 def said(folder: Path, faults: str, *settings: str) -> list[list[tuple[str, str]]]:
-    spec = scenario.parse(SCENARIO + faults, "failover", settings)
+    spec = scenario_file.parse(SCENARIO + faults, "failover", settings)
     outcome = play(spec, folder=folder)
     assert not judge(spec, outcome.ledger).counts
     return [LINE.findall((folder / f"r{me}.log").read_text()) for me in range(9)]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 from starlingthread.emulator import server_faults
 from starlingthread.emulator.fault_injector import FaultInjector
 from starlingthread.emulator.fault_targets import targets
-from starlingthread.experiment import scenario
+from starlingthread.experiment import scenario, validation
 from starlingthread.experiment.records import FaultRecord
 
 CALM = scenario.Scenario("calm")
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("kind", EXPECTED)
 def test_each_fault_begins_and_ends(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_faults, "DRAIN_PERIOD_S", 0.0)
-    minimum, maximum, _ = scenario.STRENGTHS.get(kind, (0.0, 0.0, ""))
+    minimum, maximum, _ = validation.STRENGTHS.get(kind, (0.0, 0.0, ""))
     strength = 0.5 if maximum == 1.0 else min(2.0, maximum)
     fault = scenario.Fault(
         kind,  # type: ignore[arg-type]
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -9,7 +9,7 @@
 
 from starlingthread.analysis.judge import judge
 from starlingthread.analysis.results import Results, reduce
-from starlingthread.experiment import scenario
+from starlingthread.experiment import scenario_file
 from starlingthread.testbed.run import play
 
 SCENARIO = """
@@ -66,7 +66,7 @@
 
 def played_with_parts(folder: Path, *settings: str, faults: str = "") -> tuple[Results, list[float]]:
     """Play it; return the results, and what each server got in the last three seconds against the mean."""
-    spec = scenario.parse(SCENARIO + faults, "herd", settings)
+    spec = scenario_file.parse(SCENARIO + faults, "herd", settings)
     outcome = play(spec, folder=folder)
     end = outcome.ledger.started_at + spec.length_s * 1000.0
     servers = [one.server for one in outcome.ledger.deliveries if end - 3000.0 <= one.first_at < end]
@@ -105,7 +105,9 @@
 
 @pytest.mark.parametrize("policy", ["random", "round-robin", "bounded-hash", "two-choices", "two-reported", "truth"])
 def test_each_baseline_serves_and_breaks_no_rule(policy: str, tmp_path: Path) -> None:
-    short = msgspec.structs.replace(scenario.parse(SCENARIO, "herd", (f'routers.policy="{policy}"',)), length_s=3.0)
+    short = msgspec.structs.replace(
+        scenario_file.parse(SCENARIO, "herd", (f'routers.policy="{policy}"',)), length_s=3.0
+    )
     short = msgspec.structs.replace(
         short,
         routers=msgspec.structs.replace(short.routers, count=3),
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -25,7 +25,8 @@
     Operation,
     RouterEvent,
 )
-from starlingthread.experiment.scenario import Scenario, parse
+from starlingthread.experiment.scenario import Scenario
+from starlingthread.experiment.scenario_file import parse
 
 ROUTER = Path(__file__).with_name("broken_router.py")
 SCENARIO = """
--- a/tests/test_members_process.py
+++ b/tests/test_members_process.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from starlingthread.analysis.judge import judge
-from starlingthread.experiment import scenario
+from starlingthread.experiment import scenario_file
 from starlingthread.testbed.run import play
 
 SCENARIO = """
@@ -43,7 +43,7 @@
 
 
 def test_routers_find_the_dead_and_the_stopped_take_them_back_and_believe_nobody_else_dead(tmp_path: Path) -> None:
-    spec = scenario.parse(SCENARIO, "members")
+    spec = scenario_file.parse(SCENARIO, "members")
     outcome = play(spec, folder=tmp_path)
     assert not judge(spec, outcome.ledger).counts
     said: dict[int, list[tuple[str, int]]] = defaultdict(list)
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -11,7 +11,7 @@
 
 from starlingthread.emulator.router_process import RouterProcess
 from starlingthread.experiment.records import Ledger
-from starlingthread.experiment.scenario import parse
+from starlingthread.experiment.scenario_file import parse
 
 
 def a_router(folder: Path, code: str) -> RouterProcess:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -10,8 +10,9 @@
 from click.testing import CliRunner
 
 from starlingthread.cli.main import main
-from starlingthread.experiment import scenario
-from starlingthread.testbed import run
+from starlingthread.experiment import scenario, scenario_file
+from starlingthread.testbed import machine
+from starlingthread.testbed.errors import RunError
 
 ROOT = Path(__file__).parents[1]
 CALM = scenario.Scenario("calm")
@@ -19,7 +20,7 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.toml")), ids=lambda p: p.stem)
 def test_scenarios_are_valid_and_round_trip(path: Path) -> None:
-    read = scenario.read(path)
+    read = scenario_file.read(path)
     assert read.name == path.stem and read.about
     assert msgspec.convert(msgspec.to_builtins(read), scenario.Scenario) == read
     assert msgspec.json.decode(msgspec.json.encode(read), type=scenario.Scenario) == read
@@ -60,5 +61,5 @@
 def test_a_scenario_larger_than_the_machine_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (1024, 4096))
     big = msgspec.structs.replace(CALM, fleet=scenario.Fleet(servers=2000))
-    with pytest.raises(run.RunError, match="allows 4096: raise machine"):
-        run.check_machine(big)
+    with pytest.raises(RunError, match="allows 4096: raise machine"):
+        machine.check_machine(big)
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -20,7 +20,7 @@
 from starlingthread.emulator.server_links import RETRANSMIT_TIMEOUT_MS, LinkDirection, ServerLink
 from starlingthread.emulator.server_model import ServerModel
 from starlingthread.events import EndpointList, EndpointListKind, Request
-from starlingthread.experiment import scenario
+from starlingthread.experiment import scenario, scenario_file, validation
 from starlingthread.experiment.randomness import Chances, server_speeds
 from starlingthread.experiment.records import ClientAttempt, Delivery, Ledger, ServerEvent, ServerSample
 
@@ -136,7 +136,7 @@
 
 
 def test_the_operators_file_and_the_links_of_a_scenario_are_checked() -> None:
-    good = scenario.parse('name = "x"\n[routers]\nlink_groups = 6\n[routers.options.log]\nlevel = "error"\n', "f")
+    good = scenario_file.parse('name = "x"\n[routers]\nlink_groups = 6\n[routers.options.log]\nlevel = "error"\n', "f")
     assert good.routers.options == {"log": {"level": "error"}} and scenario.link_groups(good) == 6
     for text, wanted in (
         ("[routers.options.log]\nlevel = 7\n", "log.level"),
@@ -145,9 +145,9 @@
         ('[[faults]]\nkind = "link-cut"\nstart_s = 1.0\ngroups = [3]\n', "numbers from 0 to 2"),
         ('[fleet]\nregions = ["n"]\n', "the region of each"),
     ):
-        with pytest.raises(scenario.ScenarioError, match=wanted):
-            scenario.parse('name = "x"\n' + text, "f")
-    apart = scenario.parse('name = "x"\n[fleet]\nregions = ["n", "n", "s"]\nzone_ms = 1.0\nregion_ms = 9.0\n', "f")
+        with pytest.raises(validation.ScenarioError, match=wanted):
+            scenario_file.parse('name = "x"\n' + text, "f")
+    apart = scenario_file.parse('name = "x"\n[fleet]\nregions = ["n", "n", "s"]\nzone_ms = 1.0\nregion_ms = 9.0\n', "f")
     assert [scenario.distance_ms(apart, server, 0) for server in range(3)] == [0.0, 1.0, 9.0]
 
 
