--- a/starlingthread/load/__init__.py
+++ b/starlingthread/load/__init__.py
@@ -1,1 +1,1 @@
-"""An open-loop load tool, its results and its reports. Needs the extra ``lab``."""
+"""An open-loop load tool: clients that send each request when it is due. Needs the extra ``lab``."""
--- a/starlingthread/testbed/client_worker.py
+++ b/starlingthread/testbed/client_worker.py
@@ -8,7 +8,7 @@
 
 from ..experiment.randomness import streams
 from ..experiment.scenario import Scenario
-from ..load.client import Load
+from ..load.generator import LoadGenerator
 from ..load.traffic import draw
 from .worker_base import Worker
 
@@ -22,7 +22,7 @@
 
     def __init__(self, number: int) -> None:
         super().__init__(number)
-        self.load: Load
+        self.load: LoadGenerator
         self.commands |= {
             "setup": self.set_up,
             "begin": self.begin,
@@ -37,7 +37,8 @@
         self.scenario = msgspec.convert(scenario, Scenario)
         rng = streams(self.scenario.seed + _SEED_OFFSET, self.scenario.machine.load_processes)[self.number]
         addresses = [(host, port) for host, port in routers]
-        self.load = Load(self.scenario, self.number, draw(self.scenario), addresses, rng, self.ledger)
+        arrivals = draw(self.scenario)
+        self.load = LoadGenerator(self.scenario, self.number, arrivals, addresses, rng, self.ledger)
         await self.load.connect_ahead()
 
     async def begin(self, started_at: float) -> None:
@@ -50,20 +51,20 @@
 
     async def set_router_alive(self, router: int, is_alive: bool) -> None:
         """Let the load balancer in front of the routers notice that one has stopped responding, or responds again."""
-        self.load.alive[router] = is_alive
+        self.load.front.set_alive(router, is_alive)
 
     async def set_leave_share(self, share: float) -> None:
         """Set the share of requests whose client leaves before the answer."""
-        self.load.leave = share
+        self.load.runner.leave_share = share
 
     async def start_bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
         """Start clients that send garbage, or half commands, for a while."""
-        self.load.bad_clients(per_second, seconds, half)
+        self.load.bad_clients.start(per_second, seconds, half)
 
     async def collect(self) -> bytes:
         """Return the encoded ledger; the clients stop."""
-        self.ledger.bad_client_outcomes = dict(self.load.garbage)
-        if self.load.out_of_connections:
-            self.ledger.bad_client_outcomes["out-of-connections"] = self.load.out_of_connections
+        self.ledger.bad_client_outcomes = dict(self.load.bad_clients.outcomes)
+        if self.load.runner.exhausted_count:
+            self.ledger.bad_client_outcomes["out-of-connections"] = self.load.runner.exhausted_count
         self.load.stop()
         return await super().collect()
