--- /dev/null
+++ b/starlingthread/analysis/comparison.py
@@ -0,0 +1,73 @@
+"""The figures of two runs beside each other."""
+
+from __future__ import annotations
+
+from operator import attrgetter
+
+import msgspec
+import numpy as np
+
+from .results import ClassResult, Results, RouterResult
+
+EVENNESS_FIGURES = (
+    "busiest_1s",
+    "busiest_10s",
+    "least",
+    "idle_share",
+    "herd_index",
+    "owners_differ",
+    "connections",
+)
+LATENCY_PERCENTILES = ("50", "99", "99.9")
+ROUTER_FIGURES = (
+    ("CPU µs a request", "cpu_us_per_request"),
+    ("memory MB, most", "peak_memory_mb"),
+    ("descriptors, most", "peak_descriptors"),
+)
+
+
+class Change(msgspec.Struct):
+    """One figure of two runs."""
+
+    name: str
+    before: float
+    after: float
+
+    @property
+    def ratio(self) -> float | None:
+        """After by before; None where that has no meaning."""
+        return self.after / self.before if self.before else None
+
+
+def compare(before: Results, after: Results) -> list[Change]:
+    """Return the figures of two runs beside each other; classes that only one of them has are left out."""
+    changes = [
+        Change("worth share", before.goodput_share, after.goodput_share),
+        Change("attempts a request", before.attempts_per_request, after.attempts_per_request),
+        Change("hit share", before.hit_share, after.hit_share),
+        Change("violations", sum(before.verdict.counts.values()), sum(after.verdict.counts.values())),
+    ]
+    if before.evenness is not None and after.evenness is not None:
+        for field in EVENNESS_FIGURES:
+            value_of = attrgetter(field)
+            changes.append(Change(field.replace("_", " "), value_of(before.evenness), value_of(after.evenness)))
+    classes_after = {result.name: result for result in after.classes}
+    for class_before in before.classes:
+        if (class_after := classes_after.get(class_before.name)) is not None:
+            changes += _class_changes(class_before, class_after)
+    for name, field in ROUTER_FIGURES:
+        changes.append(Change(name, _router_mean(before.routers, field), _router_mean(after.routers, field)))
+    return changes
+
+
+def _class_changes(before: ClassResult, after: ClassResult) -> list[Change]:
+    changes = [Change(f"{before.name} worth share", before.goodput_share, after.goodput_share)]
+    for name in LATENCY_PERCENTILES:
+        if name in before.percentiles and name in after.percentiles:
+            changes.append(Change(f"{before.name} p{name} ms", before.percentiles[name], after.percentiles[name]))
+    return changes
+
+
+def _router_mean(routers: list[RouterResult], field: str) -> float:
+    value_of = attrgetter(field)
+    return float(np.mean([value_of(router) for router in routers]))
--- a/starlingthread/analysis/report.py
+++ b/starlingthread/analysis/report.py
@@ -16,7 +16,7 @@
 from jinja2 import Environment
 from matplotlib.axes import Axes
 
-from .results import Line, Results
+from .results import Results, TimeSeries
 
 MANY = 12  # lines in one plot past which they are not named
 
@@ -32,7 +32,7 @@
 </style></head><body>
 <h1>{{ r.scenario.name }}, seed {{ r.scenario.seed }}</h1>
 <p class="about">{{ r.scenario.about }}</p>
-<p><span class="big">{{ "%.1f" | format(100 * r.worth_share) }}%</span> of the worth served ·
+<p><span class="big">{{ "%.1f" | format(100 * r.goodput_share) }}%</span> of the worth served ·
 {{ r.requests }} requests, {{ "%.0f" | format(r.requests_per_s) }}/s ·
 {{ "%.2f" | format(r.attempts_per_request) }} attempts a request · hits {{ "%.1f" | format(100 * r.hit_share) }}%
 · {{ r.scenario.routers.count }} routers, {{ r.scenario.fleet.servers }} servers</p>
@@ -44,8 +44,8 @@
 <table><tr><th>class</th><th>requests</th><th>in time</th><th>late</th><th>refused</th><th>failed</th>
 <th>left</th><th>tries</th><th>worth</th><th>p50 ms</th><th>p99</th><th>p99.9</th><th>most</th></tr>
 {% for c in r.classes %}<tr><td>{{ c.name }}</td><td>{{ c.offered }}</td><td>{{ c.in_time }}</td>
-<td>{{ c.late }}</td><td>{{ c.refused }}</td><td>{{ c.failed }}</td><td>{{ c.left }}</td><td>{{ c.tries }}</td>
-<td>{{ "%.3f" | format(c.worth_share) }}</td>
+<td>{{ c.late }}</td><td>{{ c.rejected }}</td><td>{{ c.failed }}</td><td>{{ c.abandoned }}</td><td>{{ c.attempts }}</td>
+<td>{{ "%.3f" | format(c.goodput_share) }}</td>
 {% for p in ("50", "99", "99.9", "100") %}<td>{{ "%.1f" | format(c.percentiles[p]) if p in c.percentiles }}</td>
 {% endfor %}</tr>{% endfor %}</table>
 {% for title, picture in pictures %}<h2>{{ title }}</h2>
@@ -59,7 +59,7 @@
 <th>descriptors</th></tr>
 {% for x in r.routers %}<tr><td>{{ x.name }}</td><td>{{ x.requests }}</td>
 <td>{{ "%.0f" | format(x.cpu_us_per_request) }}</td><td>{{ "%.2f" | format(x.cpu_share) }}</td>
-<td>{{ "%.1f" | format(x.memory_mb_most) }}</td><td>{{ x.descriptors_most }}</td></tr>{% endfor %}</table>
+<td>{{ "%.1f" | format(x.peak_memory_mb) }}</td><td>{{ x.peak_descriptors }}</td></tr>{% endfor %}</table>
 {% if r.faults %}<h2>Faults</h2><table><tr><th>fault</th><th>kind</th><th>from s</th><th>to s</th><th>at</th></tr>
 {% for f in r.faults %}<tr><td>{{ f.label }}</td><td>{{ f.kind }}</td><td>{{ "%.1f" | format(f.began_at) }}</td>
 <td>{{ "%.1f" | format(f.ended_at) }}</td><td>{{ f.target }}</td></tr>{% endfor %}</table>{% endif %}
@@ -119,7 +119,7 @@
     axes.semilogy([s.at for s in results.seconds], [max(s.p99_ms, 0.1) for s in results.seconds], label="p99 ms")
     axes.step(
         [s.at for s in results.seconds],
-        [max(s.refused + s.failed, 0.1) for s in results.seconds],
+        [max(s.rejected + s.failed, 0.1) for s in results.seconds],
         where="post",
         label="refused and failed, a second",
     )
@@ -140,7 +140,7 @@
     axes.legend(fontsize=8)
 
 
-def _lines(lines: list[Line], label: str, results: Results, most: float | None = None) -> Callable[[Axes], None]:
+def _lines(lines: list[TimeSeries], label: str, results: Results, most: float | None = None) -> Callable[[Axes], None]:
     def draw(axes: Axes) -> None:
         for line in lines:
             axes.plot(line.at, line.values, lw=1.0, label=line.name, alpha=0.85 if len(lines) <= MANY else 0.3)
@@ -182,7 +182,7 @@
     facts: dict[str, Any] = {
         **results.facts,
         **{f"longest stall of {k}, ms": v for k, v in results.lags.items()},
-        **{f"bad clients: {k}": v for k, v in results.garbage.items()},
+        **{f"bad clients: {k}": v for k, v in results.bad_client_outcomes.items()},
         **results.verdict.notes,
     }
     page = (
--- a/starlingthread/cli/compare.py
+++ b/starlingthread/cli/compare.py
@@ -25,6 +25,7 @@
     from rich.table import Table
 
     from ..analysis import results
+    from ..analysis.comparison import compare as compare_results
 
     try:
         first = results.read(before)
@@ -36,7 +37,7 @@
     table = Table()
     for name in ("figure", str(before), str(after), "ratio"):
         table.add_column(name, justify="left" if name == "figure" else "right")
-    for change in results.compare(first, second):
+    for change in compare_results(first, second):
         ratio = "-" if change.ratio is None else f"{change.ratio:.3f}"
         table.add_row(change.name, f"{change.before:.4g}", f"{change.after:.4g}", ratio)
     output_console().print(table)
--- a/starlingthread/cli/results_output.py
+++ b/starlingthread/cli/results_output.py
@@ -37,7 +37,7 @@
     """Print the spread over runs of one scenario with several seeds."""
     import numpy as np
 
-    shares = [run.worth_share for run in runs]
+    shares = [run.goodput_share for run in runs]
     broken = sum(sum(run.verdict.counts.values()) for run in runs)
     void = sum(bool(run.verdict.void) for run in runs)
     click.echo(
@@ -51,14 +51,14 @@
 
     table = Table(
         title=f"{results.scenario.name}, seed {results.scenario.seed}: "
-        f"{100 * results.worth_share:.1f}% of the worth served"
+        f"{100 * results.goodput_share:.1f}% of the worth served"
     )
     for name in CLASS_COLUMNS:
         table.add_column(name, justify="left" if name == "class" else "right")
     for cls in results.classes:
         latencies = [f"{cls.percentiles[p]:.1f}" if p in cls.percentiles else "-" for p in PERCENTILES]
-        counts = map(str, (cls.offered, cls.in_time, cls.late, cls.refused, cls.failed))
-        table.add_row(cls.name, *counts, f"{cls.worth_share:.3f}", *latencies)
+        counts = map(str, (cls.offered, cls.in_time, cls.late, cls.rejected, cls.failed))
+        table.add_row(cls.name, *counts, f"{cls.goodput_share:.3f}", *latencies)
     return table
 
 
@@ -82,7 +82,7 @@
     for router in busiest:
         console.print(
             f"{router.name}: {router.requests} requests, {router.cpu_us_per_request:.0f} µs of CPU each, "
-            f"{router.memory_mb_most:.1f} MB, {router.descriptors_most} descriptors",
+            f"{router.peak_memory_mb:.1f} MB, {router.peak_descriptors} descriptors",
             highlight=False,
         )
 
--- a/starlingthread/testbed/bench.py
+++ b/starlingthread/testbed/bench.py
@@ -4,13 +4,14 @@
 
 from pathlib import Path
 
-from ..analysis import results
 from ..analysis.judge import judge
+from ..analysis.reduction import reduce
+from ..analysis.results import Results
 from ..experiment.scenario import Scenario
 from .run import Progress, play
 
 
-def bench(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> results.Results:
+def bench(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> Results:
     """Play a scenario and return its results. Raise a RunError if it can't be played."""
     outcome = play(scenario, progress, folder)
-    return results.reduce(scenario, outcome.ledger, outcome.facts, judge(scenario, outcome.ledger))
+    return reduce(scenario, outcome.ledger, outcome.facts, judge(scenario, outcome.ledger))
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -80,9 +80,9 @@
     )
     assert done.returncode == 0, done.stdout + done.stderr
     run = results.read(tmp_path / "out.json")
-    assert run.passed and run.worth_share > 0.8 and len(run.faults) == 5
+    assert run.passed and run.goodput_share > 0.8 and len(run.faults) == 5
     assert run.facts["discovery.calls"] >= 4 and run.facts["servers.runs"] > 2000
-    assert all(r.requests > 300 and r.memory_mb_most > 10 for r in run.routers)
+    assert all(r.requests > 300 and r.peak_memory_mb > 10 for r in run.routers)
     page = (tmp_path / "out.html").read_text()
     assert page.count("data:image/png") == 8 and "No rule broken" in page
     assert not done.stderr  # no progress bar where nobody looks
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -8,7 +8,8 @@
 import pytest
 
 from starlingthread.analysis.judge import judge
-from starlingthread.analysis.results import Results, reduce
+from starlingthread.analysis.reduction import reduce
+from starlingthread.analysis.results import Results
 from starlingthread.experiment import scenario_file
 from starlingthread.testbed.run import play
 
@@ -78,7 +79,7 @@
     ours = played(tmp_path / "ours", "routers.options.hot_keys.enabled=true")
     herd = played(tmp_path / "herd", 'routers.policy="least-reported"')
     assert ours.evenness is not None and herd.evenness is not None
-    assert not ours.verdict.counts and ours.worth_share > 0.95
+    assert not ours.verdict.counts and ours.goodput_share > 0.95
     # In four plays each: 1.3 to 1.5 beside 3.6 to 4.7; 0.7 to 0.8 beside 1.4 to 2.5; none beside 2 to 4.
     assert ours.evenness.busiest_1s < 2.4 < herd.evenness.busiest_1s
     assert ours.evenness.herd_index < 1.15  # that of least reported is 0.95 to 2.5: it may stay with one throughout
@@ -99,7 +100,7 @@
     """The least reported load leaves servers with nothing and others with three to four times the mean."""
     faults = f"[[faults]]\nstart_s = 5.0\nlength_s = 3.0\n{HARD[hard]}\n"
     ours, parts = played_with_parts(tmp_path / "ours", "length_s=12.0", "fleet.report_delay_ms=2000.0", faults=faults)
-    assert not ours.verdict.counts and ours.worth_share > 0.85
+    assert not ours.verdict.counts and ours.goodput_share > 0.85
     assert min(parts) > 0.4 and max(parts) < 2.0, parts
 
 
@@ -115,4 +116,4 @@
     )
     outcome = play(short, folder=tmp_path)
     results = reduce(short, outcome.ledger, outcome.facts, judge(short, outcome.ledger))
-    assert not results.verdict.counts and results.worth_share > 0.9
+    assert not results.verdict.counts and results.goodput_share > 0.9
