--- a/starlingthread/analysis/evidence.py
+++ b/starlingthread/analysis/evidence.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from ..experiment.records import ClientAttempt, Delivery, FaultRecord, Ledger
+from ..experiment.records import LISTED_PREFIX, ClientAttempt, Delivery, FaultRecord, Ledger
 from ..experiment.scenario import RequestClass, Scenario, link_groups
 
 FOREVER = float("inf")
@@ -14,7 +14,6 @@
 SILENCE_MARGIN_BEFORE_MS = 200.0
 SILENCE_MARGIN_AFTER_MS = 500.0
 
-LISTED = "listed "  # prefix of the events that change a server's status at discovery
 IN_SERVICE = "in_service"
 
 
@@ -142,8 +141,8 @@
     within = scenario.rules.notified_within_ms
     listed: dict[int, list[_StatusChange]] = defaultdict(list)
     for event in sorted(ledger.server_events, key=lambda e: e.at):
-        if event.kind.startswith(LISTED):
-            listed[event.server].append(_StatusChange(event.at, event.kind != LISTED + IN_SERVICE))
+        if event.kind.startswith(LISTED_PREFIX):
+            listed[event.server].append(_StatusChange(event.at, event.kind != LISTED_PREFIX + IN_SERVICE))
     overdue = []
     for server, changes in listed.items():
         for change, following in zip(changes, [*changes[1:], None], strict=True):
--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -8,6 +8,7 @@
 import msgspec
 
 BUSY, RUN = "busy", "run"  # what a server did with a command
+LISTED_PREFIX = "listed "  # of the kind of server events that change a status at discovery
 OUT, ANSWERED, FAILED, REJECTED, CUT = "out", "answered", "failed", "turned-away", "cut"
 
 
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -170,6 +170,10 @@
         RequestClass("record-sale", 0.02, "by_key", 1200.0, 4000.0, 10.0, write=True),
     )
 
+    def max_deadline_ms(self) -> float:
+        """Return the longest deadline of all classes."""
+        return max(spec.deadline_ms for spec in self.classes)
+
 
 class Rules(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Figures that the judge goes by."""
