--- a/starlingthread/analysis/reduction.py
+++ b/starlingthread/analysis/reduction.py
@@ -34,7 +34,7 @@
     earned = sum(weight * result.goodput_share for weight, result in zip(weights, classes, strict=True))
     routers = _router_usages(scenario, ledger)
     values_read = sum(1 for attempt in ledger.attempts if attempt.outcome == "value")
-    runs = sum(1 for delivery in ledger.deliveries if delivery.verdict == RUN)
+    runs = sum(1 for delivery in ledger.deliveries if delivery.disposition == RUN)
     return Results(
         version=__version__,
         python=platform.python_version(),
--- a/starlingthread/analysis/rules/answers.py
+++ b/starlingthread/analysis/rules/answers.py
@@ -48,7 +48,7 @@
         if attempt.protocol_error.startswith("answer for"):
             yield violation_by(run, Rule.FOREIGN_VALUE, attempt, attempt.answered_at, attempt.protocol_error)
         elif attempt.outcome in ("value", "receipt"):
-            made = {d.checksum for d in run.deliveries_of(attempt) if d.verdict == RUN and d.checksum}
+            made = {d.checksum for d in run.deliveries_of(attempt) if d.disposition == RUN and d.checksum}
             if attempt.checksum not in made:
                 text = (
                     f"{attempt.outcome} with CRC {attempt.checksum:08x}, servers made "
--- a/starlingthread/analysis/rules/effects.py
+++ b/starlingthread/analysis/rules/effects.py
@@ -19,7 +19,7 @@
         for attempt in attempts:
             yield from _resent(run, attempt)
             yield from _rejected_after_delivery(run, attempt)
-        runs = [d for attempt in attempts for d in run.deliveries_of(attempt) if d.verdict == RUN]
+        runs = [d for attempt in attempts for d in run.deliveries_of(attempt) if d.disposition == RUN]
         if len(runs) > 1:
             yield _ran_twice(run, operation, attempts[-1].router, runs)
         elif runs and not any(attempt.outcome in ("value", "receipt") for attempt in attempts):
--- a/starlingthread/emulator/cache_server.py
+++ b/starlingthread/emulator/cache_server.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from ..experiment.randomness import Chances
+from ..experiment.randomness import UniformDraws
 from ..experiment.records import Ledger, ServerEvent
 from .schedule import Schedule
 from .server_answers import AnswerFaults
@@ -39,7 +39,7 @@
         rng: np.random.Generator,
         links: list[ServerLink] | None = None,
     ) -> None:
-        draws = Chances(rng)
+        draws = UniformDraws(rng)
         self.model = model
         self.schedule = schedule
         self.ledger = ledger
--- a/starlingthread/emulator/datagram_relay.py
+++ b/starlingthread/emulator/datagram_relay.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from ..experiment.randomness import Chances
+from ..experiment.randomness import UniformDraws
 from ..experiment.scenario import Datagrams
 
 MAX_DATAGRAM_BYTES = 256
@@ -43,7 +43,7 @@
         self.listeners: list[_Address] = []  # the routers' own addresses
         self.addresses: list[_Address] = []
         self.broadcast_address: _Address = ("", 0)
-        self._draws = Chances(rng)
+        self._draws = UniformDraws(rng)
         self._transports: list[asyncio.DatagramTransport] = []
 
     async def start(self, listeners: list[_Address]) -> None:
--- a/starlingthread/emulator/load_reports.py
+++ b/starlingthread/emulator/load_reports.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from ..experiment.randomness import Draws
+from ..experiment.randomness import LognormalFactors
 from ..experiment.scenario import Fleet
 
 _WIRE_NAMES = ("inflight", "queue", "x0")
@@ -32,7 +32,7 @@
 class LoadReporter:
     """Samples of the load, from which the one that is old enough is reported."""
 
-    def __init__(self, spec: Fleet, noise: Draws) -> None:
+    def __init__(self, spec: Fleet, noise: LognormalFactors) -> None:
         self._spec = spec
         self._noise = noise
         self._samples: deque[_Sample] = deque()
--- a/starlingthread/emulator/origin_model.py
+++ b/starlingthread/emulator/origin_model.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from ..experiment.randomness import Draws
+from ..experiment.randomness import LognormalFactors
 from ..experiment.scenario import Origin
 from .schedule import Schedule
 
@@ -57,7 +57,7 @@
         self.on_write: Callable[[str], None] = lambda key: None
         self._receipts: OrderedDict[str, _Receipt] = OrderedDict()  # of writes, by idempotency key
         self._writes_in_flight: dict[str, list[VersionCallback]] = {}  # callbacks by idempotency key
-        self._work_factors = Draws(rng, spec.cv)
+        self._work_factors = LognormalFactors(rng, spec.cv)
         self._queue: deque[_Request] = deque()
         self._busy_workers = 0
 
--- a/starlingthread/emulator/server_answers.py
+++ b/starlingthread/emulator/server_answers.py
@@ -6,7 +6,7 @@
 import zlib
 from typing import NamedTuple
 
-from ..experiment.randomness import Chances
+from ..experiment.randomness import UniformDraws
 from .load_reports import LoadReport
 from .server_model import Command
 
@@ -67,7 +67,7 @@
 class AnswerFaults:
     """The shares of a server's answers that are subject to faults."""
 
-    def __init__(self, draws: Chances) -> None:
+    def __init__(self, draws: UniformDraws) -> None:
         self.reset_rate = 0.0
         self.truncation_rate = 0.0
         self.corruption_rate = 0.0
--- a/starlingthread/emulator/server_connection.py
+++ b/starlingthread/emulator/server_connection.py
@@ -119,7 +119,7 @@
         if delivery is not None and delivery.outcome == OUT:
             self._end_delivery(delivery, CUT)
             if command is not None and command.is_started:  # after waiting in the queue
-                delivery.verdict = RUN
+                delivery.disposition = RUN
         if command is not None:
             self.server.model.cancel(command)
 
@@ -200,7 +200,7 @@
         pending.command = command
         server.model.submit(command)
         if command.is_started:
-            delivery.verdict = RUN
+            delivery.disposition = RUN
 
     def _exceeds_limits(self) -> bool:
         spec = self.server.model.spec
@@ -236,7 +236,7 @@
         if outcome is CommandOutcome.BUSY:
             delivery.outcome = REJECTED
             return BUSY_ANSWER
-        delivery.verdict = RUN
+        delivery.disposition = RUN
         if outcome is CommandOutcome.FAILED:
             delivery.outcome = FAILED
             return FAILED_ANSWER
--- a/starlingthread/emulator/server_links.py
+++ b/starlingthread/emulator/server_links.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..experiment.randomness import Chances
+from ..experiment.randomness import UniformDraws
 from .port_allocation import WHOLE_RANGE, PortStripe, free_port
 from .schedule import Schedule
 
@@ -31,7 +31,7 @@
     """One address of a server, and the network conditions between the server and the routers that use the address."""
 
     def __init__(
-        self, group: int, draws: Chances, base_delay_ms: float = 0.0, stripe: PortStripe = WHOLE_RANGE
+        self, group: int, draws: UniformDraws, base_delay_ms: float = 0.0, stripe: PortStripe = WHOLE_RANGE
     ) -> None:
         self.group = group
         self.draws = draws
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from ..experiment.randomness import Chances, Draws
+from ..experiment.randomness import LognormalFactors, UniformDraws
 from ..experiment.scenario import Fleet
 from .load_reports import LoadReport, LoadReporter
 from .origin_model import OriginClient
@@ -89,9 +89,9 @@
         self.extra_report_delay_ms = 0.0
         self.on_overload_crash: Callable[[tuple[str, ...]], None] = lambda request_ids: None
         self.commands = 0  # since the last sample, which resets it
-        self._work_factors = Draws(rng, spec.work_cv)
-        self._draws = Chances(rng)
-        self._report_noise = Draws(rng, spec.report_noise)
+        self._work_factors = LognormalFactors(rng, spec.work_cv)
+        self._draws = UniformDraws(rng)
+        self._report_noise = LognormalFactors(rng, spec.report_noise)
         self.boot(is_warm=True)
 
     def boot(self, is_warm: bool) -> None:
--- a/starlingthread/experiment/randomness.py
+++ b/starlingthread/experiment/randomness.py
@@ -6,10 +6,10 @@
 
 from .scenario import Scenario
 
-DRAWN_AT_ONCE = 4096
+BLOCK_SIZE = 4096
 
 
-class Draws:
+class LognormalFactors:
     """Factors around 1 of a lognormal law with the given coefficient of variation, drawn in blocks."""
 
     def __init__(self, rng: np.random.Generator, cv: float) -> None:
@@ -21,11 +21,11 @@
         """Return the next factor."""
         if not self._block:
             mu = -self._sigma * self._sigma / 2.0
-            self._block = self._rng.lognormal(mu, self._sigma, DRAWN_AT_ONCE).tolist()
+            self._block = self._rng.lognormal(mu, self._sigma, BLOCK_SIZE).tolist()
         return self._block.pop()
 
 
-class Chances:
+class UniformDraws:
     """Uniform numbers in [0, 1), drawn in blocks."""
 
     def __init__(self, rng: np.random.Generator) -> None:
@@ -35,7 +35,7 @@
     def next(self) -> float:
         """Return the next number."""
         if not self._block:
-            self._block = self._rng.random(DRAWN_AT_ONCE).tolist()
+            self._block = self._rng.random(BLOCK_SIZE).tolist()
         return self._block.pop()
 
 
--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -19,7 +19,7 @@
     server: int
     first_at: float  # its first byte arrived
     received_at: float
-    verdict: str = BUSY
+    disposition: str = BUSY
     outcome: str = OUT
     ended_at: float = 0.0
     checksum: int = 0  # CRC-32 of the value or receipt that was made for it
--- a/starlingthread/load/bad_clients.py
+++ b/starlingthread/load/bad_clients.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections import Counter
 
-from ..experiment.randomness import Chances
+from ..experiment.randomness import UniformDraws
 from .connection import CONNECT_TIMEOUT_S, ConnectionPool
 from .front import NO_ROUTER, Front
 from .tasks import TaskSet
@@ -33,7 +33,7 @@
 class BadClients:
     """Opens connections that send invalid requests, and counts what they get for it."""
 
-    def __init__(self, front: Front, pool: ConnectionPool, chances: Chances) -> None:
+    def __init__(self, front: Front, pool: ConnectionPool, chances: UniformDraws) -> None:
         self.outcomes: Counter[str] = Counter()  # first word of the answer, closed, reset, refused or nothing
         self._front = front
         self._pool = pool
--- a/starlingthread/load/generator.py
+++ b/starlingthread/load/generator.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from ..experiment.randomness import Chances
+from ..experiment.randomness import UniformDraws
 from ..experiment.records import Ledger, Operation
 from ..experiment.scenario import Scenario
 from .bad_clients import BadClients
@@ -35,7 +35,7 @@
         ledger: Ledger,
     ) -> None:
         self.front = Front(len(routers), worker)
-        chances = Chances(rng)
+        chances = UniformDraws(rng)
         self.runner = OperationRunner(scenario, routers, self.front, chances, ledger, self._operation_ended)
         self.bad_clients = BadClients(self.front, self.runner.pool, chances)
         self.done = asyncio.Event()
@@ -43,8 +43,8 @@
         self._worker = worker
         self._processes = scenario.machine.load_processes
         share = slice(worker, None, self._processes)
-        self._due: list[float] = arrivals.at[share].tolist()
-        self._classes: list[int] = arrivals.cls[share].tolist()
+        self._due: list[float] = arrivals.due_ms[share].tolist()
+        self._classes: list[int] = arrivals.class_index[share].tolist()
         self._keys: list[int] = arrivals.key[share].tolist()
         self._ledger = ledger
         self._loop = asyncio.get_running_loop()
--- a/starlingthread/load/operations.py
+++ b/starlingthread/load/operations.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from ..experiment.randomness import Chances
+from ..experiment.randomness import UniformDraws
 from ..experiment.records import ClientAttempt, Ledger, Operation
 from ..experiment.scenario import RequestClass, Scenario
 from .connection import Answer, ClientConnection, ConnectionPool
@@ -55,7 +55,7 @@
         scenario: Scenario,
         addresses: list[tuple[str, int]],
         front: Front,
-        chances: Chances,
+        chances: UniformDraws,
         ledger: Ledger,
         on_ended: Callable[[], None],
     ) -> None:
--- a/starlingthread/load/traffic.py
+++ b/starlingthread/load/traffic.py
@@ -14,12 +14,12 @@
 class Arrivals(NamedTuple):
     """All requests of a run in the order of their times (ms since the run's start)."""
 
-    at: npt.NDArray[np.float64]
-    cls: npt.NDArray[np.int16]
+    due_ms: npt.NDArray[np.float64]
+    class_index: npt.NDArray[np.int16]
     key: npt.NDArray[np.int64]
 
 
-def zipf_weights(keys: int, exponent: float) -> npt.NDArray[np.float64]:
+def cumulative_zipf_shares(keys: int, exponent: float) -> npt.NDArray[np.float64]:
     """Return the cumulated shares of ranks 1 to ``keys`` under a bounded Zipf law."""
     weights = 1.0 / np.arange(1, keys + 1, dtype=np.float64) ** exponent
     cumulated: npt.NDArray[np.float64] = np.cumsum(weights)
@@ -44,13 +44,13 @@
     at = at[arrivals.random(len(at)) * top < rate]
     shares = np.array([c.share for c in traffic.classes], dtype=np.float64)
     cls = classes.choice(len(shares), size=len(at), p=shares / shares.sum()).astype(np.int16)
-    ranks = np.searchsorted(zipf_weights(traffic.keys, traffic.zipf), keys.random(len(at)))
+    ranks = np.searchsorted(cumulative_zipf_shares(traffic.keys, traffic.zipf), keys.random(len(at)))
     drifted = ranks + np.floor(at * traffic.drift_per_s * traffic.keys).astype(np.int64)
     shuffled = order.permutation(traffic.keys)
     return Arrivals(at * 1000.0, cls, shuffled[drifted % traffic.keys].astype(np.int64))
 
 
-def hottest_first(scenario: Scenario) -> list[int]:
+def keys_by_popularity(scenario: Scenario) -> list[int]:
     """Return the keys in the order of their ranks at the run's start."""
     return [int(k) for k in streams(scenario.seed, 4)[3].permutation(scenario.traffic.keys)]
 
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -18,10 +18,10 @@
 from ..emulator.rpc_channel import RpcChannel
 from ..emulator.server_links import ServerLink
 from ..emulator.server_model import ServerModel
-from ..experiment.randomness import Chances, server_speeds, streams
+from ..experiment.randomness import UniformDraws, server_speeds, streams
 from ..experiment.records import ServerSample
 from ..experiment.scenario import Scenario, distance_ms, link_groups
-from ..load.traffic import hottest_first, key_name
+from ..load.traffic import key_name, keys_by_popularity
 from .worker_base import Worker
 
 _SEED_OFFSET = 7_000_003  # apart from the seeds of other parts of the run
@@ -106,7 +106,7 @@
         return {number: [link.port for link in server.links] for number, server in self.servers.items()}
 
     def _make_server(self, model: ServerModel, rng: np.random.Generator) -> CacheServer:
-        link_draws = Chances(rng)
+        link_draws = UniformDraws(rng)
         stripe = PortStripe(1 + self.number, 1 + self.scenario.machine.server_processes)  # 0 is the coordinator's
         links = [
             ServerLink(group, link_draws, distance_ms(self.scenario, model.number, group), stripe)
@@ -125,7 +125,7 @@
         """Fill the caches with the hottest keys, as after a day's work."""
         memory_keys = self.scenario.fleet.memory_keys
         servers = list(self.servers.values())
-        hottest = hottest_first(self.scenario)
+        hottest = keys_by_popularity(self.scenario)
         if self.scenario.traffic.direct:  # any server may get any key
             for key in hottest[:memory_keys]:
                 for server in servers:
--- a/tests/test_emulated_servers.py
+++ b/tests/test_emulated_servers.py
@@ -78,7 +78,7 @@
         stats = [await client.read_answer() for _ in range(4)]
         assert stats[0].startswith(b"STAT inflight ") and stats[3] == b"END\r\n"
         assert (await client.read_answer()).startswith(b"HD O3 c")
-        assert [d.verdict + d.outcome for d in client.ledger.deliveries] == ["runanswered"] * 3
+        assert [d.disposition + d.outcome for d in client.ledger.deliveries] == ["runanswered"] * 3
 
     run_with_client(script)
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -21,7 +21,7 @@
 from starlingthread.emulator.server_model import ServerModel
 from starlingthread.events import EndpointList, EndpointListKind, Request
 from starlingthread.experiment import scenario, scenario_file, validation
-from starlingthread.experiment.randomness import Chances, server_speeds
+from starlingthread.experiment.randomness import UniformDraws, server_speeds
 from starlingthread.experiment.records import ClientAttempt, Delivery, Ledger, ServerEvent, ServerSample
 
 from .world import THROUGH, World, members, sends
@@ -54,7 +54,7 @@
 def lane(is_out: bool = False, **figures: float) -> tuple[Hand, ServerLink, LinkDirection, list[bytes]]:
     hand = Hand()
     got: list[bytes] = []
-    door = ServerLink(0, Chances(np.random.default_rng(1)))
+    door = ServerLink(0, UniformDraws(np.random.default_rng(1)))
     for name, value in figures.items():
         setattr(door, name, value)
     return hand, door, LinkDirection(door, is_out, hand, got.append), got
@@ -97,7 +97,7 @@
         schedule, rng = EventLoopSchedule(asyncio.get_running_loop()), np.random.default_rng(1)
         fleet = scenario.Fleet(hit_ms=1.0, handshake_ms=0.0, work_cv=0.0)
         origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
-        doors = [ServerLink(group, Chances(rng)) for group in range(2)]
+        doors = [ServerLink(group, UniformDraws(rng)) for group in range(2)]
         model = ServerModel(0, fleet, 1.0, schedule, origin, rng)
         server = CacheServer(model, 50, schedule, Ledger(), rng, doors)
         await server.start()
