--- a/starlingthread/experiment/randomness.py
+++ b/starlingthread/experiment/randomness.py
@@ -6,11 +6,12 @@
 
 from .scenario import Scenario
 
-BLOCK_SIZE = 4096
+BLOCK_SIZE = 4096  # numbers drawn at once, as single draws are slow
+SPEED_SEED_OFFSET = 8_000_003  # apart from the seeds of other parts of the run
 
 
 class LognormalFactors:
-    """Factors around 1 of a lognormal law with the given coefficient of variation, drawn in blocks."""
+    """Factors of mean 1 from a lognormal distribution with a given coefficient of variation."""
 
     def __init__(self, rng: np.random.Generator, cv: float) -> None:
         self._rng = rng
@@ -26,7 +27,7 @@
 
 
 class UniformDraws:
-    """Uniform numbers in [0, 1), drawn in blocks."""
+    """Uniform numbers in [0, 1)."""
 
     def __init__(self, rng: np.random.Generator) -> None:
         self._rng = rng
@@ -40,14 +41,13 @@
 
 
 def streams(seed: int, count: int) -> list[np.random.Generator]:
-    """Return independent random streams: what one draws does not move what another draws."""
-    return [np.random.default_rng(s) for s in np.random.SeedSequence(seed).spawn(count)]
+    """Return independent random streams: draws from one do not change those of another."""
+    return [np.random.default_rng(child) for child in np.random.SeedSequence(seed).spawn(count)]
 
 
 def server_speeds(scenario: Scenario) -> list[float]:
-    """Return the speed of each server, drawn by the seed: the same wherever it is asked for."""
+    """Return the speed of each server, which depends on the scenario and its seed alone."""
     fleet = scenario.fleet
-    draw = streams(scenario.seed + 8_000_003, 1)[0].uniform(
-        1.0 - fleet.speed_spread, 1.0 + fleet.speed_spread, fleet.servers
-    )
-    return [fleet.speed * float(one) for one in draw]
+    rng = streams(scenario.seed + SPEED_SEED_OFFSET, 1)[0]
+    factors = rng.uniform(1.0 - fleet.speed_spread, 1.0 + fleet.speed_spread, fleet.servers)
+    return [fleet.speed * float(factor) for factor in factors]
--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -1,4 +1,4 @@
-"""What the emulator and the load tool write down while a run goes on; the judge reads it afterwards.
+"""The records that the emulator and the load tool write during a run, for the judge and the results.
 
 All times are milliseconds of the machine's monotonic clock, which every process of a run reads alike.
 """
@@ -7,18 +7,27 @@
 
 import msgspec
 
-BUSY, RUN = "busy", "run"  # what a server did with a command
+# What a server did with a command.
+BUSY = "busy"
+RUN = "run"
+
+# How a delivery ended.
+OUT = "out"  # not ended
+ANSWERED = "answered"
+FAILED = "failed"
+REJECTED = "turned-away"
+CUT = "cut"  # its connection ended first
+
 LISTED_PREFIX = "listed "  # of the kind of server events that change a status at discovery
-OUT, ANSWERED, FAILED, REJECTED, CUT = "out", "answered", "failed", "turned-away", "cut"
 
 
 class Delivery(msgspec.Struct, array_like=True):
-    """One command that reached a server whole, and what became of it there."""
+    """One complete command that reached a server, and its outcome there."""
 
     request_id: str
     server: int
-    first_at: float  # its first byte arrived
-    received_at: float
+    first_at: float  # when its first byte arrived
+    received_at: float  # when its last byte arrived
     disposition: str = BUSY
     outcome: str = OUT
     ended_at: float = 0.0
@@ -26,7 +35,7 @@
 
 
 class StatusNotification(msgspec.Struct, array_like=True):
-    """Discovery has told a router of a server's state."""
+    """Discovery has notified a router of a server's status."""
 
     router: int
     server: int
@@ -36,16 +45,19 @@
 
 
 class ServerEvent(msgspec.Struct, array_like=True):
-    """Something happened to a server: ``cold`` (a cold start), ``fell``, ``draining``, ``gone``, ``up``."""
+    """A change of a server.
+
+    Kinds: ``cold`` (a cold start), ``fell`` (by overload), ``draining``, ``gone``, ``up``, and ``listed STATUS``.
+    """
 
     server: int
     kind: str
     at: float
-    overloading_requests: tuple[str, ...] = ()  # requests whose work made it fall
+    overloading_requests: tuple[str, ...] = ()  # ids of the requests whose work overloaded it
 
 
 class ClientAttempt(msgspec.Struct, array_like=True):
-    """One request as a client sent it; a retry is a Try of its own with the same operation."""
+    """One request as a client sent it; a retry is an attempt of its own with the same operation."""
 
     request_id: str
     operation: int
@@ -53,29 +65,29 @@
     key: int
     router: int
     sent_at: float  # its last byte was written to the connection
-    budget_ms: float  # its d
+    budget_ms: float  # time until its deadline, the request's field d
     retry_index: int = 0
     outcome: str = "none"  # value, receipt, busy, failed, other, eof, refused, none or left
     answered_at: float = 0.0
     checksum: int = 0
-    protocol_error: str = ""  # what was wrong with the stream, in words
-    retry_after_ms: float = 0.0  # ms that a refusal asked for
+    protocol_error: str = ""  # what was wrong with the answer
+    retry_after_ms: float = 0.0  # of a rejection
 
 
 class Operation(msgspec.Struct, array_like=True):
-    """What a client wants, over all its tries."""
+    """One operation of a client, over all its attempts."""
 
     number: int
     class_index: int
-    due_at: float  # when it should have been sent; latency counts from here
-    send_delay_ms: float = 0.0  # ms by which the load tool itself was late
-    result: str = "none"  # served, failed, refused, left, none
+    due_at: float  # when it was to be sent; latency counts from here
+    send_delay_ms: float = 0.0  # by which the load tool itself was late
+    result: str = "none"  # served, failed, refused (rejected), left, none
     done_at: float = 0.0
     attempts: int = 0
 
 
 class RouterSample(msgspec.Struct, array_like=True):
-    """One look at a router's process."""
+    """Resources that a router's process used at a moment."""
 
     router: int
     at: float
@@ -85,7 +97,10 @@
 
 
 class RouterEvent(msgspec.Struct, array_like=True):
-    """``up``, ``killed``, ``stopped``, ``continued``, ``terminating``, ``exited`` (with its code)."""
+    """A change of a router's process.
+
+    Kinds: ``up``, ``killed``, ``stopped``, ``continued``, ``terminating``, ``exited``, ``crashed``, ``bad-exit``.
+    """
 
     router: int
     kind: str
@@ -117,7 +132,7 @@
 
 
 class Ledger(msgspec.Struct):
-    """All that was written down in one run."""
+    """All records of one run."""
 
     started_at: float = 0.0
     ended_at: float = 0.0
@@ -134,7 +149,7 @@
     bad_client_outcomes: dict[str, int] = msgspec.field(default_factory=dict)  # what bad clients met, by outcome
 
     def merge(self, part: Ledger) -> None:
-        """Take in what another process wrote down."""
+        """Add the records of another process."""
         self.deliveries += part.deliveries
         self.notifications += part.notifications
         self.server_events += part.server_events
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -1,6 +1,7 @@
 """Types of a scenario: fleet, traffic, faults and limits. ``scenario_file`` reads them from TOML.
 
-Times are in milliseconds where a name ends in ``_ms``, in seconds where it ends in ``_s``.
+Attributes have the names of their keys in the file, but for those with a ``name`` of their own. Times are in
+milliseconds where a name ends in ``_ms``, in seconds where it ends in ``_s``.
 """
 
 from __future__ import annotations
@@ -48,50 +49,51 @@
     "peers-cut",
 ]
 
+# The router's own choice of servers, or one of baselines/policies.py.
 Policy = Literal[
     "", "random", "round-robin", "hash", "bounded-hash", "two-choices", "two-reported", "least-reported", "truth"
-]  # as baselines/policies.py has them
+]
 
 MAX_LENGTH_S = 24 * 3600.0
 
 
 class RequestClass(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One class of requests. Worth is points for each request answered within its aim."""
+    """One class of requests."""
 
     name: Annotated[str, Meta(pattern="^[A-Za-z0-9_-]{1,32}$")]
-    share: NotNegative
-    effect: Effect = "repeatable"
+    share: NotNegative  # of all requests
+    effect: Effect = "repeatable"  # or idempotent by its key, or to run at most once
     latency_objective_ms: Positive = msgspec.field(default=1200.0, name="aim_ms")
     deadline_ms: Positive = 4000.0
-    priority_weight: NotNegative = msgspec.field(default=5.0, name="worth")
-    late_weight_share: Share = msgspec.field(default=0.0, name="late_worth")
-    memory_span_ms: NotNegative = 4000.0
+    priority_weight: NotNegative = msgspec.field(default=5.0, name="worth")  # earned within the objective
+    late_weight_share: Share = msgspec.field(default=0.0, name="late_worth")  # earned when late
+    memory_span_ms: NotNegative = 4000.0  # for which servers remember an idempotency key
     write: bool = False
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The cache servers. ``work`` figures are times on a server of speed 1 with nothing else to do."""
+    """The cache servers. Times of work are those of an idle server of speed 1."""
 
     servers: Annotated[int, Meta(ge=1, le=10000)] = 9
     zones: Annotated[tuple[str, ...], Meta(min_length=1)] = ("bloco-a", "bloco-b", "bloco-c")
     regions: tuple[str, ...] = ()  # the region of each zone; none: all in one
     zone_ms: NotNegative = 0.0  # one way, between two zones of a region
     region_ms: NotNegative = 0.0  # one way, between two regions
-    slots: Count = 8
-    waiting: Annotated[int, Meta(ge=0)] = 16
+    slots: Count = 8  # commands that a server works on at once
+    waiting: Annotated[int, Meta(ge=0)] = 16  # length of its queue
     speed: Positive = 1.0
     speed_spread: Share = 0.2
     hit_ms: Positive = 4.0
     miss_ms: NotNegative = 4.0
     write_ms: Positive = 4.0
-    work_cv: NotNegative = 0.8
-    memory_keys: Count = 2000
-    cold_servers: Annotated[int, Meta(ge=0)] = 0
-    warm_keys: bool = True
-    cold_from: Share = 0.2
-    cold_ms: Positive = 10000.0
-    overload_factor: Positive = 4.0
-    tip_after_ms: Positive = 2000.0
+    work_cv: NotNegative = 0.8  # coefficient of variation of the work
+    memory_keys: Count = 2000  # keys that a server caches
+    cold_servers: Annotated[int, Meta(ge=0)] = 0  # servers that are warming up at the run's start
+    warm_keys: bool = True  # whether the other servers have keys cached at the run's start
+    cold_from: Share = 0.2  # capacity after a cold start, of the full one
+    cold_ms: Positive = 10000.0  # until a cold server has its full capacity
+    overload_factor: Positive = 4.0  # work offered to a cold server, of its capacity, from which on it crashes
+    tip_after_ms: Positive = 2000.0  # for how long that work is summed up
     connections: Count = 900
     handshake_ms: NotNegative = 1.0
     streams: Count = 32
@@ -100,7 +102,7 @@
     report_period_ms: Positive = 500.0
     report_delay_ms: NotNegative = 100.0
     report_noise: NotNegative = 0.02
-    probes: bool = True
+    probes: bool = True  # whether servers answer ``stats load``
 
 
 class Origin(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -108,7 +110,7 @@
 
     slots: Count = 40
     fetch_ms: Positive = 60.0
-    cv: NotNegative = 0.5
+    cv: NotNegative = 0.5  # coefficient of variation of the fetch time
     queue: Annotated[int, Meta(ge=0)] = 400
 
 
@@ -120,15 +122,15 @@
     memory_mb: Positive = 128.0
     sockets: Annotated[int, Meta(ge=64)] = 1024
     peer_messages: bool = True
-    pin: bool = False
+    pin: bool = False  # each router to a core
     link_groups: Annotated[int, Meta(ge=0, le=30)] = 0  # routers whose links fail together: by number; 0: by zone
-    policy: Policy = ""  # another choice of servers than the module's, to compare it with
+    policy: Policy = ""  # a baseline to compare the router with
     options: dict[str, Any] = msgspec.field(default_factory=dict)  # the operator's file, as tables
     command: tuple[str, ...] = ()  # empty: the router of this project
 
 
 class Discovery(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The list service. A change is seen after ``notice_ms``; each call takes ``call_ms``, one after another."""
+    """The discovery service. It learns of a change after ``notice_ms``; requests take ``call_ms`` each, in turn."""
 
     notice_ms: NotNegative = 300.0
     crash_notice_ms: NotNegative = 2000.0
@@ -137,7 +139,7 @@
 
 
 class Datagrams(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The relay between routers."""
+    """The relay of datagrams between routers."""
 
     delay_ms: NotNegative = 2.0
     drop: Share = 0.0
@@ -146,24 +148,24 @@
 
 
 class Traffic(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What clients ask for. Arrivals are drawn ahead and wait for no answer."""
+    """The operations of clients. Arrivals are drawn in advance and do not depend on answers."""
 
     rate: Positive = 600.0
-    in_flight: Annotated[int, Meta(ge=0, le=4096)] = 0  # above 0: a closed loop that keeps so many out; no rate then
-    direct: bool = False  # clients ask the servers themselves, to measure the emulator without a router
-    warmup_s: NotNegative = 2.0
+    in_flight: Annotated[int, Meta(ge=0, le=4096)] = 0  # above 0: a closed loop of this concurrency, without a rate
+    direct: bool = False  # clients use the servers without a router, to measure the emulator
+    warmup_s: NotNegative = 2.0  # at the start, not part of the results
     keys: Count = 5000
-    zipf: NotNegative = 1.0
-    drift_per_s: NotNegative = 0.0
+    zipf: NotNegative = 1.0  # exponent of the keys' popularity
+    drift_per_s: NotNegative = 0.0  # share of all ranks by which popularity moves in a second
     value_bytes: Annotated[int, Meta(ge=1, le=1_000_000)] = 400
     write_bytes: Annotated[int, Meta(ge=0, le=65000)] = 40
     connections: Annotated[int, Meta(ge=1, le=20000)] = 60
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
     backoff_ms: Positive = 20.0
-    honour: Share = 0.9
-    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.8
-    leave: Share = 0.0
-    front_notices_ms: NotNegative = 2000.0
+    honour: Share = 0.9  # of clients that honour Retry-After
+    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.8  # of the time left that an attempt gets before the last
+    leave: Share = 0.0  # of requests whose client leaves before the answer
+    front_notices_ms: NotNegative = 2000.0  # until a router that does not respond gets no more connections
     classes: tuple[RequestClass, ...] = (
         RequestClass("item-lookup", 0.94),
         RequestClass("hold-item", 0.04, "once", 150.0, 400.0, 5.0, write=True),
@@ -176,20 +178,20 @@
 
 
 class Rules(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Figures that the judge goes by."""
+    """Tolerances of the judge."""
 
     answer_slack_ms: NotNegative = 8.0
-    drain_grace_ms: NotNegative = 400.0
-    socket_slack_ms: NotNegative = 50.0
-    notified_within_ms: NotNegative = 6000.0
-    idle_rejection_ms: Positive = msgspec.field(default=300.0, name="held_back_ms")
-    late_sends_share: Share = 0.01
-    late_send_ms: Positive = 25.0
-    most_lag_ms: Positive = 400.0
+    drain_grace_ms: NotNegative = 400.0  # after a router knew that a server is draining
+    socket_slack_ms: NotNegative = 50.0  # of all times, for what passes between sockets and processes
+    notified_within_ms: NotNegative = 6000.0  # after a change every router counts as notified
+    idle_rejection_ms: Positive = msgspec.field(default=300.0, name="held_back_ms")  # without work in flight
+    late_sends_share: Share = 0.01  # of requests sent late, above which the run is void
+    late_send_ms: Positive = 25.0  # from which on a request counts as sent late
+    most_lag_ms: Positive = 400.0  # longest stall of a process of the testbed, above which the run is void
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One fault: what, from when, for how long, how strong, and to whom (empty: drawn by the seed).
+    """One fault: kind, time, strength and target (none named: drawn by the seed).
 
     The meaning of ``strength`` is in docs/emulator.md, with a row for each kind.
     """
@@ -200,14 +202,14 @@
     strength: NotNegative = 0.0
     name: str = ""
     servers: tuple[int, ...] = ()
-    part: Share = 0.0
+    part: Share = 0.0  # of all servers, if none is named
     share: Share = 0.02  # of the commands, for heavy-tail
     every_s: Positive = 1.0  # between the beginnings of pauses
     routers: tuple[int, ...] = ()
-    zone: str = ""  # strikes its servers
-    groups: tuple[int, ...] = ()  # of routers, whose links are struck; none: all
-    from_zone: str = ""  # those of this zone alone
-    way: Literal["both", "to-server", "from-server"] = "both"  # what a link-cut stops
+    zone: str = ""  # whose servers are affected
+    groups: tuple[int, ...] = ()  # of routers whose links are affected; none: all
+    from_zone: str = ""  # only links of routers in this zone
+    way: Literal["both", "to-server", "from-server"] = "both"  # what a link-cut blocks
 
     def label(self) -> str:
         """Return the name that reports show."""
@@ -215,14 +217,14 @@
 
 
 class Machine(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How many processes play the servers and the clients."""
+    """How many worker processes play the servers and the clients."""
 
     server_processes: Annotated[int, Meta(ge=1, le=64)] = 1
     load_processes: Annotated[int, Meta(ge=1, le=64)] = 1
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One whole run."""
+    """One run."""
 
     name: Name
     length_s: Annotated[float, Meta(gt=0.0, le=MAX_LENGTH_S)] = 20.0
@@ -245,11 +247,12 @@
 
 
 def distance_ms(scenario: Scenario, server: int, group: int) -> float:
-    """Return the time one way between a server and the routers of a group."""
+    """Return the one-way delay between a server and the routers of a group."""
     fleet = scenario.fleet
-    zones = server % len(fleet.zones), group % len(fleet.zones)
-    if zones[0] == zones[1]:
+    server_zone = server % len(fleet.zones)
+    router_zone = group % len(fleet.zones)
+    if server_zone == router_zone:
         return 0.0
-    if fleet.regions and fleet.regions[zones[0]] != fleet.regions[zones[1]]:
+    if fleet.regions and fleet.regions[server_zone] != fleet.regions[router_zone]:
         return fleet.region_ms
     return fleet.zone_ms
--- a/starlingthread/load/traffic.py
+++ b/starlingthread/load/traffic.py
@@ -1,4 +1,4 @@
-"""Arrivals, classes and keys, drawn ahead of a run from its seed: nothing here waits for an answer."""
+"""Arrivals, classes and keys of a run, drawn in advance from its seed: none depends on an answer."""
 
 from __future__ import annotations
 
@@ -8,51 +8,77 @@
 import numpy.typing as npt
 
 from ..experiment.randomness import streams
-from ..experiment.scenario import Scenario
+from ..experiment.scenario import Fault, Scenario
+
+Floats = npt.NDArray[np.float64]
 
 
 class Arrivals(NamedTuple):
-    """All requests of a run in the order of their times (ms since the run's start)."""
+    """All operations of a run in the order of their times (ms since the run's start)."""
 
-    due_ms: npt.NDArray[np.float64]
+    due_ms: Floats
     class_index: npt.NDArray[np.int16]
     key: npt.NDArray[np.int64]
 
 
-def cumulative_zipf_shares(keys: int, exponent: float) -> npt.NDArray[np.float64]:
-    """Return the cumulated shares of ranks 1 to ``keys`` under a bounded Zipf law."""
-    weights = 1.0 / np.arange(1, keys + 1, dtype=np.float64) ** exponent
-    cumulated: npt.NDArray[np.float64] = np.cumsum(weights)
-    cumulated /= cumulated[-1]
-    return cumulated
+class _TrafficStreams(NamedTuple):
+    """The random streams of a run's traffic."""
+
+    arrivals: np.random.Generator
+    classes: np.random.Generator
+    ranks: np.random.Generator
+    key_order: np.random.Generator
+
+
+def _traffic_streams(scenario: Scenario) -> _TrafficStreams:
+    return _TrafficStreams(*streams(scenario.seed, len(_TrafficStreams._fields)))
 
 
 def draw(scenario: Scenario) -> Arrivals:
     """Draw a run's arrivals: a Poisson process whose rate a surge multiplies, Zipf keys whose ranks drift."""
-    arrivals, classes, keys, order = streams(scenario.seed, 4)
-    traffic, length = scenario.traffic, scenario.length_s
-    surges = [f for f in scenario.faults if f.kind == "surge"]
-    top = max([1.0, *(f.strength for f in surges)])
-    expected = traffic.rate * top * length
-    gaps = arrivals.exponential(1.0 / (traffic.rate * top), int(expected + 6 * expected**0.5 + 20))
-    at = np.cumsum(gaps)
-    at = at[at < length]
-    # Thinning: draw at the highest rate, keep each with the share that its moment's rate is of it.
-    rate = np.ones(len(at))
-    for fault in surges:
-        rate[(at >= fault.start_s) & (at < fault.start_s + fault.length_s)] = fault.strength
-    at = at[arrivals.random(len(at)) * top < rate]
-    shares = np.array([c.share for c in traffic.classes], dtype=np.float64)
-    cls = classes.choice(len(shares), size=len(at), p=shares / shares.sum()).astype(np.int16)
-    ranks = np.searchsorted(cumulative_zipf_shares(traffic.keys, traffic.zipf), keys.random(len(at)))
-    drifted = ranks + np.floor(at * traffic.drift_per_s * traffic.keys).astype(np.int64)
-    shuffled = order.permutation(traffic.keys)
-    return Arrivals(at * 1000.0, cls, shuffled[drifted % traffic.keys].astype(np.int64))
+    traffic = scenario.traffic
+    random = _traffic_streams(scenario)
+    due_s = _arrival_times(scenario, random.arrivals)
+    shares = np.array([spec.share for spec in traffic.classes], dtype=np.float64)
+    class_index = random.classes.choice(len(shares), size=len(due_s), p=shares / shares.sum()).astype(np.int16)
+    ranks = np.searchsorted(cumulative_zipf_shares(traffic.keys, traffic.zipf), random.ranks.random(len(due_s)))
+    drifted_ranks = ranks + np.floor(due_s * traffic.drift_per_s * traffic.keys).astype(np.int64)
+    keys_by_rank = random.key_order.permutation(traffic.keys)
+    return Arrivals(due_s * 1000.0, class_index, keys_by_rank[drifted_ranks % traffic.keys].astype(np.int64))
+
+
+def _arrival_times(scenario: Scenario, rng: np.random.Generator) -> Floats:
+    """Draw the times (s) of a Poisson process of variable rate by thinning one of its highest rate."""
+    surges = [fault for fault in scenario.faults if fault.kind == "surge"]
+    peak_factor = max([1.0, *(surge.strength for surge in surges)])
+    peak_rate = scenario.traffic.rate * peak_factor
+    expected = peak_rate * scenario.length_s
+    count = int(expected + 6 * expected**0.5 + 20)  # six standard deviations more than expected
+    times: Floats = np.cumsum(rng.exponential(1.0 / peak_rate, count))
+    times = times[times < scenario.length_s]
+    accepted = rng.random(len(times)) * peak_factor < _rate_factors(times, surges)
+    return np.asarray(times[accepted], dtype=np.float64)
+
+
+def _rate_factors(times: Floats, surges: list[Fault]) -> Floats:
+    """Return by how much surges multiply the rate at each time; of two at once the later one counts."""
+    factors = np.ones(len(times))
+    for surge in surges:
+        factors[(times >= surge.start_s) & (times < surge.start_s + surge.length_s)] = surge.strength
+    return factors
+
+
+def cumulative_zipf_shares(keys: int, exponent: float) -> Floats:
+    """Return the cumulative shares of ranks 1 to ``keys`` under a bounded Zipf distribution."""
+    weights = 1.0 / np.arange(1, keys + 1, dtype=np.float64) ** exponent
+    cumulative: Floats = np.cumsum(weights)
+    cumulative /= cumulative[-1]
+    return cumulative
 
 
 def keys_by_popularity(scenario: Scenario) -> list[int]:
-    """Return the keys in the order of their ranks at the run's start."""
-    return [int(k) for k in streams(scenario.seed, 4)[3].permutation(scenario.traffic.keys)]
+    """Return the keys in the order of their ranks at the run's start, the most requested first."""
+    return [int(key) for key in _traffic_streams(scenario).key_order.permutation(scenario.traffic.keys)]
 
 
 def key_name(key: int) -> str:
