--- a/starlingthread/analysis/report.py
+++ b/starlingthread/analysis/report.py
@@ -2,25 +2,15 @@
 
 from __future__ import annotations
 
-import base64
-import io
-from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
-import matplotlib
-
-matplotlib.use("Agg")
-import matplotlib.pyplot as plt
 import msgspec
 from jinja2 import Environment
-from matplotlib.axes import Axes
-
-from .results import Results, TimeSeries
 
-MANY = 12  # lines in one plot past which they are not named
+from .plots import plots_of
+from .results import Results
 
-TEMPLATE = """<!doctype html>
+_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ r.scenario.name }} · starlingthread</title>
 <style>
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2rem auto; max-width: 64rem; padding: 0 1rem; color: #1b2733 }
@@ -75,120 +65,19 @@
 """
 
 
-def _picture(draw: Callable[[Axes], None], height: float = 3.0) -> str:
-    figure, axes = plt.subplots(figsize=(10, height), dpi=110, layout="constrained")
-    try:
-        draw(axes)
-        axes.grid(alpha=0.25)
-        axes.spines[["top", "right"]].set_visible(False)
-        out = io.BytesIO()
-        figure.savefig(out, format="png")
-    finally:
-        plt.close(figure)
-    return base64.b64encode(out.getvalue()).decode()
-
-
-def _mark(axes: Axes, results: Results) -> None:
-    for number, fault in enumerate(results.faults):
-        colour = f"C{number % 8 + 1}"
-        axes.axvspan(fault.began_at, max(fault.ended_at, fault.began_at + 0.1), color=colour, alpha=0.13, lw=0)
-        axes.text(
-            fault.began_at,
-            1.0 - 0.09 * (number % 4),
-            f" {fault.label}",
-            color=colour,
-            fontsize=8,
-            transform=axes.get_xaxis_transform(),
-            va="top",
-        )
-
-
-def _worth(axes: Axes, results: Results) -> None:
-    at = [s.at for s in results.seconds]
-    axes.step(at, [s.offered for s in results.seconds], where="post", color="0.6", label="asked")
-    served = [s.served for s in results.seconds]
-    axes.fill_between(at, served, step="post", color="C0", alpha=0.6, label="served in time")
-    axes.set_ylabel("worth a second")
-    axes.set_xlabel("s")
-    axes.set_ylim(bottom=0)
-    axes.legend(loc="lower left", fontsize=8)
-    _mark(axes, results)
-
-
-def _tail(axes: Axes, results: Results) -> None:
-    axes.semilogy([s.at for s in results.seconds], [max(s.p99_ms, 0.1) for s in results.seconds], label="p99 ms")
-    axes.step(
-        [s.at for s in results.seconds],
-        [max(s.rejected + s.failed, 0.1) for s in results.seconds],
-        where="post",
-        label="refused and failed, a second",
-    )
-    axes.set_xlabel("s")
-    axes.legend(loc="lower right", fontsize=8)
-    _mark(axes, results)
-
-
-def _latency(axes: Axes, results: Results) -> None:
-    for cls in results.classes:
-        if cls.curve:
-            tails = [1.0 / max(1e-7, 1.0 - p / 100.0) for p, _ in cls.curve]
-            axes.loglog(tails, [ms for _, ms in cls.curve], marker=".", label=cls.name)
-    ticks = [1, 2, 10, 100, 1000, 10000]
-    axes.set_xticks(ticks, ["0", "50", "90", "99", "99.9", "99.99"])
-    axes.set_xlabel("percentile of what was served")
-    axes.set_ylabel("ms")
-    axes.legend(fontsize=8)
-
-
-def _lines(lines: list[TimeSeries], label: str, results: Results, most: float | None = None) -> Callable[[Axes], None]:
-    def draw(axes: Axes) -> None:
-        for line in lines:
-            axes.plot(line.at, line.values, lw=1.0, label=line.name, alpha=0.85 if len(lines) <= MANY else 0.3)
-        if most is not None:
-            axes.axhline(most, color="C3", ls="--", lw=1.0, label="limit")
-        axes.set_ylabel(label)
-        axes.set_xlabel("s")
-        axes.set_ylim(bottom=0)
-        if len(lines) <= MANY:
-            axes.legend(fontsize=7, ncols=3, loc="lower left")
-        _mark(axes, results)
-
-    return draw
-
-
-def pictures_of(results: Results) -> list[tuple[str, str]]:
-    """Return the plots of a run as base64 PNG, each with its title."""
-    limits = results.scenario.routers
-    return [
-        ("Worth served, with the faults marked", _picture(lambda a: _worth(a, results))),
-        ("Tail and losses", _picture(lambda a: _tail(a, results))),
-        ("Latency by percentile, from when a request was due", _picture(lambda a: _latency(a, results), 3.6)),
-        ("Load of each server", _picture(_lines(results.server_load, "share of slots", results))),
-        ("Connections of each server", _picture(_lines(results.server_connections, "connections", results))),
-        ("CPU of each router", _picture(_lines(results.router_cpu, "cores", results, limits.cores))),
-        ("Memory of each router", _picture(_lines(results.router_memory, "MB", results, limits.memory_mb))),
-        (
-            "Descriptors of each router",
-            _picture(_lines(results.router_descriptors, "descriptors", results, float(limits.sockets))),
-        ),
-    ]
-
-
 def write(results: Results, path: Path) -> Path:
-    """Write the report, and the data beside it; return where the data are."""
+    """Write the report, and the data beside it; return the path of the data."""
     path.parent.mkdir(parents=True, exist_ok=True)
-    data = path.with_suffix(".json")
-    data.write_bytes(msgspec.json.encode(results))
-    facts: dict[str, Any] = {
-        **results.facts,
-        **{f"longest stall of {k}, ms": v for k, v in results.lags.items()},
-        **{f"bad clients: {k}": v for k, v in results.bad_client_outcomes.items()},
-        **results.verdict.notes,
-    }
-    page = (
-        Environment(autoescape=True)
-        .from_string(TEMPLATE)
-        .render(r=results, pictures=pictures_of(results), facts=facts, data=data.name)
-    )
+    data_path = path.with_suffix(".json")
+    data_path.write_bytes(msgspec.json.encode(results))
+    template = Environment(autoescape=True).from_string(_TEMPLATE)
+    page = template.render(r=results, pictures=plots_of(results), facts=_facts(results), data=data_path.name)
     path.write_text(page, encoding="utf-8")
-    return data
+    return data_path
+
+
+def _facts(results: Results) -> dict[str, float]:
+    """Return the counts of a run by the names that the report shows."""
+    stalls = {f"longest stall of {process}, ms": stall for process, stall in results.lags.items()}
+    bad_clients = {f"bad clients: {outcome}": count for outcome, count in results.bad_client_outcomes.items()}
+    return {**results.facts, **stalls, **bad_clients, **results.verdict.notes}
