--- a/tests/broken_router.py
+++ b/tests/broken_router.py
@@ -1,7 +1,7 @@
 """A small router for the judge's tests: correct in mode ``good``, and broken in one known way in each other mode.
 
 Run as ``python broken_router.py MODE`` with LB_CONFIG set. It shares no code with the project, takes its servers from
-``known`` and from one look at discovery every 100 ms, and opens a connection for every attempt.
+``known`` and from a poll of discovery every 100 ms, and opens a connection for every attempt.
 """
 
 from __future__ import annotations
@@ -12,49 +12,95 @@
 import signal
 import sys
 import zlib
+from dataclasses import dataclass, field
+from enum import StrEnum
 from pathlib import Path
-
-MODE = sys.argv[1]
-CONFIG = json.loads(Path(os.environ["LB_CONFIG"]).read_text())
-SERVERS: dict[str, dict[str, object]] = {}
-SEEN = {"holds": 0, "requests": 0}
-LEAK: list[object] = []
-
-
-def learn(listing: dict[str, list[dict[str, object]]]) -> None:
-    named = {str(e["name"]): e for e in listing["endpoints"]}
-    if MODE == "ignores-drain":
-        SERVERS.update({name: e for name, e in named.items() if name not in SERVERS})
+from typing import NamedTuple
+
+POLL_PERIOD_S = 0.1
+FAULT_EVERY = 20  # requests
+CRASH_AT_REQUEST = 150
+LEAK_BYTES = 2 << 20  # of each request
+TIME_MARGIN_S = 0.02  # that an attempt leaves of the client's time
+REJECTED = b"SERVER_ERROR busy\r\n"
+FAILED = b"SERVER_ERROR failed\r\n"
+
+
+class Mode(StrEnum):
+    """In which way the router is broken."""
+
+    GOOD = "good"
+    ANSWERS_TWICE = "answers-twice"
+    RESENDS_ONCE = "resends-once"  # sends requests that may run once to two servers
+    IGNORES_DRAIN = "ignores-drain"
+    OVERLOADS_WARMING = "overloads-warming"  # sends all to a server that has just started
+    LOSES = "loses"  # closes without an answer
+    DELAYS_REJECTIONS = "delays-rejections"
+    ANSWERS_LATE = "answers-late"
+    FOREIGN_VALUE = "foreign-value"  # answers with another value than the server's
+    REJECTS_AFTER_RUN = "rejects-after-run"
+    INVENTS_REQUESTS = "invents-requests"  # sends requests that no client sent
+    LEAKS = "leaks"
+    CRASHES = "crashes"
+
+
+class Request(NamedTuple):
+    """A request of a client."""
+
+    data: bytes
+    id_word: str  # with its O
+    budget_s: float
+    key: str
+    is_once: bool
+
+
+@dataclass
+class State:
+    """What the router knows."""
+
+    mode: Mode
+    discovery: str
+    servers: dict[str, dict[str, object]] = field(default_factory=dict)
+    requests: int = 0
+    leak: list[object] = field(default_factory=list)
+
+
+def update_servers(state: State, listing: dict[str, list[dict[str, object]]]) -> None:
+    listed = {str(entry["name"]): entry for entry in listing["endpoints"]}
+    if state.mode is Mode.IGNORES_DRAIN:
+        state.servers.update({name: entry for name, entry in listed.items() if name not in state.servers})
     else:
-        SERVERS.clear()
-        SERVERS.update({name: e for name, e in named.items() if e["status"] == "in_service"})
+        state.servers.clear()
+        in_service = {name: entry for name, entry in listed.items() if entry["status"] == "in_service"}
+        state.servers.update(in_service)
 
 
-async def discover() -> None:
-    host, port = CONFIG["discovery"].split(":")
+async def poll_discovery(state: State) -> None:
+    host, port = state.discovery.split(":")
     while True:
-        await asyncio.sleep(0.1)
+        await asyncio.sleep(POLL_PERIOD_S)
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /registry/instances HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             answer = await reader.read()
             writer.close()
-            learn(json.loads(answer[answer.index(b"\r\n\r\n") + 4 :]))
+            update_servers(state, json.loads(answer[answer.index(b"\r\n\r\n") + 4 :]))
         except (OSError, ValueError):
             continue
 
 
-def choose(key: str) -> str:
-    if MODE == "floods-cold":
-        fresh = [e for e in SERVERS.values() if e["since_ms"]]
-        if fresh:
-            return str(fresh[0]["address"])
-    ranked = sorted(SERVERS.values(), key=lambda e: zlib.crc32(f"{key}{e['name']}".encode()))
+def choose(state: State, key: str) -> str:
+    """Return the address of the server for a key."""
+    if state.mode is Mode.OVERLOADS_WARMING:
+        started = [entry for entry in state.servers.values() if entry["since_ms"]]
+        if started:
+            return str(started[0]["address"])
+    ranked = sorted(state.servers.values(), key=lambda entry: zlib.crc32(f"{key}{entry['name']}".encode()))
     return str(ranked[0]["address"])
 
 
-async def attempt(address: str, data: bytes, wait: float) -> bytes:
-    """Return a server's whole answer, or nothing."""
+async def attempt(address: str, data: bytes, budget_s: float) -> bytes:
+    """Return a server's complete answer, or nothing."""
     host, port = address.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -62,9 +108,9 @@
         return b""
     try:
         writer.write(data)
-        line = await asyncio.wait_for(reader.readline(), wait)
+        line = await asyncio.wait_for(reader.readline(), budget_s)
         if line.startswith(b"VA "):
-            line += await asyncio.wait_for(reader.readexactly(int(line.split()[1]) + 2), wait)
+            line += await asyncio.wait_for(reader.readexactly(int(line.split()[1]) + 2), budget_s)
         return line
     except (OSError, TimeoutError, asyncio.IncompleteReadError):
         return b""
@@ -72,8 +118,8 @@
         writer.close()
 
 
-def plain(answer: bytes) -> bytes:
-    """Return an answer as a client gets it: without hit flags and load report."""
+def client_answer(answer: bytes) -> bytes:
+    """Return a server's answer as a client gets it: without hit flags and load report."""
     head, _, rest = answer.partition(b"\r\n")
     words = head.split(b" ")
     if words[0] == b"VA":
@@ -81,63 +127,84 @@
     return b" ".join(words[:3]) + b"\r\n" if words[0] == b"HD" else answer
 
 
-async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def read_request(reader: asyncio.StreamReader, line: bytes) -> Request:
+    words = line.decode().split()
+    data = line
+    if words[0] == "ms":
+        data += await reader.readexactly(int(words[2]) + 2)
+    parameters = next(word for word in words if word[0] == "P" and "=" in word)[1:]
+    fields = dict(parameter.split("=") for parameter in parameters.split(","))
+    id_word = next(word for word in words[2:] if word[0] == "O")
+    return Request(data, id_word, float(fields["d"]) / 1000.0 - TIME_MARGIN_S, words[1], fields["c"] == "hold-item")
+
+
+async def serve(state: State, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     while line := await reader.readline():
         if line == b"mn\r\n":
             writer.write(b"MN\r\n")
             continue
-        words = line.decode().split()
-        data = line
-        if words[0] == "ms":
-            data += await reader.readexactly(int(words[2]) + 2)
-        fields = dict(f.split("=") for f in next(w for w in words if w[0] == "P" and "=" in w)[1:].split(","))
-        rid, wait, key = next(w for w in words[2:] if w[0] == "O"), float(fields["d"]) / 1000.0, words[1]
-        SEEN["requests"] += 1
-        answer = await answered(data, rid, wait - 0.02, key, fields["c"] == "hold-item")
+        request = await read_request(reader, line)
+        state.requests += 1
+        answer = await handle(state, request)
         if answer is None:
             break
         writer.write(answer)
     writer.close()
 
 
-async def answered(data: bytes, rid: str, wait: float, key: str, is_hold: bool) -> bytes | None:
-    nth = SEEN["requests"]
-    if MODE == "loses" and zlib.crc32(rid.encode()) % 20 == 0:
+async def handle(state: State, request: Request) -> bytes | None:
+    """Return the answer to a request, None to close without one."""
+    mode = state.mode
+    number = state.requests
+    is_faulty = number % FAULT_EVERY == 0
+    if mode is Mode.LOSES and zlib.crc32(request.id_word.encode()) % FAULT_EVERY == 0:
         return None
-    if MODE == "sits" and nth % 20 == 0:
-        await asyncio.sleep(wait * 0.9)
-        return b"SERVER_ERROR busy\r\n"
-    if MODE == "answers-late" and nth % 20 == 0:
-        await asyncio.sleep(wait + 0.11)
-    if MODE == "leaks":
-        LEAK.append(bytearray(2 << 20))
-    if MODE == "crashes" and nth == 150:
+    if mode is Mode.DELAYS_REJECTIONS and is_faulty:
+        await asyncio.sleep(request.budget_s * 0.9)
+        return REJECTED
+    if mode is Mode.ANSWERS_LATE and is_faulty:
+        await asyncio.sleep(request.budget_s + 0.11)
+    if mode is Mode.LEAKS:
+        state.leak.append(bytearray(LEAK_BYTES))
+    if mode is Mode.CRASHES and number == CRASH_AT_REQUEST:
         os._exit(3)
-    answer = await attempt(choose(key), data, wait)
-    if MODE == "resends-hold" and is_hold:
-        answer = await attempt(choose(key + "again"), data, wait)
+    answer = await attempt(choose(state, request.key), request.data, request.budget_s)
+    if mode is Mode.RESENDS_ONCE and request.is_once:
+        answer = await attempt(choose(state, request.key + "again"), request.data, request.budget_s)
     if not answer:
-        return b"SERVER_ERROR failed\r\n"
-    if MODE == "refuses-what-ran" and is_hold:
-        return b"SERVER_ERROR busy\r\n"
-    if MODE == "answers-twice" and nth % 20 == 0:
-        return plain(answer) * 2
-    if MODE == "foreign-value" and answer.startswith(b"VA") and nth % 20 == 0:
-        return plain(answer).replace(b"xxx", b"yyy", 1)
-    if MODE == "invents" and nth % 20 == 0:
-        return plain(await attempt(choose(key), data.replace(rid.encode(), b"Oinvented%d" % nth), wait) or answer)
-    return plain(answer)
+        return FAILED
+    return await spoil(state, request, number, answer)
+
+
+async def spoil(state: State, request: Request, number: int, answer: bytes) -> bytes:
+    """Return a server's answer for the client, in the mode's broken way."""
+    mode = state.mode
+    is_faulty = number % FAULT_EVERY == 0
+    if mode is Mode.REJECTS_AFTER_RUN and request.is_once:
+        return REJECTED
+    if mode is Mode.ANSWERS_TWICE and is_faulty:
+        return client_answer(answer) * 2
+    if mode is Mode.FOREIGN_VALUE and answer.startswith(b"VA") and is_faulty:
+        return client_answer(answer).replace(b"xxx", b"yyy", 1)
+    if mode is Mode.INVENTS_REQUESTS and is_faulty:
+        invented = request.data.replace(request.id_word.encode(), b"Oinvented%d" % number)
+        return client_answer(await attempt(choose(state, request.key), invented, request.budget_s) or answer)
+    return client_answer(answer)
 
 
 async def main() -> None:
-    learn(CONFIG["known"])
+    config = json.loads(Path(os.environ["LB_CONFIG"]).read_text())
+    state = State(Mode(sys.argv[1]), config["discovery"])
+    update_servers(state, config["known"])
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    host, port = CONFIG["listen"].split(":")
-    server = await asyncio.start_server(serve, host, int(port), backlog=500)
-    looking = asyncio.create_task(discover())
+    host, port = config["listen"].split(":")
+    server = await asyncio.start_server(
+        lambda reader, writer: serve(state, reader, writer), host, int(port), backlog=500
+    )
+    polling = asyncio.create_task(poll_discovery(state))
     await stop.wait()
-    looking.cancel()
+    polling.cancel()
     server.close()
 
 
--- /dev/null
+++ b/tests/test_judge_rules.py
@@ -0,0 +1,88 @@
+"""The rules of the judge on ledgers made by hand."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from starlingthread.analysis.judge import judge
+from starlingthread.experiment.records import (
+    ANSWERED,
+    CUT,
+    OUT,
+    RUN,
+    ClientAttempt,
+    Delivery,
+    FaultRecord,
+    Ledger,
+    Operation,
+    RouterEvent,
+)
+from starlingthread.experiment.scenario import Scenario
+from starlingthread.experiment.scenario_file import parse
+
+
+def _scenario_and_ledger(effect: str = "once") -> tuple[Scenario, Ledger]:
+    scenario = parse(
+        f'name = "x"\n[[traffic.classes]]\nname = "w"\nshare = 1.0\neffect = "{effect}"\nwrite = true\n', "x"
+    )
+    return scenario, Ledger(ended_at=10000.0, operations=[Operation(0, 0, 100.0)])
+
+
+def test_a_lost_answer_is_no_second_run() -> None:
+    scenario, ledger = _scenario_and_ledger()
+    ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, 100.0, 300.0, outcome="eof")]
+    ledger.router_events = [RouterEvent(0, "killed", 150.0)]
+    ledger.deliveries = [Delivery("a", 3, 110.0, 110.0, RUN, CUT, 150.0)]
+    verdict = judge(scenario, ledger)
+    assert not verdict.counts
+    assert verdict.notes == {"unanswered by a dead or stopped router": 1, "once: ran, client never heard": 1}
+    ledger.deliveries.append(Delivery("a", 4, 120.0, 120.0, RUN, ANSWERED, 160.0))
+    assert set(judge(scenario, ledger).counts) == {"once-ran-twice", "once-resent"}
+
+
+def test_a_running_router_is_not_excused_by_the_fault_of_another() -> None:
+    scenario, ledger = _scenario_and_ledger()
+    ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, 100.0, 300.0, outcome="eof")]
+    ledger.router_events = [RouterEvent(1, "killed", 150.0), RouterEvent(0, "killed", 2000.0)]
+    assert set(judge(scenario, ledger).counts) == {"lost"}
+
+
+def test_an_idempotent_write_is_not_resent_after_its_key_is_forgotten() -> None:
+    scenario, ledger = _scenario_and_ledger("by_key")
+    ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, 100.0, 9000.0, outcome="failed", answered_at=5000.0)]
+    ledger.deliveries = [Delivery("a", 3, 110.0, 110.0, RUN, OUT), Delivery("a", 4, 3900.0, 3900.0, RUN, CUT, 4990.0)]
+    assert not judge(scenario, ledger).counts
+    ledger.deliveries[1].first_at = 4300.0
+    assert set(judge(scenario, ledger).counts) == {"keyed-late"}
+
+
+def test_a_slow_load_tool_or_a_stall_voids_the_run() -> None:
+    scenario, ledger = _scenario_and_ledger()
+    ledger.operations = [Operation(n, 0, 100.0, 30.0 if n < 2 else 0.0, "served", 120.0) for n in range(100)]
+    assert "fell behind" in judge(scenario, ledger).void[0]
+    ledger.operations[0].send_delay_ms = 0.0
+    assert not judge(scenario, ledger).void
+    ledger.lags = {"servers-0": 500.0}
+    assert "servers-0 stood still" in judge(scenario, ledger).void[0]
+
+
+def _broken_rules(router: int = 1, server: int = 0, ended_at: float = 5017.0, way: str = "from-server") -> set[str]:
+    """Judge a rejection 3.2 s after the request, while a link to group 1 is cut from 5 s to 9 s."""
+    scenario, ledger = _scenario_and_ledger("repeatable")
+    ledger.operations = [Operation(0, 0, 4990.0)]
+    ledger.attempts = [ClientAttempt("a", 0, 0, 1, router, 4990.0, 3200.0, outcome="busy", answered_at=8187.0)]
+    ledger.deliveries = [Delivery("a", server, 4991.0, 4991.0, RUN, ANSWERED, ended_at)]
+    ledger.faults = [FaultRecord("cut", "link-cut", 5000.0, 9000.0, "servers 0", (0,), (1,), way)]
+    return set(judge(scenario, ledger).counts)
+
+
+def test_an_answer_in_a_cut_link_is_in_flight_until_the_link_heals() -> None:
+    assert not _broken_rules()
+    assert not _broken_rules(router=4)  # of the same group, as there are three zones
+
+
+@pytest.mark.parametrize("changed", [{"router": 0}, {"server": 1}, {"way": "to-server"}, {"ended_at": 4999.0}])
+def test_a_late_rejection_breaks_a_rule_if_the_cut_link_did_not_delay_the_answer(changed: dict[str, Any]) -> None:
+    assert _broken_rules(**changed) == {"held-back"}
