--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,6 +11,7 @@
 
 from starlingthread.cli.main import main
 from starlingthread.experiment import scenario, scenario_file
+from starlingthread.experiment.validation import ScenarioError
 from starlingthread.testbed import machine
 from starlingthread.testbed.errors import RunError
 
@@ -63,3 +64,21 @@
     big = msgspec.structs.replace(CALM, fleet=scenario.Fleet(servers=2000))
     with pytest.raises(RunError, match="allows 4096: raise machine"):
         machine.check_machine(big)
+
+
+def test_router_options_zones_and_links_are_validated() -> None:
+    valid = scenario_file.parse('name = "x"\n[routers]\nlink_groups = 6\n[routers.options.log]\nlevel = "error"\n', "f")
+    assert valid.routers.options == {"log": {"level": "error"}} and scenario.link_groups(valid) == 6
+    for text, expected in (
+        ("[routers.options.log]\nlevel = 7\n", "log.level"),
+        ("[routers]\nlink_groups = 4\n", "multiple of the 3"),
+        ('[[faults]]\nkind = "link-cut"\nstart_s = 1.0\nfrom_zone = "q"\n', "from_zone"),
+        ('[[faults]]\nkind = "link-cut"\nstart_s = 1.0\ngroups = [3]\n', "numbers from 0 to 2"),
+        ('[fleet]\nregions = ["n"]\n', "the region of each"),
+    ):
+        with pytest.raises(ScenarioError, match=expected):
+            scenario_file.parse('name = "x"\n' + text, "f")
+    regional = scenario_file.parse(
+        'name = "x"\n[fleet]\nregions = ["n", "n", "s"]\nzone_ms = 1.0\nregion_ms = 9.0\n', "f"
+    )
+    assert [scenario.distance_ms(regional, server, 0) for server in range(3)] == [0.0, 1.0, 9.0]
