--- a/starlingthread/load/connection.py
+++ b/starlingthread/load/connection.py
@@ -61,13 +61,16 @@
         self._is_in_flight = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are not of that class
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the listener that the connection has ended."""
         self.is_closed = True
         self._listener.on_closed(self)
 
     def data_received(self, data: bytes) -> None:
+        """Tell the listener of a complete answer, or of bytes that nothing was asked for."""
         if not self._is_in_flight:
             self._listener.on_unsolicited(self, data)
             return
