--- a/starlingthread/net/upstreams/connection.py
+++ b/starlingthread/net/upstreams/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache server, and what is asked on it."""
+"""One connection to a cache server and the exchange that is in flight on it."""
 
 from __future__ import annotations
 
@@ -10,65 +10,73 @@
 from ...core.pipe import Pipe
 from .. import meta
 
-DOUBT = 50.0  # ms after an answer in which a 'busy' may be a stray line behind it
+STRAY_BUSY_WINDOW_MS = 50.0  # after an answer; a 'busy' in it may be a stray line that belongs to that answer
 
 
-class Probing:
-    """A probe that is out; it stands where an attempt would."""
+class PendingHealthCheck:
+    """A health check in flight; it takes the place of an attempt on a connection."""
 
-    __slots__ = ("fields", "limit", "sent_at")
+    __slots__ = ("load", "sent_at", "timeout_timer")
 
     def __init__(self, sent_at: float) -> None:
         self.sent_at = sent_at
-        self.limit: Deadline | None = None
-        self.fields: dict[str, float] = {}
+        self.timeout_timer: Deadline | None = None
+        self.load: dict[str, float] = {}  # figures of the load report received so far
 
 
-Job: TypeAlias = Attempt | Probing
+Exchange: TypeAlias = Attempt | PendingHealthCheck
 
 
 class Connection:
-    """One connection to a cache server; its actor's pool owns it."""
+    """One connection to a cache server, owned by the pool of that server."""
 
     __slots__ = (
         "address",
         "answered_at",
-        "body",
-        "busy",
+        "awaiting_response",
         "closed",
+        "exchange",
         "idle_since",
-        "owed",
+        "out_of_sync",
         "parser",
-        "pipe",
+        "read_timer",
         "reader",
-        "spoilt",
-        "stall",
-        "written_at",
+        "request_body",
+        "response_pipe",
         "writer",
+        "written_at",
     )
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, address: tuple[str, int]) -> None:
-        self.reader, self.writer, self.address = reader, writer, address
+        self.reader = reader
+        self.writer = writer
+        self.address = address
         self.parser = meta.AnswerParser()
-        self.busy: Job | None = None
-        self.owed = False  # something was written that is not answered yet
-        self.spoilt = False  # more has come than was owed: nobody knows what comes next
-        self.idle_since = self.written_at = 0.0
-        self.answered_at = -DOUBT
-        self.stall: Deadline | None = None  # when the rest of a part of an answer must be here
+        self.exchange: Exchange | None = None
+        self.awaiting_response = False  # something was written that is not answered in full yet
+        self.out_of_sync = False  # more has come than was asked for: answers can't be matched any more
+        self.idle_since = 0.0
+        self.written_at = 0.0
+        self.answered_at = -STRAY_BUSY_WINDOW_MS
+        self.read_timer: Deadline | None = None  # by when the rest of a partial answer must arrive
         self.closed = False
-        self.body: Pipe | None = None  # the value that is going out on it in pieces, and is not out whole
-        self.pipe: Pipe | None = None  # the value that is coming in on it in pieces, and is not in whole
+        self.request_body: Pipe | None = None  # the streamed value being written, until its last byte is out
+        self.response_pipe: Pipe | None = None  # the streamed value being read, until its last byte is in
 
     @property
-    def idle_before(self) -> float | None:
-        """For how long it was idle before what was written last; None if that was the first."""
+    def idle_before_write(self) -> float | None:
+        """How long (ms) it was idle before the last write; None if that was the first."""
         return self.written_at - self.answered_at if self.answered_at > 0 else None
 
-    def is_fresh(self, address: tuple[str, int]) -> bool:
-        """Whether it can still carry a request: not spoilt, not ended, and to the server's address of now."""
+    @property
+    def may_see_stray_busy(self) -> bool:
+        """Whether the last write followed an answer so soon that a 'busy' may be a stray line behind that answer."""
+        return self.written_at - self.answered_at < STRAY_BUSY_WINDOW_MS
+
+    def is_reusable(self, address: tuple[str, int]) -> bool:
+        """Whether it can still carry a request: in sync, not ended, and to the server's current address."""
         return not (
-            self.spoilt
+            self.out_of_sync
             or self.closed
             or self.reader.at_eof()
             or self.writer.transport.is_closing()
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -1,4 +1,4 @@
-"""All cache servers that lists have named: their actors, and the budget of connections to them."""
+"""All cache servers that endpoint lists have named: their actors and the limit on connections to them."""
 
 from __future__ import annotations
 
@@ -8,152 +8,188 @@
 from ...core.pipe import ByteBudget
 from ...core.router import Router
 from ...core.watcher import Watcher
-from ...events import AttemptResult, EndpointListKind, HealthCheckResult, ServerState
+from ...events import AttemptResult, EndpointList, EndpointListKind, HealthCheckResult, ServerState
 from ...settings import Settings
 from .actor import ServerActor
-from .connection import Probing
-from .messages import Abandon, Retire, Start
-from .pool import IdleRisk
+from .connection import Connection, PendingHealthCheck
+from .context import UpstreamContext, UpstreamSettings
+from .messages import AbandonExchange, CloseIdle, StartExchange
 
-RETIRE_SHARE = 0.65  # of the server's idle limit: a write that crosses its close would be a reset
-LOOK_EVERY = 1000.0  # ms between looks for connections to retire
-FORGET_AFTER = 2000.0  # ms after which the actor of a server that is gone is ended
-PROBE_WAIT = 50.0  # ms in which a probe must be answered
+HOUSEKEEPING_INTERVAL_MS = 1000.0
+REMOVED_SERVER_TTL_MS = 2000.0  # after which the actor of a removed server is ended, once it is unused
+HEALTH_CHECK_ANSWER_MS = 50.0  # beyond the connect time-out, in which a health check must be answered
 
 
 class ServerFleet:
-    """Owns the actors of all cache servers that lists have named, and the budget of their connections."""
-
-    def __init__(self, settings: Settings, router: Router, watcher: Watcher, most: int, idle_close: float) -> None:
-        self.router, self.watcher, self.most = router, watcher, most
-        self.clock, self.counters, self.deadlines = router.clock, router.counters, router.deadlines
-        self.risk = IdleRisk()
-        self.apply_settings(settings, idle_close)
-        self.in_maintenance: set[int] = set()  # servers that operators leave out
-        self.budget = ByteBudget(0)  # for values that come in pieces
+    """Owns the actors of all cache servers that lists have named, and enforces the limit on their connections."""
+
+    def __init__(
+        self, settings: Settings, router: Router, watcher: Watcher, max_connections: int, idle_timeout: float
+    ) -> None:
+        self.context = UpstreamContext(
+            router=router,
+            watcher=watcher,
+            clock=router.clock,
+            counters=router.counters,
+            deadlines=router.deadlines,
+            settings=UpstreamSettings.create(settings, idle_timeout),
+            may_open_connection=self._may_open_connection,
+        )
+        self.max_connections = max_connections
         self.actors: dict[int, ServerActor] = {}
-        self.tasks: dict[int, asyncio.Task[None]] = {}
-        self._look()
-
-    def apply_settings(self, settings: Settings, idle_close: float) -> None:
-        """Take in settings, the first or new ones."""
-        self.grace, self.connect_timeout = settings.drain_grace, settings.connect_timeout
-        self.report_fields = settings.load_report_fields
-        self.retire_after = idle_close * RETIRE_SHARE
-
-    def set_maintenance(self, server: int, out: bool) -> None:
-        """Write nothing new to a server from now on, or write to it again."""
-        if not out:
-            self.in_maintenance.discard(server)
-            return
-        self.in_maintenance.add(server)
-        self.close_idle(server)
+        self._tasks: dict[int, asyncio.Task[None]] = {}
+        self._run_housekeeping()
 
-    def _look(self) -> None:
-        now = self.clock.now()
-        for number, actor in list(self.actors.items()):
-            actor.mailbox.must_put(Retire(self.retire_after))
-            unused = not actor.opening.jobs and not actor.pool.in_use
-            if actor.gone_at is not None and now - actor.gone_at > FORGET_AFTER and unused:
-                self._end(number)
-        self.deadlines.set(now + LOOK_EVERY, self._look)
+    def apply_settings(self, settings: Settings, idle_timeout: float) -> None:
+        """Apply changed settings; idle_timeout is the servers' idle limit in milliseconds."""
+        self.context.settings = UpstreamSettings.create(settings, idle_timeout)
 
-    def _end(self, number: int) -> None:
-        self.actors.pop(number).close()
-        self.tasks.pop(number).cancel()
+    def set_value_budget(self, budget: ByteBudget) -> None:
+        """Share the budget for streamed values with the clients' side."""
+        self.context.value_budget = budget
 
-    def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
-        """Take in a list: who is new, who has moved, who drains or is gone."""
-        event = listing.event
-        if event.kind == EndpointListKind.FAILED:
+    def set_maintenance(self, server: int, in_maintenance: bool) -> None:
+        """Write nothing new to a server while it is in maintenance."""
+        if not in_maintenance:
+            self.context.in_maintenance.discard(server)
             return
-        shut = {m.server: m.state for m in event.endpoints if m.state != ServerState.READY}
-        if event.kind != EndpointListKind.DELTA:
-            named = {m.server for m in event.endpoints}
-            shut.update({n: ServerState.GONE for n in self.actors if n not in named})
-        for number, address in listing.addresses.items():
-            actor = self.actors.get(number)
-            if actor is None:
-                actor = self.actors[number] = ServerActor(self, number, address)
-                self._run(actor)
-            elif actor.pool.address != address:
-                actor.pool.address = address
-                actor.mailbox.must_put(Retire(0.0))
-        for number, actor in self.actors.items():
-            if number in shut:
-                if actor.shut_at is None:
-                    actor.shut_at = now
-                    actor.mailbox.must_put(Retire(0.0))  # nothing new goes there: give descriptors back
-                if shut[number] == ServerState.GONE:
-                    actor.gone_at = now if actor.gone_at is None else actor.gone_at
-            elif number in listing.addresses:
-                actor.shut_at = actor.gone_at = None
-
-    def _run(self, actor: ServerActor) -> None:
-        def died(_: BaseException) -> None:
-            # Guards against attempts that nobody would end: each gets its outcome, then all starts anew.
-            self.counters.increment("servers.actor_died")
-            for job in [*actor.opening.jobs, *actor.pool.busy]:
-                actor.report(job, AttemptResult.RESET)
-            actor.close()
-            if self.actors.get(actor.number) is actor:
-                self._run(actor)
+        self.context.in_maintenance.add(server)
+        self.close_idle(server)
+
+    def close(self) -> None:
+        """End all actors and close their connections."""
+        for number in list(self.actors):
+            self._end_actor(number)
 
-        self.tasks[actor.number] = self.watcher.start(actor.run(), "server", died)
+    # attempts and health checks
 
     def start(self, attempt: Attempt) -> None:
-        """Make an attempt."""
+        """Start an attempt; AttemptEnded follows unless it is abandoned."""
         actor = self.actors.get(attempt.server)
-        if actor is None or not actor.mailbox.put(Start(attempt)):
-            self.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.CONNECT_FAILED))
+        if actor is None or not actor.mailbox.put(StartExchange(attempt)):
+            self.context.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.CONNECT_FAILED))
 
     def abandon(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt."""
-        if (actor := self.actors.get(attempt.server)) is not None:
-            actor.mailbox.must_put(Abandon(attempt))
+        """Stop waiting for an attempt that has its outcome."""
+        actor = self.actors.get(attempt.server)
+        if actor is not None:
+            actor.post(AbandonExchange(attempt))
 
     def check_health(self, server: int) -> None:
-        """Check a server."""
-        job, actor = Probing(self.clock.now()), self.actors.get(server)
+        """Start a health check; HealthCheckResult follows."""
+        actor = self.actors.get(server)
         if actor is None:
-            self.router.mailbox.must_put(HealthCheckResult(server, AttemptResult.CONNECT_FAILED, 0.0))
+            result = HealthCheckResult(server, AttemptResult.CONNECT_FAILED, 0.0)
+            self.context.router.mailbox.must_put(result)
+            return
+        now = self.context.clock.now()
+        check = PendingHealthCheck(now)
+        timeout = self.context.settings.connect_timeout + HEALTH_CHECK_ANSWER_MS
+
+        def on_timeout() -> None:
+            actor.reporter.report(check, AttemptResult.TIMEOUT)
+            actor.post(AbandonExchange(check))
+
+        check.timeout_timer = self.context.deadlines.set(now + timeout, on_timeout)
+        actor.post(StartExchange(check))
+
+    # endpoint lists and actors
+
+    def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
+        """Apply a list or changes to it: new servers, changed addresses, servers that are draining or removed."""
+        if listing.event.kind == EndpointListKind.FAILED:
             return
+        unavailable = self._unavailable_servers(listing.event)
+        for number, address in listing.addresses.items():
+            self._apply_address(number, address)
+        for number, actor in self.actors.items():
+            if number in unavailable:
+                self._mark_unavailable(actor, unavailable[number], now)
+            elif number in listing.addresses:
+                actor.draining_since = None
+                actor.removed_at = None
 
-        def late(actor: ServerActor = actor) -> None:
-            actor.report(job, AttemptResult.TIMEOUT)
-            actor.mailbox.must_put(Abandon(job))
+    def _unavailable_servers(self, event: EndpointList) -> dict[int, ServerState]:
+        """Return the servers that are draining or removed; a full list removes those that it does not name."""
+        states: dict[int, ServerState] = {e.server: e.state for e in event.endpoints if e.state != ServerState.READY}
+        if event.kind != EndpointListKind.DELTA:
+            named = {e.server for e in event.endpoints}
+            states.update({number: ServerState.GONE for number in self.actors if number not in named})
+        return states
 
-        job.limit = self.deadlines.set(self.clock.now() + self.connect_timeout + PROBE_WAIT, late)
-        actor.mailbox.must_put(Start(job))
+    def _apply_address(self, number: int, address: tuple[str, int]) -> None:
+        actor = self.actors.get(number)
+        if actor is None:
+            actor = ServerActor(self.context, number, address)
+            self.actors[number] = actor
+            self._run_actor(actor)
+        elif actor.pool.address != address:
+            actor.pool.address = address
+            actor.post(CloseIdle(0.0))
+
+    def _mark_unavailable(self, actor: ServerActor, state: ServerState, now: float) -> None:
+        if actor.draining_since is None:
+            actor.draining_since = now
+            actor.post(CloseIdle(0.0))  # nothing new is sent there: free the descriptors
+        if state == ServerState.GONE and actor.removed_at is None:
+            actor.removed_at = now
+
+    def _run_actor(self, actor: ServerActor) -> None:
+        def on_death(_: BaseException) -> None:
+            # Guards against attempts that nobody would end: each gets its outcome, then the actor starts anew.
+            self.context.counters.increment("servers.actor_died")
+            for exchange in [*actor.opener.pending, *actor.pool.busy]:
+                actor.reporter.report(exchange, AttemptResult.RESET)
+            actor.close()
+            if self.actors.get(actor.number) is actor:
+                self._run_actor(actor)
+
+        self._tasks[actor.number] = self.context.watcher.start(actor.run(), "server", on_death)
+
+    def _end_actor(self, number: int) -> None:
+        self.actors.pop(number).close()
+        self._tasks.pop(number).cancel()
+
+    def _run_housekeeping(self) -> None:
+        """Close connections idle for too long and end the actors of removed servers; repeat at an interval."""
+        now = self.context.clock.now()
+        for number, actor in list(self.actors.items()):
+            actor.post(CloseIdle(self.context.settings.max_idle))
+            is_unused = not actor.opener.pending and not actor.pool.in_use
+            if actor.removed_at is not None and now - actor.removed_at > REMOVED_SERVER_TTL_MS and is_unused:
+                self._end_actor(number)
+        self.context.deadlines.set(now + HOUSEKEEPING_INTERVAL_MS, self._run_housekeeping)
+
+    # the connection limit
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
-        if (actor := self.actors.get(server)) is not None:
-            actor.mailbox.must_put(Retire(0.0))
-
-    def allow_connection(self) -> bool:
-        """Tell whether one more connection may be opened; close the one idle longest if need be."""
-        if sum(a.pool.open for a in self.actors.values()) < self.most:
+        actor = self.actors.get(server)
+        if actor is not None:
+            actor.post(CloseIdle(0.0))
+
+    def set_connection_limit(self, max_connections: int) -> None:
+        """Limit the open connections; close those idle longest that exceed the limit."""
+        self.max_connections = max_connections
+        excess = self._open_connections() - max_connections
+        for number, connection in self._idle_longest_first()[: max(0, excess)]:
+            self.actors[number].pool.close_connection(connection)
+
+    def _open_connections(self) -> int:
+        return sum(actor.pool.open_count for actor in self.actors.values())
+
+    def _idle_longest_first(self) -> list[tuple[int, Connection]]:
+        """Return the idle connections with their server's number, the one idle longest first."""
+        idle = [(number, c) for number, actor in self.actors.items() for c in actor.pool.idle]
+        return sorted(idle, key=lambda entry: (entry[1].idle_since, entry[0]))
+
+    def _may_open_connection(self) -> bool:
+        """Whether one more connection may be opened; at the limit the one idle longest is closed to make room."""
+        if self._open_connections() < self.max_connections:
             return True
-        idle = [(a.pool.idle[0].idle_since, n) for n, a in self.actors.items() if a.pool.idle]
-        if not idle:
+        oldest = [(actor.pool.idle[0].idle_since, number) for number, actor in self.actors.items() if actor.pool.idle]
+        if not oldest:
             return False
-        pool = self.actors[min(idle)[1]].pool
-        pool.discard(pool.idle[0])
+        pool = self.actors[min(oldest)[1]].pool
+        pool.close_connection(pool.idle[0])
         return True
-
-    def set_connection_limit(self, most: int) -> None:
-        """Hold so many connections at most; close those idle longest that are too many."""
-        self.most = most
-        over = sum(a.pool.open for a in self.actors.values()) - most
-        idle = sorted(
-            ((c.idle_since, a.number, c) for a in self.actors.values() for c in a.pool.idle),
-            key=lambda entry: entry[:2],
-        )
-        for _, number, connection in idle[: max(0, over)]:
-            self.actors[number].pool.discard(connection)
-
-    def close(self) -> None:
-        """Close everything."""
-        for number in list(self.actors):
-            self._end(number)
--- a/starlingthread/net/upstreams/messages.py
+++ b/starlingthread/net/upstreams/messages.py
@@ -1,4 +1,4 @@
-"""What the actor of a cache server is told."""
+"""The messages that the actor of a cache server handles."""
 
 from __future__ import annotations
 
@@ -6,67 +6,77 @@
 
 from ...core.pipe import Pipe
 from .. import meta
-from .connection import Connection, Job
+from .connection import Connection, Exchange
 
 
-class Start(NamedTuple):
-    """Message: make an attempt, or a probe."""
+class StartExchange(NamedTuple):
+    """Start an attempt or a health check."""
 
-    job: Job
+    exchange: Exchange
 
 
-class Abandon(NamedTuple):
-    """Message: stop waiting for an attempt that has its outcome, or a probe."""
+class AbandonExchange(NamedTuple):
+    """Stop waiting for an attempt or health check that has its outcome already."""
 
-    job: Job
+    exchange: Exchange
 
 
-class ConnectLate(NamedTuple):
-    """Message: a connection has not come up in time."""
+class ConnectTimedOut(NamedTuple):
+    """A connection was not established by the time that it was due (clock ms)."""
 
-    job: Job
+    exchange: Exchange
     due: float
 
 
-class Opened(NamedTuple):
-    """Message: what became of a connection that was opened for a job."""
+class ConnectCompleted(NamedTuple):
+    """Opening a connection for an exchange has ended; connection is None if it failed."""
 
-    job: Job
+    exchange: Exchange
     connection: Connection | None
 
 
-class Answered(NamedTuple):
-    """Message: a whole answer, or part of one to 'stats load', has come."""
+class AnswerReceived(NamedTuple):
+    """An answer has arrived: all of it, a line of 'stats load', or the head of a streamed value."""
 
     connection: Connection
     answer: meta.ServerAnswer
-    pipe: Pipe | None = None
+    pipe: Pipe | None = None  # where a streamed value follows
 
 
-class Delivered(NamedTuple):
-    """Message: a value that came in pieces is here whole."""
+class ValueReceived(NamedTuple):
+    """The last byte of a streamed value has arrived."""
 
     connection: Connection
 
 
-class Broken(NamedTuple):
-    """Message: a connection has ended, or what comes on it belongs to nothing."""
+class ConnectionLost(NamedTuple):
+    """A connection has ended, or is out of sync."""
 
     connection: Connection
 
 
-class Stalled(NamedTuple):
-    """Message: a part of an answer has come and then nothing; sure when it is looked at again."""
+class ReadTimedOut(NamedTuple):
+    """The rest of a partial answer did not arrive by the time that it was due (clock ms)."""
 
     connection: Connection
-    sure: bool
+    is_recheck: bool  # the second time-out in a row: a connection is given up on this one only
     due: float
 
 
-class Retire(NamedTuple):
-    """Message: close what has been idle for so many ms."""
+class CloseIdle(NamedTuple):
+    """Close the connections that have been idle for this long (ms)."""
 
-    idle: float
+    min_idle: float
 
 
-Message: TypeAlias = Start | Abandon | ConnectLate | Opened | Answered | Delivered | Broken | Stalled | Retire
+Message: TypeAlias = (
+    StartExchange
+    | AbandonExchange
+    | ConnectTimedOut
+    | ConnectCompleted
+    | AnswerReceived
+    | ValueReceived
+    | ConnectionLost
+    | ReadTimedOut
+    | CloseIdle
+)
--- /dev/null
+++ b/starlingthread/net/upstreams/opener.py
@@ -0,0 +1,90 @@
+"""Connections to one cache server that are being established, each for an exchange."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import NamedTuple
+
+from ...core.deadlines import Deadline
+from ..streams import limit_read_size
+from .connection import Connection, Exchange
+from .context import UpstreamContext
+from .messages import ConnectCompleted, ConnectTimedOut
+from .pool import ConnectionPool
+
+READ_SIZE = 65536  # bytes
+
+
+class PendingConnect(NamedTuple):
+    """The task that connects and the timer of its time-out."""
+
+    task: asyncio.Task[None]
+    timeout_timer: Deadline
+
+
+class ConnectionOpener:
+    """Owns the tasks that connect. Each counts as open in the pool until it is cancelled or has failed."""
+
+    def __init__(
+        self,
+        context: UpstreamContext,
+        pool: ConnectionPool,
+        post: Callable[[ConnectCompleted | ConnectTimedOut], None],
+    ) -> None:
+        self._context = context
+        self._pool = pool
+        self.post = post
+        self.pending: dict[Exchange, PendingConnect] = {}
+
+    def start(self, exchange: Exchange) -> None:
+        """Connect for an exchange: ConnectCompleted follows, or ConnectTimedOut after the connect time-out."""
+        self._pool.open_count += 1
+        work = self._connect(exchange)
+        task = self._context.watcher.start(work, "open", lambda _: self.post(ConnectCompleted(exchange, None)))
+        self.pending[exchange] = PendingConnect(task, self._set_timeout(exchange))
+
+    def extend(self, exchange: Exchange) -> None:
+        """Set the connect time-out of a pending connection anew."""
+        self.pending[exchange] = PendingConnect(self.pending[exchange].task, self._set_timeout(exchange))
+
+    def cancel(self, exchange: Exchange) -> bool:
+        """Cancel connecting for an exchange; False if none was pending."""
+        pending = self.pending.pop(exchange, None)
+        if pending is None:
+            return False
+        pending.task.cancel()
+        self._context.deadlines.clear(pending.timeout_timer)
+        self._pool.open_count -= 1
+        return True
+
+    def complete(self, exchange: Exchange, connection: Connection | None) -> bool:
+        """End a pending connect; False if it was cancelled meanwhile: a connection that came up late is closed."""
+        pending = self.pending.pop(exchange, None)
+        if pending is None:
+            if connection is not None:
+                connection.writer.transport.abort()
+            return False
+        self._context.deadlines.clear(pending.timeout_timer)
+        if connection is None:
+            self._pool.open_count -= 1
+        return True
+
+    def cancel_all(self) -> None:
+        """Cancel all pending connects."""
+        for exchange in list(self.pending):
+            self.cancel(exchange)
+
+    def _set_timeout(self, exchange: Exchange) -> Deadline:
+        due = self._context.clock.now() + self._context.settings.connect_timeout
+        return self._context.deadlines.set(due, lambda: self.post(ConnectTimedOut(exchange, due)))
+
+    async def _connect(self, exchange: Exchange) -> None:
+        address = self._pool.address
+        try:
+            reader, writer = await asyncio.open_connection(*address, limit=READ_SIZE)
+            limit_read_size(writer, READ_SIZE)
+        except OSError:
+            self.post(ConnectCompleted(exchange, None))
+        else:
+            self.post(ConnectCompleted(exchange, Connection(reader, writer, address)))
--- /dev/null
+++ b/starlingthread/net/upstreams/results.py
@@ -0,0 +1,78 @@
+"""The results of exchanges: what an answer means, and how the router is told."""
+
+from __future__ import annotations
+
+from ...core.messages import Attempt, AttemptEnded
+from ...core.pipe import Pipe
+from ...events import AttemptResult, CacheStatus, HealthCheckResult
+from .. import meta
+from .connection import Connection, Exchange, PendingHealthCheck
+from .context import UpstreamContext
+
+CACHE_STATUS_BY_NOTE = {"h1": CacheStatus.HIT, "h0": CacheStatus.MISS, "h0 Z": CacheStatus.FETCH_IN_FLIGHT}
+
+
+def attempt_result(connection: Connection, attempt: Attempt, answer: meta.ServerAnswer) -> AttemptResult:
+    """Return what an answer means for the attempt that it arrived for.
+
+    An answer that does not fit the request counts as a broken connection: only the server's own word is its error.
+    """
+    kind = answer.kind
+    if kind in (meta.AnswerKind.VALUE, meta.AnswerKind.RECEIPT):
+        return AttemptResult.OK if _answers_request(attempt, answer) else AttemptResult.RESET
+    if kind == meta.AnswerKind.BUSY:
+        # Guards against running a write twice: right behind an answer it may be a stray line, which proves nothing.
+        is_doubtful = attempt.request.is_write and connection.may_see_stray_busy
+        return AttemptResult.RESET if is_doubtful else AttemptResult.FULL
+    return AttemptResult.ERROR if kind == meta.AnswerKind.FAILED else AttemptResult.RESET
+
+
+def _answers_request(attempt: Attempt, answer: meta.ServerAnswer) -> bool:
+    """Whether a value or receipt carries the request's id and is of the kind that was asked for."""
+    command = attempt.request.payload
+    if not isinstance(command, meta.Command) or command.request_id != answer.request_id:
+        return False
+    return attempt.request.is_write == (answer.kind == meta.AnswerKind.RECEIPT)
+
+
+class ResultReporter:
+    """Reports the results of one server's exchanges to the router, which drops those that it no longer waits for."""
+
+    def __init__(self, context: UpstreamContext, server: int) -> None:
+        self._context = context
+        self._server = server
+
+    def report(
+        self,
+        exchange: Exchange,
+        result: AttemptResult,
+        answer: meta.ServerAnswer | None = None,
+        pipe: Pipe | None = None,
+    ) -> None:
+        """Report how an exchange ended, with the answer and its streamed value if there are any."""
+        if isinstance(exchange, PendingHealthCheck):
+            self._report_health_check(exchange, result)
+        else:
+            self._report_attempt(exchange, result, answer, pipe)
+
+    def _report_health_check(self, check: PendingHealthCheck, result: AttemptResult) -> None:
+        self._context.deadlines.clear(check.timeout_timer)
+        load_report = self._load_report(check.load)
+        elapsed = self._context.clock.now() - check.sent_at
+        self._context.router.mailbox.must_put(HealthCheckResult(self._server, result, elapsed, load_report))
+
+    def _report_attempt(
+        self, attempt: Attempt, result: AttemptResult, answer: meta.ServerAnswer | None, pipe: Pipe | None
+    ) -> None:
+        cache_status = CacheStatus.NONE
+        load_report: tuple[float, ...] = ()
+        if answer is not None:
+            cache_status = CACHE_STATUS_BY_NOTE.get(answer.cache_note, CacheStatus.NONE)
+            load_report = self._load_report(answer.load)
+        message = AttemptEnded(attempt, result, cache_status, load_report, answer, pipe)
+        self._context.router.mailbox.must_put(message)
+
+    def _load_report(self, load: dict[str, float] | None) -> tuple[float, ...]:
+        """Return the configured fields of a load report; none if any is missing, as a missing figure is not zero."""
+        fields = self._context.settings.load_report_fields
+        return tuple(load[f] for f in fields) if load and all(f in load for f in fields) else ()
--- /dev/null
+++ b/starlingthread/net/upstreams/writer.py
@@ -0,0 +1,63 @@
+"""Writes exchanges on the connections of one cache server."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ...core.messages import Attempt
+from ...core.pipe import Pipe
+from .. import meta
+from .connection import Connection, Exchange, PendingHealthCheck
+from .context import UpstreamContext
+from .messages import ConnectionLost
+from .pool import ConnectionPool
+
+LOAD_REPORT_COMMAND = b"stats load\r\n"
+NO_OP_COMMAND = b"mn\r\n"
+
+
+class ExchangeWriter:
+    """Writes attempts and health checks; streams the values that do not come with their command."""
+
+    def __init__(self, context: UpstreamContext, pool: ConnectionPool, post: Callable[[ConnectionLost], None]) -> None:
+        self._context = context
+        self._pool = pool
+        self._post = post
+
+    def write(self, connection: Connection, exchange: Exchange) -> None:
+        """Mark a connection busy with an exchange and write it."""
+        self._pool.mark_busy(connection, exchange)
+        if isinstance(exchange, PendingHealthCheck):
+            wants_load = self._context.settings.load_report_fields
+            connection.writer.write(LOAD_REPORT_COMMAND if wants_load else NO_OP_COMMAND)
+        elif isinstance(exchange.request.payload, meta.Command):
+            self._write_command(connection, exchange, exchange.request.payload)
+
+    def _write_command(self, connection: Connection, attempt: Attempt, command: meta.Command) -> None:
+        body = attempt.request.body
+        timeout = attempt.deadline - self._context.clock.now()
+        if body is not None:  # the server's time runs from the last byte, which is still to come
+            timeout = min(timeout, command.timeout_ms, attempt.request.request_class.deadline)
+        connection.writer.writelines(meta.forward_command(command, timeout))
+        if body is None:
+            self._context.router.telemetry.backend_calls += 1
+            return
+        connection.request_body = body
+        work = self._stream_body(connection, body)
+        self._context.watcher.start(work, "body", lambda _: self._post(ConnectionLost(connection)))
+
+    async def _stream_body(self, connection: Connection, body: Pipe) -> None:
+        """Write a streamed value as its chunks arrive, no faster than the server reads them."""
+        try:
+            while not connection.closed and not body.is_finished():
+                chunks = body.take()
+                for chunk in chunks:
+                    if body.complete and chunk is chunks[-1] and not body.has_more():
+                        # The last byte is written with this chunk: from now on the request may have been executed.
+                        connection.request_body = None
+                        self._context.router.telemetry.backend_calls += 1
+                    connection.writer.write(chunk)
+                    await connection.writer.drain()
+                await body.until_more()
+        except OSError:
+            self._post(ConnectionLost(connection))
--- a/starlingthread/router_process/actors.py
+++ b/starlingthread/router_process/actors.py
@@ -33,7 +33,7 @@
         self.members = MemberActor(self.router, self.peers, router_index)
         self.failover = FailoverActor(self.router, self.peers, self.members, router_index)
         self.clients = ClientListener(settings, self.router, watcher, 0, 0, 0, self.has_endpoints)
-        self.fleet.budget = self.clients.budget
+        self.fleet.set_value_budget(self.clients.budget)
         self.router.fleet = self.fleet
         self.router.discovery = self.discovery
         self.router.peers = self.peers
@@ -83,7 +83,7 @@
         return {
             "clients.open": len(self.clients.connections),
             "requests.open": len(self.router.requests),
-            "connections.open": sum(server.pool.open for server in self.fleet.actors.values()),
+            "connections.open": sum(server.pool.open_count for server in self.fleet.actors.values()),
         }
 
     def close(self) -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -128,12 +128,12 @@
             asyncio.set_event_loop(asyncio.new_event_loop())
         self.place = RouterHarness()
         self.fleet = ServerFleet(THROUGH, self.place.router, Watcher(), 10, 15000.0)
-        self.actor = ServerActor(self.fleet, 1, ("127.0.0.1", 1))
+        self.actor = ServerActor(self.fleet.context, 1, ("127.0.0.1", 1))
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.connection = Connection(self.reader, self.writer, self.actor.pool.address)  # type: ignore[arg-type]
         self.connection.idle_since = self.place.clock.now()
         self.actor.pool.idle.append(self.connection)
-        self.actor.pool.open = 1
+        self.actor.pool.open_count = 1
 
     def attempt(self, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
         (command,) = meta.CommandParser().feed(text)
@@ -145,15 +145,15 @@
         return Attempt(request, 0, 1, now, now + 400.0)
 
     def deliver(self, message: messages.Message) -> list[Any]:
-        self.actor._take_in(message)
+        self.actor.handle(message)
         return list(self.place.router.mailbox.take())
 
     def receive(self, data: bytes) -> list[Any]:
         """Feed bytes to the connection's reader, and its messages to the actor; return the messages to the router."""
-        if not self.actor.reader.heard(self.connection, data):
-            self.actor.tell(messages.Broken(self.connection))
+        if not self.actor.reader.on_data(self.connection, data):
+            self.actor.post(messages.ConnectionLost(self.connection))
         for message in self.actor.mailbox.take():
-            self.actor._take_in(message)
+            self.actor.handle(message)
         return list(self.place.router.mailbox.take())
 
 
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -13,14 +13,14 @@
 from .peers import CLASSES, read_command, running_router, step, until
 
 
-def intercept_opened(server: ServerActor) -> list[messages.Opened]:
+def intercept_opened(server: ServerActor) -> list[messages.ConnectCompleted]:
     """Keep the messages about opened connections from a server's actor; return the list that takes them in."""
-    opened: list[messages.Opened] = []
+    opened: list[messages.ConnectCompleted] = []
 
     def intercept(message: messages.Message) -> None:
-        opened.append(message) if isinstance(message, messages.Opened) else server.tell(message)
+        opened.append(message) if isinstance(message, messages.ConnectCompleted) else server.post(message)
 
-    server.opening.tell = intercept
+    server.opener.post = intercept
     return opened
 
 
@@ -35,7 +35,7 @@
             (actor,) = harness.program.actors.clients.connections
             request = next(iter(actor.requests.slots_by_request))
             request.cancelled = True  # the client has left; the router has not taken that in
-            server.tell(opened[0])
+            server.post(opened[0])
             await until(lambda: harness.counters["attempts.not_sent"] == 1)
             peer = await harness.server.accept()
             await step()
@@ -62,7 +62,7 @@
             await until(lambda: bool(opened))
             assert harness.counters["attempts.started"] == 2
             harness.router.clock._base += 1500.0
-            server.tell(opened[0])
+            server.post(opened[0])
             await until(lambda: harness.counters["attempts.not_sent"] >= 1)
             second = await harness.server.accept()
             await step()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -26,6 +26,7 @@
 )
 from starlingthread.net.discovery import DiscoveryActor, EndpointListParser
 from starlingthread.net.upstreams import messages
+from starlingthread.net.upstreams.opener import PendingConnect
 from starlingthread.settings import Idempotency
 
 from .router_harness import RouterHarness
@@ -110,20 +111,24 @@
 
 def test_what_waits_for_a_connection_to_a_server_in_maintenance_is_placed_anew() -> None:
     for wait in ("idle", "opening"):
-        held, job = (h := ServerActorHarness()), h.attempt()
-        held.fleet.actors[1] = held.actor
-        if wait == "opening":
-            held.actor.pool.idle.clear()
-            held.actor.opening.jobs[job] = (_Task(), held.actor.opening._limit(job))  # type: ignore[assignment]
-        held.fleet.set_maintenance(1, True)
-        opened = messages.Start(job) if wait == "idle" else messages.Opened(job, None)
-        told = held.deliver(opened)
-        assert [m.result for m in told] == [AttemptResult.NOT_SENT if wait == "idle" else AttemptResult.CONNECT_FAILED]
-        assert not held.writer.transport.sent
-        held.fleet.set_maintenance(1, False)
-        if wait == "idle":
-            held.deliver(messages.Start(held.attempt()))
-            assert held.writer.transport.sent
+        harness = ServerActorHarness()
+        attempt = harness.attempt()
+        is_idle = wait == "idle"
+        harness.fleet.actors[1] = harness.actor
+        if not is_idle:
+            harness.actor.pool.idle.clear()
+            opener = harness.actor.opener
+            opener.pending[attempt] = PendingConnect(_Task(), opener._set_timeout(attempt))  # type: ignore[arg-type]
+        harness.fleet.set_maintenance(1, True)
+        message = messages.StartExchange(attempt) if is_idle else messages.ConnectCompleted(attempt, None)
+        results = harness.deliver(message)
+        expected = AttemptResult.NOT_SENT if is_idle else AttemptResult.CONNECT_FAILED
+        assert [m.result for m in results] == [expected]
+        assert not harness.writer.transport.sent
+        harness.fleet.set_maintenance(1, False)
+        if is_idle:
+            harness.deliver(messages.StartExchange(harness.attempt()))
+            assert harness.writer.transport.sent
 
 
 class _Task:
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -114,7 +114,7 @@
 
 async def start_attempt(server: ServerActorHarness, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
     job = server.attempt(text)
-    server.deliver(messages.Start(job))
+    server.deliver(messages.StartExchange(job))
     return job
 
 
@@ -128,13 +128,11 @@
         and ended.pipe.take() == [VALUE[:100]]
     )
     assert (
-        not server.actor.pool.busy
-        and not server.actor.pool.idle
-        and server.actor.pool.delivering == {server.connection}
+        not server.actor.pool.busy and not server.actor.pool.idle and server.actor.pool.streaming == {server.connection}
     )
     assert server.receive(VALUE[100:] + b"\r") == [] and ended.pipe.complete is None
     assert server.receive(b"\n") == [] and ended.pipe.complete and server.actor.pool.idle == [server.connection]
-    assert b"".join(ended.pipe.take()) == VALUE[100:] + b"\r\n" and not server.actor.pool.delivering
+    assert b"".join(ended.pipe.take()) == VALUE[100:] + b"\r\n" and not server.actor.pool.streaming
 
 
 def test_a_broken_chunked_answer_ends_its_pipe_and_closes_its_connection() -> None:
@@ -143,18 +141,18 @@
         job = asyncio.run(start_attempt(server))
         (ended,) = server.receive(GOT + VALUE)
         if failure == "reset":
-            server.deliver(messages.Broken(server.connection))
+            server.deliver(messages.ConnectionLost(server.connection))
         elif failure == "no end":
             server.receive(b"xy")
         elif failure == "stalled":
-            server.actor._stalled(server.connection, sure=True, due=server.place.clock.time)
+            server.actor._on_read_timeout(server.connection, is_recheck=True, due=server.place.clock.time)
         elif failure == "gone":
             server.actor.close()
         else:
             ended.pipe.abandon()
-            assert not asyncio.run(server.actor.reader.until_not_full(server.connection, ended.pipe))
-            server.deliver(messages.Broken(server.connection))
-        assert server.writer.transport.closed and server.actor.pool.open == 0 and not server.actor.pool.delivering
+            assert not asyncio.run(server.actor.reader.wait_until_not_full(server.connection, ended.pipe))
+            server.deliver(messages.ConnectionLost(server.connection))
+        assert server.writer.transport.closed and server.actor.pool.open_count == 0 and not server.actor.pool.streaming
         assert ended.pipe.complete is False or failure == "nobody waits"
         assert not server.actor.pool.busy and job not in server.actor.pool.busy
 
@@ -346,8 +344,8 @@
         self.body.put(VALUE[:7])
 
     async def begin(self) -> None:
-        self.actor.fleet.watcher = type(self.fleet.watcher)()
-        self.deliver(messages.Start(self.job))
+        self.fleet.context.watcher = type(self.fleet.context.watcher)()
+        self.deliver(messages.StartExchange(self.job))
         await settle()
         assert self.writer.transport.sent == PUT.replace(b"d=500", b"d=400") + VALUE[:7]
 
@@ -365,7 +363,9 @@
             assert server.writer.transport.sent.endswith(VALUE + b"\r\n")
         reset = failure == "reset"
         outcomes = (
-            server.deliver(messages.Broken(server.connection)) if reset else server.receive(b"SERVER_ERROR failed\r\n")
+            server.deliver(messages.ConnectionLost(server.connection))
+            if reset
+            else server.receive(b"SERVER_ERROR failed\r\n")
         )
         assert server.writer.transport.closed == (reset or not complete)
         assert complete or server.body.abandoned
