--- a/starlingthread/router_process/control.py
+++ b/starlingthread/router_process/control.py
@@ -57,6 +57,6 @@
 
     def _on_maintenance(self, name: str, in_maintenance: bool) -> None:
         """Have the server's actor write nothing more, and the decision module choose other servers; or the reverse."""
-        server = self._actors.discovery.reader.ids.assign(name)
+        server = self._actors.discovery.parser.ids.assign(name)
         self._actors.fleet.set_maintenance(server, in_maintenance)
         self._actors.router.mailbox.must_put(Maintenance(server, in_maintenance))
--- a/starlingthread/router_process/process.py
+++ b/starlingthread/router_process/process.py
@@ -145,7 +145,7 @@
         self.watcher.start(self.actors.discovery.run(), "registry", self._restart_discovery)
 
     def _restart_discovery(self, error: BaseException) -> None:
-        self.actors.discovery._failed(repr(error))
+        self.actors.discovery.report_failure(repr(error))
         self._run_discovery()
 
     # while it runs
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -27,13 +27,13 @@
 
 
 def test_a_list_is_read_and_unknown_places_lie_behind_the_known() -> None:
-    reader = EndpointListParser(("a", "b"), ("m1", "m2"))
+    parser = EndpointListParser(("a", "b"), ("m1", "m2"))
     odd = {**LINE, "name": "s-2", "zone": "x", "type": None, "status": "terminating"}
-    told = reader.parse({"index": 4, "snapshot": False, "endpoints": [odd, LINE]})
-    one, two = told.event.endpoints
+    listing = parser.parse({"index": 4, "snapshot": False, "endpoints": [odd, LINE]})
+    one, two = listing.event.endpoints
     assert one == Endpoint(ServerIds().assign("s-1"), 1, 1, 3, ServerState.READY, 1.5, 17.0)
     assert (two.zone, two.kind, two.state) == (2, 2, ServerState.DRAINING)
-    assert told.event.kind == EndpointListKind.DELTA and told.addresses[one.server] == ("127.0.0.1", 11211)
+    assert listing.event.kind == EndpointListKind.DELTA and listing.addresses[one.server] == ("127.0.0.1", 11211)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -52,35 +52,35 @@
             assert EndpointListParser(("a",), ("m1",)).parse(text).event.kind in EndpointListKind
 
 
-def test_ids_come_from_the_name_and_collisions_are_told_apart() -> None:
+def test_ids_come_from_the_name_and_collisions_are_resolved() -> None:
     names = [f"s-{n}" for n in range(300)]
     one, other = ServerIds(), ServerIds()
     assert [one.assign(n) for n in names] == [other.assign(n) for n in reversed(names)][::-1]
     crowded = ServerIds()
-    crowded._taken.add(ServerIds().assign("s-1"))
+    crowded._assigned.add(ServerIds().assign("s-1"))
     assert (
         crowded.assign("s-1") != ServerIds().assign("s-1") and crowded.assign("s-1") == crowded.assign("s-1") < 1 << 32
     )
 
 
 def test_discovery_that_moves_is_asked_anew_and_its_old_watch_is_no_failure() -> None:
-    """Guards a reload: what is told at the new address counts as told soon after the signal."""
+    """Guards a reload: what the new address sends counts as notified soon after the signal."""
 
     async def play() -> None:
         place, spoken = RouterHarness(), []
         registry = DiscoveryActor(place.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
 
-        async def speak(path: str, watch: bool) -> None:
+        async def speak(path: str, is_watch: bool) -> None:
             spoken.append((registry.address[1], path))
             await asyncio.Event().wait()
 
-        registry._speak = speak  # type: ignore[method-assign]
+        registry._run_call = speak  # type: ignore[method-assign]
         registry.watcher.start(registry.run(), "registry", lambda _: None)
         registry.watch(True)
         registry.fetch()
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
-        old, fetch = registry._watching, next(iter(registry._fetching))
+        old, fetch = registry._watch_task, next(iter(registry._fetch_tasks))
         registry.set_address(("127.0.0.1", 2))
         for _ in range(4):
             await asyncio.sleep(0.0)
@@ -98,4 +98,4 @@
     ids = ServerIds()
     one, two = ids.assign("s-1"), ids.assign("s-2")
     ids.retain({two})
-    assert ids._taken == {two} and ids.assign("s-1") == one
+    assert ids._assigned == {two} and ids.assign("s-1") == one
