--- a/starlingthread/net/discovery/actor.py
+++ b/starlingthread/net/discovery/actor.py
@@ -82,11 +82,11 @@
         """How many servers the router's list has, draining ones included."""
         return len(self._listed)
 
-    def apply_settings(self, zones: tuple[str, ...], kinds: tuple[str, ...], pushed: bool = False) -> None:
-        """Apply changed settings. If zones or machine kinds are numbered anew, the next call fetches the whole list."""
+    def apply_settings(self, zones: tuple[str, ...], server_kinds: tuple[str, ...], pushed: bool = False) -> None:
+        """Apply changed settings. If zones or server kinds are numbered anew, the next call fetches the whole list."""
         self.pushed = pushed
         self.watch_wanted = self.watch_wanted or pushed
-        if self.parser.set_names(zones, kinds):
+        if self.parser.set_names(zones, server_kinds):
             self.version = 0
 
     def server_id(self, name: str) -> int | None:
--- a/starlingthread/net/discovery/call.py
+++ b/starlingthread/net/discovery/call.py
@@ -10,13 +10,13 @@
 
 from ...core.clock import Clock
 from ...core.deadlines import Deadline, Deadlines
+from ..late_timers import LATE_TIMER_MS, is_handled_late
 from .errors import DiscoveryCallError
 from .json_stream import JsonObjectSplitter
 
 CONNECT_TIMEOUT_MS = 1000.0  # for discovery to accept; a machine that is down does not answer at all
 SILENCE_TIMEOUT_MS = 3000.0  # without a byte, after which a call has failed
 WATCH_SILENCE_TIMEOUT_MS = 2500.0  # the same for a watch that has sent something: it sends at least every 2 s
-LATE_TIMER_MS = 10.0  # a time-out handled later than this: what arrived meanwhile may lie unread
 LIST_TIMEOUT_MS = 3000.0  # in which a list on a watch must be complete, from its first byte on
 MAX_LIST_BYTES = 4 << 20
 READ_SIZE = 65536  # bytes
@@ -44,7 +44,7 @@
         self._deadlines.clear(self._deadline)
 
     def _on_timeout(self, due: float) -> None:
-        if self._clock.now() - due > LATE_TIMER_MS:  # this process was paused: read first what arrived meanwhile
+        if is_handled_late(self._clock, due):  # this process was paused: read first what arrived meanwhile
             self.restart(2 * LATE_TIMER_MS)
             return
         self.expired = True
--- a/starlingthread/net/discovery/endpoint_list.py
+++ b/starlingthread/net/discovery/endpoint_list.py
@@ -28,16 +28,16 @@
 class EndpointListParser:
     """Turns discovery's JSON objects into the router's endpoint lists."""
 
-    def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
+    def __init__(self, zones: tuple[str, ...], server_kinds: tuple[str, ...]) -> None:
         self.zones = _number(zones)
-        self.kinds = _number(kinds)
+        self.server_kinds = _number(server_kinds)
         self.ids = ServerIds()
 
-    def set_names(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> bool:
-        """Number zones and machine kinds anew; return whether that changed anything."""
-        numbered = (_number(zones), _number(kinds))
-        changed = numbered != (self.zones, self.kinds)
-        self.zones, self.kinds = numbered
+    def set_names(self, zones: tuple[str, ...], server_kinds: tuple[str, ...]) -> bool:
+        """Number zones and server kinds anew; return whether that changed anything."""
+        numbered = (_number(zones), _number(server_kinds))
+        changed = numbered != (self.zones, self.server_kinds)
+        self.zones, self.server_kinds = numbered
         return changed
 
     def parse(self, raw: object, kind: EndpointListKind | None = None) -> EndpointsReceived:
@@ -68,7 +68,7 @@
         return Endpoint(
             server=server,
             zone=self.zones.get(entry.get("zone"), len(self.zones)),
-            kind=self.kinds.get(entry.get("type"), len(self.kinds)),
+            kind=self.server_kinds.get(entry.get("type"), len(self.server_kinds)),
             cell=int(entry.get("group") or 0),
             state=SERVER_STATES[entry["status"]],
             weight=float(entry.get("weight", 1.0)),
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -10,6 +10,7 @@
 from ...events import AttemptResult
 from ...logs import log
 from .. import meta
+from ..late_timers import is_handled_late
 from .connection import Connection, Exchange, PendingHealthCheck
 from .context import UpstreamContext
 from .messages import (
@@ -150,7 +151,7 @@
             self.writer.write(connection, exchange)
 
     def _on_connect_timeout(self, exchange: Exchange, due: float) -> None:
-        if exchange in self.opener.pending and self._context.is_handled_late(due):
+        if exchange in self.opener.pending and is_handled_late(self._context.clock, due):
             self.opener.extend(exchange)
         elif self.opener.cancel(exchange):
             self._context.counters.increment("connections.late")
@@ -228,7 +229,7 @@
         """
         connection.read_timer = None
         is_partial = connection.parser.has_partial_input()
-        if not is_recheck or self._context.is_handled_late(due):
+        if not is_recheck or is_handled_late(self._context.clock, due):
             self.reader.set_read_timeout(connection, is_partial, is_recheck=True)
         elif is_partial and not connection.closed:
             self._context.counters.increment("servers.stalled")
--- a/starlingthread/net/upstreams/connection.py
+++ b/starlingthread/net/upstreams/connection.py
@@ -10,6 +10,7 @@
 from ...core.pipe import Pipe
 from .. import meta
 
+READ_SIZE = 65536  # bytes that are read at once
 STRAY_BUSY_WINDOW_MS = 50.0  # after an answer; a 'busy' in it may be a stray line that belongs to that answer
 
 
--- a/starlingthread/net/upstreams/context.py
+++ b/starlingthread/net/upstreams/context.py
@@ -17,7 +17,6 @@
 
 # Fraction of a server's own idle limit after which we close: a write that crosses the server's close would be a reset.
 IDLE_CLOSE_FRACTION = 0.65
-LATE_TIMER_MS = 10.0  # a timer handled later than this says more about our own load than about the server
 
 
 class UpstreamSettings(NamedTuple):
@@ -53,11 +52,3 @@
     value_budget: ByteBudget = field(default_factory=lambda: ByteBudget(0))  # for streamed values
     idle_failure_rates: IdleFailureRates = field(default_factory=IdleFailureRates)
     in_maintenance: set[int] = field(default_factory=set)  # servers that operators have taken out
-
-    def is_handled_late(self, due: float) -> bool:
-        """Whether a timer is handled so late that our own load, not the server, may be the cause.
-
-        Guards against giving up, on an overloaded core, connections and answers that have arrived but are not yet
-        processed: each would be retried, which costs even more of the core.
-        """
-        return self.clock.now() - due > LATE_TIMER_MS
--- a/starlingthread/net/upstreams/opener.py
+++ b/starlingthread/net/upstreams/opener.py
@@ -8,13 +8,11 @@
 
 from ...core.deadlines import Deadline
 from ..streams import limit_read_size
-from .connection import Connection, Exchange
+from .connection import READ_SIZE, Connection, Exchange
 from .context import UpstreamContext
 from .messages import ConnectCompleted, ConnectTimedOut
 from .pool import ConnectionPool
 
-READ_SIZE = 65536  # bytes
-
 
 class PendingConnect(NamedTuple):
     """The task that connects and the timer of its time-out."""
--- a/starlingthread/net/upstreams/reader.py
+++ b/starlingthread/net/upstreams/reader.py
@@ -6,10 +6,9 @@
 
 from ...core.pipe import Pipe
 from .. import meta
-from .connection import Connection
+from .connection import READ_SIZE, Connection
 from .context import UpstreamContext
 from .messages import AnswerReceived, ConnectionLost, Message, ReadTimedOut, ValueReceived
-from .opener import READ_SIZE
 
 # How long the rest of an answer may take once a part of it is here. The timer runs twice, each time for half of it.
 PARTIAL_ANSWER_TIMEOUT_MS = 100.0
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Cache servers' connections, with hand-fed streams: no socket, no waiting."""
+"""The actor, pool and reader of a cache server's connections, fed by hand: no socket, no waiting."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .world import THROUGH
 
 
-def test_a_command_goes_out_with_the_time_we_will_wait_and_the_connection_comes_back() -> None:
+def test_a_command_carries_the_attempts_timeout_and_its_connection_returns_to_the_pool() -> None:
     harness = ServerActorHarness()
     attempt = harness.attempt()
     assert harness.deliver(messages.StartExchange(attempt)) == [] and not harness.actor.pool.idle
@@ -36,7 +36,7 @@
         (b"what\r\n", AttemptResult.RESET, False),
     ],
 )
-def test_other_answers(line: bytes, result: AttemptResult, reused: bool) -> None:
+def test_other_answers_end_the_attempt_with_their_result(line: bytes, result: AttemptResult, reused: bool) -> None:
     harness = ServerActorHarness()
     attempt = harness.attempt()
     harness.deliver(messages.StartExchange(attempt))
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("behind", [ANSWER, b"\xffnoise", b"SERVER_ERROR busy\r\n"])
-def test_what_comes_behind_an_answer_is_nobodys_answer(behind: bytes) -> None:
-    """Guards the next request on that connection, and the never-twice rule against a stray 'busy'."""
+def test_data_behind_an_answer_answers_no_request(behind: bytes) -> None:
+    """Guards the next request on that connection, and non-idempotent requests against a stray 'busy'."""
     for together in (True, False):
         harness = ServerActorHarness()
         attempt = harness.attempt()
@@ -57,7 +57,7 @@
         assert harness.writer.transport.closed and not harness.actor.pool.idle and harness.actor.pool.open_count == 0
 
 
-def test_a_busy_right_behind_an_answer_proves_nothing_for_a_write() -> None:
+def test_busy_right_behind_an_answer_does_not_prove_that_a_write_never_ran() -> None:
     for pause, result in ((49.0, AttemptResult.RESET), (50.0, AttemptResult.FULL)):
         harness = ServerActorHarness()
         attempt = harness.attempt()
@@ -68,7 +68,7 @@
         assert [m.result for m in harness.receive(b"SERVER_ERROR busy\r\n")] == [result]
 
 
-def test_an_answer_that_stops_short_is_given_up_when_it_is_looked_at_again() -> None:
+def test_a_partial_answer_is_given_up_on_the_second_read_timeout() -> None:
     harness = ServerActorHarness()
     attempt = harness.attempt()
     harness.deliver(messages.StartExchange(attempt))
@@ -83,8 +83,8 @@
     assert isinstance(ended, AttemptEnded) and ended.result == AttemptResult.RESET and harness.writer.transport.closed
 
 
-def test_a_connection_that_we_look_at_too_late_is_not_given_up() -> None:
-    """Guards a core that is too small: it would open them all again."""
+def test_a_connect_timeout_that_is_handled_late_is_extended() -> None:
+    """Guards an overloaded core, which would open all connections again."""
     harness = ServerActorHarness()
     attempt = harness.attempt()
     opener = harness.actor.opener
@@ -94,7 +94,7 @@
     assert [m.result for m in harness.deliver(messages.ConnectTimedOut(attempt, now))] == [AttemptResult.CONNECT_FAILED]
 
 
-def test_a_load_report_that_cannot_be_read_spoils_nothing_but_itself() -> None:
+def test_an_unreadable_load_report_is_ignored_and_its_answer_stands() -> None:
     for report in (b"Lutil=x,inflight=3", b"L\xff\xfe", b"Lutil=0.5", b"Linflight=99999999999,util=1"):
         harness = ServerActorHarness()
         attempt = harness.attempt()
@@ -103,7 +103,7 @@
         assert (ended.result, ended.cache_status, ended.load_report) == (AttemptResult.OK, CacheStatus.MISS, ())
 
 
-def test_connections_to_where_a_server_was_or_that_have_ended_are_not_used() -> None:
+def test_connections_to_an_old_address_or_that_have_ended_are_not_reused() -> None:
     """Guards a new server at an old address, and requests against a connection that is known to be over."""
     for spoil in ("moved", "ended"):
         harness = ServerActorHarness()
@@ -116,8 +116,8 @@
         assert attempt.pending and harness.actor.pool.open_count == 0
 
 
-def test_connections_are_not_used_after_an_idle_time_at_which_they_break() -> None:
-    """Guards against what drops idle connections early and silently: the next request on them is lost."""
+def test_connections_are_not_reused_after_idle_times_at_which_they_often_break() -> None:
+    """Guards against middleboxes that drop idle connections early and silently: the next request on them is lost."""
 
     def fresh() -> ServerActorHarness:
         harness = ServerActorHarness()
@@ -139,7 +139,7 @@
     assert fresh().actor.pool.acquire(True) is not None
 
 
-def test_a_break_after_the_write_may_have_run_and_an_idle_break_is_nobodys() -> None:
+def test_a_connection_lost_after_the_write_is_a_reset_and_an_idle_one_ends_no_attempt() -> None:
     harness = ServerActorHarness()
     attempt = harness.attempt(b"ms a 1 O1 Pc=put,d=500\r\nx\r\n")
     harness.deliver(messages.StartExchange(attempt))
@@ -151,8 +151,8 @@
 
 
 @pytest.mark.parametrize("spoil", ["unwanted", "over", "withdrawn", "late", "repeat", "drained"])
-def test_nothing_is_written_that_is_not_to_be_any_more(spoil: str) -> None:
-    """Guards the moment before a write: time passed since the module decided."""
+def test_a_request_that_must_not_run_any_more_is_not_written(spoil: str) -> None:
+    """Guards the moment before a write: time has passed since the router decided to send."""
     harness = ServerActorHarness()
     attempt = harness.attempt()
     if spoil == "unwanted":
@@ -162,9 +162,8 @@
     elif spoil == "withdrawn":
         attempt.request.cancelled = True
     elif spoil == "repeat":
-        attempt.write_deadline = (
-            harness.place.clock.time + 4.0
-        )  # it would come to the server when that has forgotten the first one
+        # It would reach the server after that has forgotten the first one's idempotency key.
+        attempt.write_deadline = harness.place.clock.time + 4.0
     elif spoil == "late":
         harness.place.clock.time += 401.0
     else:
@@ -173,7 +172,7 @@
     assert not harness.writer.transport.sent
 
 
-def test_giving_up_closes_the_connection_and_idle_ones_are_retired_early() -> None:
+def test_an_abandoned_attempt_closes_its_connection_and_idle_ones_are_closed_early() -> None:
     harness = ServerActorHarness()
     attempt = harness.attempt()
     harness.deliver(messages.StartExchange(attempt))
