--- a/tests/standins.py
+++ b/tests/standins.py
@@ -78,6 +78,12 @@
         self.other.close()
 
 
+async def settle() -> None:
+    """Let the event loop take some turns."""
+    for _ in range(12):
+        await asyncio.sleep(0)
+
+
 class ClientHarness:
     """A client's connection to a listener whose router is never run: tests answer the requests."""
 
@@ -98,8 +104,7 @@
 
     async def settle(self) -> list[Any]:
         """Let all tasks proceed; return the messages to the router."""
-        for _ in range(12):
-            await asyncio.sleep(0)
+        await settle()
         return list(self.router.mailbox.take())
 
 
