--- a/starlingthread/baselines/policies.py
+++ b/starlingthread/baselines/policies.py
@@ -1,6 +1,6 @@
-"""Reference policies behind the module's interface. Each replaces the choice of a server and nothing else.
+"""Baseline policies behind the decision module's interface: each replaces the choice of a server and nothing else.
 
-Rules, limits, retries and refusals are those of the module, so that a difference is one of the choice alone.
+Rules, limits, retries and rejections are those of the module, so that a difference is one of the choice alone.
 """
 
 from __future__ import annotations
@@ -15,135 +15,152 @@
 from ..net.discovery import ServerIds
 from ..policy import Balancer
 from ..policy.affinity import Affinity
-from ..policy.attempts import Attempts
-from ..policy.choice import Choice
-from ..policy.load import LoadEstimate
+from ..policy.attempt_gate import AttemptGate
+from ..policy.load_estimate import LoadEstimate
+from ..policy.server_choice import ServerChoice
 from ..state.fleet import Fleet
-from ..state.records import Key, RequestState, Server
+from ..state.records import KeyState, OwnerGroup, RequestState, Server
 
-BOUND = 1.25  # load of a server against the mean that bounded loads allow (Mirrokni, Thorup, Zadimoghaddam 2018)
+LOAD_BOUND = 1.25  # a server's load relative to the mean (Mirrokni, Thorup, Zadimoghaddam 2018)
 
 
-class AnyServer(Choice):
-    """A choice among the servers that may be asked now."""
+class BaselineChoice(ServerChoice):
+    """A choice among the servers that may be used now."""
 
-    def choose(self, now: float, tracked: RequestState, entry: Key | None) -> Server | None:
-        open_now = [
-            s
-            for s in self.fleet.ready
-            if s.outliers.ejected_until <= now
-            and s.endpoint.server not in tracked.failed_servers
-            and (s.cold_since <= 0 or self.attempts.is_warm_enough(now, s, tracked))
-        ]
-        tracked.hit_probability, tracked.owner_group = 1.0, -1
-        return self.pick(now, tracked, open_now) if open_now else None
+    def choose(self, now: float, state: RequestState, key_state: KeyState | None) -> Server | None:
+        """Return the server that the policy picks, None if none may be used now."""
+        usable = [server for server in self.fleet.ready if self._may_use(now, state, server)]
+        state.hit_probability = 1.0
+        state.owner_group = OwnerGroup.NONE
+        return self.pick(state, usable) if usable else None
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
-        """Choose one of them; there is one at least."""
+    def _may_use(self, now: float, state: RequestState, server: Server) -> bool:
+        if server.outliers.ejected_until > now or server.endpoint.server in state.failed_servers:
+            return False
+        return server.warming_since <= 0 or self.gate.allows_slow_start(now, server, state)
+
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return one of the servers, of which there is at least one."""
         raise NotImplementedError
 
-    def ranked(self, tracked: RequestState, servers: list[Server]) -> list[Server]:
-        """Return them in the order of the key's rendezvous hash."""
-        key = tracked.request.key or tracked.request.id
-        return sorted(servers, key=lambda s: mix(key ^ s.salt), reverse=True)
+    def ranked(self, state: RequestState, servers: list[Server]) -> list[Server]:
+        """Return the servers in the order of the key's rendezvous hash."""
+        key = state.request.key or state.request.id
+        return sorted(servers, key=lambda server: mix(key ^ server.salt), reverse=True)
 
 
-class Chance(AnyServer):
-    """Any."""
+class RandomChoice(BaselineChoice):
+    """A server drawn at random."""
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return one of the servers, each with the same probability."""
         return self.fleet.rng.choice(servers)
 
 
-class RoundRobin(AnyServer):
-    """One after another, from a place of its own."""
+class RoundRobin(BaselineChoice):
+    """One server after another, from a start that is this router's own."""
 
-    def __init__(self, affinity: Affinity, attempts: Attempts) -> None:
-        super().__init__(affinity, attempts)
-        self.turn = self.fleet.rng.randrange(1 << 16)
+    def __init__(self, affinity: Affinity, gate: AttemptGate) -> None:
+        super().__init__(affinity, gate)
+        self._turn = self.fleet.rng.randrange(1 << 16)
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
-        self.turn += 1
-        return servers[self.turn % len(servers)]
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return the next server."""
+        self._turn += 1
+        return servers[self._turn % len(servers)]
 
 
-class PlainHash(AnyServer):
+class RendezvousHash(BaselineChoice):
     """The key's first owner."""
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
-        return self.ranked(tracked, servers)[0]
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return the first server in the order of the key's hash."""
+        return self.ranked(state, servers)[0]
+
 
+class BoundedLoadHash(BaselineChoice):
+    """The first owner whose attempts in flight from this router are below a bound."""
 
-class BoundedHash(AnyServer):
-    """The first owner that has no more of this router's requests out than its bound."""
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return the first server below the bound, which one server at least always is."""
+        in_flight = sum(server.attempts_in_flight for server in servers)
+        bound = math.ceil(LOAD_BOUND * (in_flight + 1) / len(servers))
+        return next(server for server in self.ranked(state, servers) if server.attempts_in_flight < bound)
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
-        most = math.ceil(
-            BOUND * (sum(s.attempts_in_flight for s in servers) + 1) / len(servers)
-        )  # so one has room at any time
-        return next(s for s in self.ranked(tracked, servers) if s.attempts_in_flight < most)
 
+class TwoRandomChoices(BaselineChoice):
+    """Of two servers drawn at random, the one with fewer attempts in flight from this router."""
 
-class TwoChoices(AnyServer):
-    """Of two drawn at random the one with less out from this router."""
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return the less loaded of two servers."""
+        draw = self.fleet.rng.choice
+        return min(draw(servers), draw(servers), key=lambda server: server.attempts_in_flight)
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
-        return min(self.fleet.rng.choice(servers), self.fleet.rng.choice(servers), key=lambda s: s.attempts_in_flight)
 
+class TwoRandomReports(BaselineChoice):
+    """Of two servers drawn at random, the one whose last load report shows less load."""
 
-class TwoReported(AnyServer):
-    """Of two drawn at random the one whose last report tells less load."""
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return the less loaded of two servers."""
+        draw = self.fleet.rng.choice
+        return min(draw(servers), draw(servers), key=lambda server: server.load.report)
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
-        return min(self.fleet.rng.choice(servers), self.fleet.rng.choice(servers), key=lambda s: s.load.report)
 
+class LeastReported(BaselineChoice):
+    """The server whose last load report shows the least load.
 
-class LeastReported(AnyServer):
-    """The one whose last report tells least: with stale figures all routers go to the same one (Mitzenmacher 2000)."""
+    With stale reports all routers go to the same one (Mitzenmacher 2000).
+    """
 
-    def pick(self, now: float, tracked: RequestState, servers: list[Server]) -> Server:
-        return min(servers, key=lambda s: (s.load.report, s.endpoint.server))
+    def pick(self, state: RequestState, servers: list[Server]) -> Server:
+        """Return the server of the least load, by its number where loads are equal."""
+        return min(servers, key=lambda server: (server.load.report, server.endpoint.server))
 
 
 class OracleLoadEstimate(LoadEstimate):
-    """The module's own estimate, with the servers' true load in the place of what it makes of reports and answers."""
+    """The module's estimate with the servers' true load, published by the emulator, in place of reports and waits."""
 
     def __init__(self, fleet: Fleet) -> None:
         super().__init__(fleet)
         path = Path(os.environ[ORACLE_FILE_VARIABLE])
         with path.open("rb") as file:
-            self.cells = mmap.mmap(file.fileno(), 0, access=mmap.ACCESS_READ)
+            self._cells = mmap.mmap(file.fileno(), 0, access=mmap.ACCESS_READ)
         ids = ServerIds()
-        self.cell_of = {ids.assign(server_name(n)): n for n in range(len(self.cells) // LOAD_CELL.size)}
+        self._cell_of = {ids.assign(server_name(n)): n for n in range(len(self._cells) // LOAD_CELL.size)}
 
-    def _waiting(self, server: Server) -> float:
-        at = self.cell_of.get(server.endpoint.server)
-        load: float = LOAD_CELL.unpack_from(self.cells, at * LOAD_CELL.size)[0] if at is not None else 0.0
-        return load * self.mean_work
+    def _true_delay(self, server: Server) -> float:
+        cell = self._cell_of.get(server.endpoint.server)
+        if cell is None:
+            return 0.0
+        load: float = LOAD_CELL.unpack_from(self._cells, cell * LOAD_CELL.size)[0]
+        return load * self.mean_service_time
 
-    def load(self, now: float, server: Server, lag: float) -> float:
-        return self._waiting(server)
+    def queueing_delay(self, now: float, server: Server, expected_wait: float) -> float:
+        """Return the delay (ms) by all requests at a server."""
+        return self._true_delay(server)
 
-    def lag(self, now: float, server: Server) -> float:
-        return max(0.0, self._waiting(server) - self.mean_work)
+    def expected_wait(self, now: float, server: Server) -> float:
+        """Return the wait (ms) before a server begins with another request."""
+        return max(0.0, self._true_delay(server) - self.mean_service_time)
 
 
-def balancer_with(choice: type[Choice] = Choice, load: type[LoadEstimate] = LoadEstimate) -> type[Balancer]:
-    """Return the module with another choice, or another load estimate."""
+def balancer_with(choice: type[ServerChoice] = ServerChoice, load: type[LoadEstimate] = LoadEstimate) -> type[Balancer]:
+    """Return the decision module with another choice of a server, or another load estimate."""
 
-    class Other(Balancer):
-        choice_part, load_part = choice, load
+    class BaselineBalancer(Balancer):
+        server_choice_class = choice
+        load_estimate_class = load
 
-    return Other
+    return BaselineBalancer
 
 
 POLICIES: dict[str, type[Balancer]] = {
-    "random": balancer_with(Chance),
+    "random": balancer_with(RandomChoice),
     "round-robin": balancer_with(RoundRobin),
-    "hash": balancer_with(PlainHash),
-    "bounded-hash": balancer_with(BoundedHash),
-    "two-choices": balancer_with(TwoChoices),
-    "two-reported": balancer_with(TwoReported),
+    "hash": balancer_with(RendezvousHash),
+    "bounded-hash": balancer_with(BoundedLoadHash),
+    "two-choices": balancer_with(TwoRandomChoices),
+    "two-reported": balancer_with(TwoRandomReports),
     "least-reported": balancer_with(LeastReported),
     "truth": balancer_with(load=OracleLoadEstimate),
 }
--- /dev/null
+++ b/starlingthread/policy/attempt_gate.py
@@ -0,0 +1,154 @@
+"""The gate that every attempt passes on its way to a server, and the record of the attempts in flight."""
+
+from __future__ import annotations
+
+import math
+
+from ..actions import Send
+from ..balance.rendezvous import MASK, mix
+from ..events import NEVER_EXECUTED, AttemptResult, Outcome
+from ..limits.slow_start import MARGIN, WARM_LIFE, slow_start_rate, warm_share
+from ..settings import Idempotency
+from ..state.records import AttemptRecord, PossibleExecution, RequestState, Server
+from .load_estimate import LoadEstimate
+
+EJECTION_JITTER = (0.7, 1.3)  # range of the factor on an outlier's ejection time, so that routers differ
+
+
+class AttemptGate:
+    """Sends the attempts that the four rules allow, whatever the caller wants.
+
+    Rule 1: nothing is sent for a request that is over. Rule 2: nothing is executed twice that is not idempotent.
+    Rule 3: nothing is sent to a server that is draining, gone or in maintenance. Rule 4: a server that warms up gets
+    no more than its slow start allows.
+    """
+
+    def __init__(self, load: LoadEstimate) -> None:
+        self.fleet = load.fleet
+        self.load = load
+        self._warm_capacity = 0.0  # of all ready servers, in warm servers of the fastest kind
+        self._warm_capacity_at = -math.inf
+        self._warm_capacity_version = -1  # list version that it was computed for
+
+    def send(self, now: float, state: RequestState, server: Server) -> bool:
+        """Send an attempt to a server, or return False if a rule forbids it."""
+        if self._is_over(now, state):  # rule 1
+            return False
+        if server.unavailable or server.endpoint.server in self.fleet.in_maintenance:  # rule 3, none of the grace used
+            return False
+        if state.attempts_in_flight and not self._allows_concurrent_attempts(state):  # rule 2
+            return False
+        write_deadline = math.inf
+        if state.possible_execution and state.request_class.idempotency != Idempotency.IDEMPOTENT:
+            if not self._is_deduplicated(now, state, server, state.possible_execution):  # rule 2
+                return False
+            write_deadline = state.possible_execution.sent_at + state.request_class.idempotency_window
+        if server is not self.fleet.origin and not self.allows_slow_start(now, server, state):  # rule 4
+            return False
+        self._record(now, state, server)
+        self.fleet.actions.append(Send(state.request.id, server.endpoint.server, 0.0, write_deadline))
+        return True
+
+    def _is_over(self, now: float, state: RequestState) -> bool:
+        max_attempts = 1 if state.request.single_use else self.fleet.settings.max_attempts
+        return state.finished or state.streaming or state.deadline <= now or len(state.attempts) >= max_attempts
+
+    def _allows_concurrent_attempts(self, state: RequestState) -> bool:
+        idempotency = state.request_class.idempotency
+        return self.fleet.settings.hedging_allowed and idempotency != Idempotency.NOT_IDEMPOTENT
+
+    def _is_deduplicated(self, now: float, state: RequestState, server: Server, execution: PossibleExecution) -> bool:
+        """Return whether a server drops a repeat of what another one, or itself, may have executed."""
+        request_class = state.request_class
+        if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
+            return False
+        if now - execution.sent_at >= request_class.idempotency_window:
+            return False
+        if request_class.deduplication_scope == "all":
+            return True
+        executed_at = self.fleet.servers[execution.server].endpoint
+        if request_class.deduplication_scope == "zone":
+            return executed_at.zone == server.endpoint.zone
+        return executed_at.cell == server.endpoint.cell
+
+    def _record(self, now: float, state: RequestState, server: Server) -> None:
+        load = self.load
+        number = server.endpoint.server
+        expected_time = load.expected_service_time(state, server)
+        fetch_probability = load.origin_limit.on_sent(load.fetch_probability(state))
+        server.attempts_in_flight += 1
+        server.cost_in_flight += expected_time
+        state.attempts_in_flight += 1
+        state.attempts.append(AttemptRecord(number, now, expected_time, server.attempts_in_flight, fetch_probability))
+        if self.fleet.zones:
+            self.fleet.zones.on_sent(now, server.endpoint.zone, number)
+        server.slow_start.spend(load.relative_cost(state))
+        if state.possible_execution is None and state.request_class.idempotency == Idempotency.IDEMPOTENCY_KEY:
+            state.possible_execution = PossibleExecution(number, now, len(state.attempts) - 1)
+
+    def on_outcome(self, state: RequestState, event: Outcome) -> AttemptRecord | None:
+        """Remove an ended attempt from the record and return it; None if it is not in flight."""
+        if event.attempt >= len(state.attempts):
+            return None
+        attempt = state.attempts[event.attempt]
+        if attempt is None:
+            return None
+        state.attempts[event.attempt] = None
+        state.attempts_in_flight -= 1
+        server = self.fleet.servers[attempt.server]
+        server.cost_in_flight = max(0.0, server.cost_in_flight - attempt.expected_time)
+        server.attempts_in_flight = max(0, server.attempts_in_flight - 1)
+        self._update_possible_execution(state, event, attempt)
+        return attempt
+
+    def _update_possible_execution(self, state: RequestState, event: Outcome, attempt: AttemptRecord) -> None:
+        execution = state.possible_execution
+        if event.result not in NEVER_EXECUTED:
+            if execution is None:
+                state.possible_execution = PossibleExecution(attempt.server, attempt.sent_at, event.attempt)
+        # By its number: another attempt may have gone to the same server at the same time, and have been executed.
+        elif execution is not None and execution.attempt == event.attempt:
+            state.possible_execution = None
+
+    def on_failure(self, now: float, server: Server, result: AttemptResult, sent_at: float) -> None:
+        """Note a failure of a cache server for its ejection as an outlier."""
+        if server is not self.fleet.origin:
+            jitter = self.fleet.rng.uniform(*EJECTION_JITTER)
+            server.outliers.on_failure(now, sent_at, result == AttemptResult.CONNECT_FAILED, jitter)
+
+    def allows_slow_start(self, now: float, server: Server, state: RequestState) -> bool:
+        """Return whether a server is warm, or may have this request while it warms up.
+
+        It takes a share of the keys that grows with its capacity; all routers agree on which keys these are.
+        """
+        settings = self.fleet.settings
+        share = self._warm_share(now, server)
+        if share >= 1:
+            return True
+        share *= MARGIN
+        if not self._is_key_in_share(state, server, share):
+            return False
+        # Guards against retries, bursts and hot keys that meet at a server that warms up, in any window in which it
+        # could be overloaded.
+        speed = self.load.speed(server)
+        served_per_ms = self.load.served_rate.per_ms(now)
+        rate = slow_start_rate(share * speed, served_per_ms, self._warm_capacity_of_fleet(now), settings)
+        return server.slow_start.allows(now, rate, settings.overload_window, self.load.relative_cost(state))
+
+    def _is_key_in_share(self, state: RequestState, server: Server, share: float) -> bool:
+        key = state.request.key or state.request.id
+        # Hashed twice: a key's owners are the servers with the greatest of its hashes, and of those none would be
+        # under a share.
+        return mix(mix(key ^ server.salt) ^ server.salt) < share * MASK
+
+    def _warm_share(self, now: float, server: Server) -> float:
+        settings = self.fleet.settings
+        return warm_share(now, server.warming_since, settings.initial_capacity_share, settings.slow_start_duration)
+
+    def _warm_capacity_of_fleet(self, now: float) -> float:
+        version = self.fleet.list_version
+        if now - self._warm_capacity_at > WARM_LIFE or self._warm_capacity_version != version:
+            self._warm_capacity_at = now
+            self._warm_capacity_version = version
+            self._warm_capacity = sum(self.load.speed(s) * self._warm_share(now, s) for s in self.fleet.ready)
+        return self._warm_capacity
--- /dev/null
+++ b/starlingthread/policy/dispatch.py
@@ -0,0 +1,69 @@
+"""Takes the steps that routing decides: sends attempts, lets requests wait, and gives them up."""
+
+from __future__ import annotations
+
+from ..state.records import OwnerGroup, RequestState, Server
+from .affinity import Affinity
+from .attempt_gate import AttemptGate
+from .completion import Completion
+from .hedging import Hedging
+from .routing import FetchFromOrigin, GiveUp, NextStep, SendToCache, SendToOrigin, WaitForFetch, WaitForOrigin
+from .waiting import WaitingRequests
+
+MAX_FILLED_SERVERS = 2  # servers that missed and are taken to store the value that is fetched
+
+
+class Dispatcher:
+    """Carries out the next step of a request."""
+
+    def __init__(
+        self,
+        affinity: Affinity,
+        gate: AttemptGate,
+        hedging: Hedging,
+        completion: Completion,
+        waiting: WaitingRequests,
+    ) -> None:
+        self.affinity = affinity
+        self.gate = gate
+        self.hedging = hedging
+        self.completion = completion
+        self.waiting = waiting
+
+    def dispatch(self, now: float, state: RequestState, step: NextStep) -> None:
+        """Take a step; a request whose attempt the gate does not let pass is given up."""
+        match step:
+            case SendToCache():
+                self._send_to_cache(now, state, step)
+            case FetchFromOrigin():
+                self._fetch(now, state, step)
+            case SendToOrigin():
+                self._send(now, state, step.origin)
+            case WaitForFetch():
+                step.key_state.waiting.append(state)
+                self.waiting.add(state, step.until)
+            case WaitForOrigin():
+                self.waiting.add(state, step.until)
+            case GiveUp():
+                self.completion.give_up(now, state)
+
+    def _send(self, now: float, state: RequestState, server: Server) -> bool:
+        if self.gate.send(now, state, server):
+            return True
+        self.completion.give_up(now, state)
+        return False
+
+    def _send_to_cache(self, now: float, state: RequestState, step: SendToCache) -> None:
+        if not self._send(now, state, step.server):
+            return
+        self.hedging.watch(now, state, state.owner_group is OwnerGroup.NONE)
+        if step.key_state is not None:
+            self.affinity.count_request(now, step.key_state, step.server.endpoint.server)
+
+    def _fetch(self, now: float, state: RequestState, step: FetchFromOrigin) -> None:
+        key_state = step.key_state
+        if not self._send(now, state, step.origin) or key_state is None:
+            return
+        key_state.fetching_request = state.request.id
+        for number in state.missed_servers[:MAX_FILLED_SERVERS]:
+            self.affinity.count_hit(now, key_state, number)
--- /dev/null
+++ b/starlingthread/policy/hedging.py
@@ -0,0 +1,115 @@
+"""Hedged requests: a second attempt elsewhere for a first one that takes too long."""
+
+from __future__ import annotations
+
+import math
+from heapq import heappop, heappush
+from typing import NamedTuple
+
+from ..actions import SetTimer
+from ..events import AttemptResult
+from ..limits.hedging import HedgeBudget
+from ..settings import Idempotency
+from ..state.records import AttemptRecord, RequestState, Server
+from .admission import Admission
+from .server_choice import ServerChoice
+from .timers import CHECK_HEDGES, TIMER_TOLERANCE
+
+MAX_MEAN_WAIT = 0.4  # of the latency objective; where the servers' mean wait is longer, hedges only add to the load
+
+
+class HedgeCheck(NamedTuple):
+    """When to check whether a request's first attempt is still in flight; ordered by that clock time (ms)."""
+
+    due: float
+    request_id: int
+
+
+class Hedging:
+    """Checks slow first attempts and hedges those for which it pays."""
+
+    def __init__(self, choice: ServerChoice, admission: Admission) -> None:
+        self.choice = choice
+        self.gate = choice.gate
+        self.affinity = choice.affinity
+        self.fleet = choice.fleet
+        self.load = choice.load
+        self.shedder = admission.shedder
+        self.budget = HedgeBudget()
+        self._checks: list[HedgeCheck] = []  # a heap
+        self._timer_at = math.inf  # when the next check is due for which a timer is set
+
+    def watch(self, now: float, state: RequestState, is_counted: bool) -> None:
+        """Have a first attempt, at a server with a count for its key or without, checked before its deadline."""
+        if not self._may_hedge(state):
+            return
+        due = now + self.budget.on_first_attempt(state.request_class.latency_objective, is_counted)
+        if due < state.deadline:
+            heappush(self._checks, HedgeCheck(due, state.request.id))
+            self._set_timer()
+
+    def _may_hedge(self, state: RequestState) -> bool:
+        if not self.fleet.settings.hedging_allowed or len(state.attempts) > 1:
+            return False
+        return state.request_class.idempotency != Idempotency.NOT_IDEMPOTENT and not state.request.single_use
+
+    def _set_timer(self) -> None:
+        if self._checks and self._checks[0].due < self._timer_at:
+            self._timer_at = self._checks[0].due
+            self.fleet.actions.append(SetTimer(self._timer_at, CHECK_HEDGES))
+
+    def check(self, now: float) -> None:
+        """Check the first attempts that are due."""
+        if now < self._timer_at - TIMER_TOLERANCE:
+            return
+        self._timer_at = math.inf
+        while self._checks and self._checks[0].due <= now + TIMER_TOLERANCE:
+            state = self.fleet.requests.get(heappop(self._checks).request_id)
+            if state is None or state.finished or len(state.attempts) > 1:
+                continue
+            attempt = state.attempts[0]
+            if attempt is not None:
+                self._check_attempt(now, state, attempt)
+        self._set_timer()
+
+    def _check_attempt(self, now: float, state: RequestState, attempt: AttemptRecord) -> None:
+        server = self.fleet.servers[attempt.server]
+        outliers = server.outliers
+        if attempt.sent_at > outliers.last_answered_sent_at:  # else only this connection may be dead
+            self._note_silence(now, server, attempt)
+        state.is_loss_sample = outliers.last_response_at > attempt.sent_at
+        if self._is_worthwhile(now, state, server, attempt):
+            self._hedge(now, state, attempt)
+
+    def _note_silence(self, now: float, server: Server, attempt: AttemptRecord) -> None:
+        """Learn from a server that has answered nothing that was sent since."""
+        load = self.load
+        wait = max(load.expected_wait(now, server), now - attempt.sent_at)
+        load.wait_estimates.on_wait(now, server.load, wait, False)
+        self.gate.on_failure(now, server, AttemptResult.TIMEOUT, attempt.sent_at)
+        zones = self.fleet.zones
+        if zones and server.outliers.last_response_at < attempt.sent_at:
+            zones.on_no_response(now, server.endpoint.zone, attempt.server, attempt.sent_at)
+
+    def _is_worthwhile(self, now: float, state: RequestState, server: Server, attempt: AttemptRecord) -> bool:
+        load = self.load
+        draw = self.fleet.rng.random()
+        if self.shedder.share:
+            return False
+        if load.wait_estimates.mean_wait > MAX_MEAN_WAIT * state.request_class.latency_objective:
+            return False
+        usual_time = load.expected_service_time(state, server) + load.origin_throttle.typical_fetch_time
+        overdue = (now - attempt.sent_at) / usual_time
+        return self.budget.is_worthwhile(attempt.sent_at, server.outliers, state.hit_probability, overdue, draw)
+
+    def _hedge(self, now: float, state: RequestState, attempt: AttemptRecord) -> None:
+        """Send a second attempt to another server, if there is one."""
+        state.failed_servers.append(attempt.server)
+        key = state.request.key
+        key_state = self.affinity.key_state(now, key) if key else None
+        server = self.choice.choose(now, state, key_state)
+        if server is not None and self.gate.send(now, state, server):
+            self.budget.tokens -= 1
+            state.is_loss_sample = False
+        else:
+            state.failed_servers.remove(attempt.server)
--- /dev/null
+++ b/starlingthread/policy/load_estimate.py
@@ -0,0 +1,134 @@
+"""Estimates of service times, waits at servers and the origin's load, learned from outcomes and load reports."""
+
+from __future__ import annotations
+
+from ..balance.load import CORES, WaitEstimates
+from ..events import AttemptResult, CacheStatus, Outcome
+from ..limits.machine_speed import MachineSpeeds
+from ..limits.origin_limit import OriginLimit
+from ..limits.origin_throttle import OriginThrottle
+from ..limits.service_time import ServiceTime
+from ..limits.slow_start import ServedRate
+from ..state.fleet import Fleet
+from ..state.records import RequestState, Server
+
+FETCH_SHARE = 0.15  # of the latency objective: first estimate of an origin fetch's time
+LATE_FETCH = 0.9  # of the latency objective; a slower fetch is worth nothing: the origin is overloaded
+SERVICE_SHARE = 0.1  # of the latency objective: first estimate of a class's service time
+HALF_LIFE = 10000.0  # ms; half-life of counts: about as long as a cache keeps a value without requests
+MEAN_GAIN = 0.05  # weight of one request in the mean service time
+LIKELY = 0.5  # probability above which a hit is taken for granted
+FETCH_TIMEOUTS = 2.0  # typical fetch times after which an error is taken for the origin's
+FETCH_RESULTS = frozenset((AttemptResult.OK, AttemptResult.ERROR, AttemptResult.TIMEOUT))
+
+
+class LoadEstimate:
+    """What this router's own attempts, their outcomes and load reports show; times are ms."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self.fleet = fleet
+        self.wait_estimates = WaitEstimates()
+        self.machine_speeds = MachineSpeeds()
+        self.speed_version = 0  # counts changes of the machine speeds
+        self.origin_limit = OriginLimit()
+        classes = fleet.settings.classes
+        self.origin_throttle = OriginThrottle(min(c.latency_objective for c in classes) * FETCH_SHARE)
+        self.service_times: dict[str, ServiceTime] = {}  # by class name
+        self.apply_settings()
+        self.mean_service_time = self.service_times[classes[0].name].typical
+        self.served_rate = ServedRate(HALF_LIFE)
+
+    def apply_settings(self) -> None:
+        """Apply changed settings; service times learned for a class stay with its name."""
+        settings = self.fleet.settings
+        self.wait_estimates.set_report_fields(settings.load_report_fields)
+        learned = self.service_times
+        self.service_times = {
+            c.name: learned.get(c.name) or ServiceTime(c.latency_objective * SERVICE_SHARE) for c in settings.classes
+        }
+
+    def speed(self, server: Server) -> float:
+        """Return the speed of a server's kind of machine, relative to the fastest kind."""
+        return self.machine_speeds.speed(server.endpoint.kind)
+
+    def expected_service_time(self, state: RequestState, server: Server) -> float:
+        """Return the service time (ms) that a request should take at a server."""
+        return state.expected_cost / self.machine_speeds.speed(server.endpoint.kind)
+
+    def expected_wait(self, now: float, server: Server) -> float:
+        """Return the wait (ms) that recent outcomes of a server show."""
+        return self.wait_estimates.expected_wait(now, server.load)
+
+    def queueing_delay(self, now: float, server: Server, expected_wait: float) -> float:
+        """Return the delay (ms) by this router's attempts in flight, and by the other load that shows there."""
+        own_delay = server.cost_in_flight / server.concurrency.slots(CORES)
+        return own_delay + max(self.wait_estimates.reported_wait(now, server.load), expected_wait)
+
+    def time_limit(self, now: float, state: RequestState) -> float:
+        """Return the time (ms) within which an answer is of use; incident iddb886: full queues made all late."""
+        return min(state.deadline - now, state.request_class.latency_objective)
+
+    def relative_cost(self, state: RequestState) -> float:
+        """Return a request's cost in requests of mean cost, at least 1."""
+        return max(1.0, state.expected_cost / self.mean_service_time)
+
+    def fetch_probability(self, state: RequestState) -> float:
+        """Return the probability that the server chosen last has to ask the origin."""
+        if not self.fleet.read_through:
+            return 0.0
+        if state.request.is_write:
+            return 1.0
+        return 1.0 - state.hit_probability if state.request.key else 0.0
+
+    def on_load_report(self, now: float, server: Server, report: tuple[float, ...]) -> None:
+        """Learn from a server's load report; an empty one is ignored."""
+        self.wait_estimates.on_report(now, server.load, report, self.mean_service_time)
+
+    def on_attempt_ended(
+        self, now: float, state: RequestState, server: Server, event: Outcome, expected_time: float
+    ) -> bool:
+        """Learn the wait (ms) that an attempt met; return whether a fetch failed, so that nothing was stored."""
+        result = event.result
+        wait = event.elapsed - (expected_time if result == AttemptResult.OK else 0.0)
+        fetch_failed = self._is_failed_fetch(state, result, wait)
+        missed = fetch_failed or self._is_miss(state, event)
+        reached_origin = self.fleet.read_through and (state.request.is_write or missed)
+        if not reached_origin:
+            self._observe_server_wait(now, server, event, wait)
+        elif missed and result in FETCH_RESULTS:
+            in_time = LATE_FETCH * state.request_class.latency_objective
+            self.origin_throttle.observe(now, result == AttemptResult.OK, max(0.0, wait), in_time)
+        return fetch_failed and reached_origin
+
+    def _is_failed_fetch(self, state: RequestState, result: AttemptResult, wait: float) -> bool:
+        if result != AttemptResult.ERROR:
+            return False
+        return state.hit_probability < LIKELY or wait > FETCH_TIMEOUTS * self.origin_throttle.typical_fetch_time
+
+    def _is_miss(self, state: RequestState, event: Outcome) -> bool:
+        if event.cache_status in (CacheStatus.MISS, CacheStatus.FETCH_IN_FLIGHT):
+            return True
+        return event.result == AttemptResult.TIMEOUT and state.hit_probability < LIKELY
+
+    def _observe_server_wait(self, now: float, server: Server, event: Outcome, wait: float) -> None:
+        """Learn a wait at the server itself, not at the origin.
+
+        Where the server has answered what was sent later, a timeout shows a dead connection and not a queue.
+        """
+        sent_at = now - event.elapsed
+        outliers = server.outliers
+        timed_out = event.result == AttemptResult.TIMEOUT and sent_at > outliers.last_answered_sent_at
+        if event.result == AttemptResult.OK or timed_out:
+            counts_for_mean = server is not self.fleet.origin and outliers.last_response_at >= sent_at
+            self.wait_estimates.on_wait(now, server.load, wait, counts_for_mean)
+
+    def on_served(self, now: float, state: RequestState, server: Server, event: Outcome) -> None:
+        """Learn the service time of a successful attempt."""
+        hint = state.request.cost_hint
+        if service_time := self.service_times.get(state.request_class.name):
+            if event.cache_status == CacheStatus.HIT:
+                relative_time = event.elapsed / service_time.expected(hint)
+                self.speed_version += self.machine_speeds.observe(server.endpoint.kind, relative_time)
+            service_time.observe(hint, event.elapsed * self.speed(server))
+        self.served_rate.record(now)
+        self.mean_service_time += (state.expected_cost - self.mean_service_time) * MEAN_GAIN
--- a/starlingthread/router_process/control.py
+++ b/starlingthread/router_process/control.py
@@ -27,9 +27,9 @@
     def snapshot(self) -> dict[str, object]:
         """Return the telemetry, as it is sent to operators in JSON."""
         router = self._actors.router
-        avoided = len(router.balancer.avoided(router.clock.now()))
+        excluded = len(router.balancer.excluded_servers(router.clock.now()))
         return {
-            **router.telemetry.snapshot(self._actors.discovery.endpoint_count, avoided),
+            **router.telemetry.snapshot(self._actors.discovery.endpoint_count, excluded),
             **self._actors.members.snapshot(),
             **self._actors.failover.snapshot(),
         }
--- a/starlingthread/state/__init__.py
+++ b/starlingthread/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the decision module knows: no I/O, no clock, no choice. Times are ms."""
+"""What the decision module knows: servers, keys and open requests. No I/O, no clock, no decisions; times are ms."""
--- a/starlingthread/state/fleet.py
+++ b/starlingthread/state/fleet.py
@@ -1,6 +1,6 @@
-"""The settings, the servers as lists and operators tell of them, the open requests, the actions to take.
+"""State that all parts of the decision module share: settings, servers, open requests and pending actions.
 
-What of it is left alone, asked or refused is decided in starlingthread/policy/.
+Which server is used or avoided and which request is rejected is decided in starlingthread/policy/.
 """
 
 from __future__ import annotations
@@ -11,67 +11,85 @@
 
 from ..actions import Action
 from ..balance.popularity import FleetDemand
-from ..events import EndpointList, EndpointListKind, Maintenance, ServerState
+from ..events import Endpoint, EndpointList, EndpointListKind, Maintenance, ServerState
 from ..limits.outliers import OutlierDetector
 from ..limits.slow_start import SlowStartBudget, first_tokens
 from ..settings import Settings
 from .records import RequestState, Server
 
-if TYPE_CHECKING:  # else only once it is on
+if TYPE_CHECKING:  # imported at run time only where failover is turned on
     from ..failover.zones import ZoneFailover
 
+RETAINED_LIFETIMES = 3  # a removed server is forgotten after this many of the longest lifetime of a request
+
 
 class Fleet:
-    """Which servers there are, what of them and of requests is open, and what is to be done."""
+    """The servers, the open requests, and the actions that the present event calls for."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Begin with no servers; raise ValueError on invalid settings."""
         self.rng = Random(seed)
-        self.requests: dict[int, RequestState] = {}  # requests by their ids
-        self.actions: list[Action] = []  # actions that this event calls for
+        self.requests: dict[int, RequestState] = {}  # by request id
+        self.actions: list[Action] = []
         self.apply_settings(settings)
-        self.servers: dict[int, Server] = {}
-        self.ready: list[Server] = []  # the cache servers that the list calls ready
+        self.servers: dict[int, Server] = {}  # by server number
+        self.ready: list[Server] = []  # cache servers that are listed as ready and not in maintenance
         self.origin: Server | None = None
-        self.in_maintenance: set[int] = set()  # servers that operators leave out
-        self.list_version, self.demand = 0, FleetDemand()
-        self.zones: ZoneFailover | None = None  # which zones are left alone; None: the operator's file has that off
+        self.in_maintenance: set[int] = set()
+        self.list_version = 0  # counts changes of the ready servers
+        self.demand = FleetDemand()
+        self.zones: ZoneFailover | None = None  # health of the zones; None: failover is turned off
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take in settings, the first or new ones; bad ones raise and change nothing."""
-        self.settings, classes = settings.validated(), settings.classes
-        self.read_through = settings.mode == "through"  # servers fetch what they lack
+        """Replace the settings; invalid ones raise ValueError and change nothing."""
+        self.settings = settings.validated()
+        classes = settings.classes
+        self.read_through = settings.mode == "through"  # servers fetch from the origin what they lack
         self.min_priority_weight = max(1e-6, min(c.priority_weight for c in classes))
-        self.retention = 3 * max(c.deadline + c.idempotency_window for c in classes)
+        self.retention = RETAINED_LIFETIMES * max(c.deadline + c.idempotency_window for c in classes)  # ms
 
     def apply_endpoint_list(self, now: float, event: EndpointList) -> None:
-        """Take in a list, whole or changes to it."""
+        """Apply a complete endpoint list, or the changes to the last one."""
         if event.kind != EndpointListKind.DELTA:
-            named = {m.server for m in event.endpoints}
-            for number, server in self.servers.items():
-                server.unavailable = server.unavailable or number not in named
-        for line in event.endpoints:
-            old = self.servers.get(line.server)
-            if old is None or old.endpoint.started != line.started:
-                since = max(line.started, old.cold_since if old else 0.0)
-                self.servers[line.server] = fresh = Server(line, self._first_tokens(), since)
-                fresh.cost_in_flight, fresh.attempts_in_flight = (
-                    (old.cost_in_flight, old.attempts_in_flight) if old else (0.0, 0)
-                )
-            else:
-                old.endpoint, old.unavailable = line, line.state != ServerState.READY
+            self._mark_unlisted(event)
+        for endpoint in event.endpoints:
+            self._apply_endpoint(endpoint)
+        self._forget_removed(now)
+        self.classify_servers()
+
+    def _mark_unlisted(self, event: EndpointList) -> None:
+        listed = {endpoint.server for endpoint in event.endpoints}
+        for number, server in self.servers.items():
+            server.unavailable = server.unavailable or number not in listed
+
+    def _apply_endpoint(self, endpoint: Endpoint) -> None:
+        known = self.servers.get(endpoint.server)
+        if known is not None and known.endpoint.started == endpoint.started:
+            known.endpoint = endpoint
+            known.unavailable = endpoint.state != ServerState.READY
+            return
+        warming_since = max(endpoint.started, known.warming_since if known else 0.0)
+        server = Server(endpoint, self._first_tokens(), warming_since)
+        if known is not None:
+            server.cost_in_flight = known.cost_in_flight
+            server.attempts_in_flight = known.attempts_in_flight
+        self.servers[endpoint.server] = server
+
+    def _forget_removed(self, now: float) -> None:
+        """Drop servers that were unavailable for so long that no attempt can be in flight; bounds memory."""
         for number, server in list(self.servers.items()):
-            # Forget those that were shut for so long that no attempt there can be out. Guards memory.
             server.unavailable_since = min(server.unavailable_since, now) if server.unavailable else math.inf
             if now - server.unavailable_since > self.retention and number not in self.in_maintenance:
                 del self.servers[number]
-        self.classify_servers()
 
     def _first_tokens(self) -> float:
         return first_tokens(self.rng.random(), self.settings.router_count)
 
     def classify_servers(self) -> None:
-        """Tell anew which servers are ready."""
-        self.ready, self.origin, self.list_version = [], None, self.list_version + 1
+        """Determine anew the origin and the ready cache servers."""
+        self.ready = []
+        self.origin = None
+        self.list_version += 1
         for server in self.servers.values():
             if self.settings.mode == "aside" and server.endpoint.kind == self.settings.origin_kind:
                 self.origin = server if not server.unavailable else self.origin
@@ -79,17 +97,17 @@
                 self.ready.append(server)
         if self.zones:
             self.zones.set_servers((s.endpoint.zone, s.endpoint.server) for s in self.ready)
-        self.demand.set_fleet_size(
-            self.settings.router_count, len(self.ready), len({s.endpoint.zone for s in self.ready})
-        )
+        zone_count = len({s.endpoint.zone for s in self.ready})
+        self.demand.set_fleet_size(self.settings.router_count, len(self.ready), zone_count)
 
     def set_maintenance(self, now: float, event: Maintenance) -> None:
-        """Leave a server out, or take it back: for all we know yet it was started anew a moment ago."""
+        """Take a server out of service, or back into it; it may have been restarted meanwhile, so it warms up."""
         if event.in_maintenance:
             self.in_maintenance.add(event.server)
         elif event.server in self.in_maintenance:
             self.in_maintenance.remove(event.server)
             if server := self.servers.get(event.server):
-                server.cold_since, server.outliers = now, OutlierDetector()
+                server.warming_since = now
+                server.outliers = OutlierDetector()
                 server.slow_start = SlowStartBudget(self._first_tokens())
         self.classify_servers()
--- a/starlingthread/state/records.py
+++ b/starlingthread/state/records.py
@@ -1,8 +1,10 @@
-"""What is known of a server, a key and a request."""
+"""Records of what is known of a server, a key, a request and an attempt. Times are clock times in ms."""
 
 from __future__ import annotations
 
 import math
+from enum import IntEnum
+from typing import NamedTuple
 
 from ..balance.key import KeyOwners
 from ..balance.load import ServerLoad
@@ -14,87 +16,124 @@
 from ..settings import RequestClass
 
 
+class OwnerGroup(IntEnum):
+    """The group of owners for which a server was chosen that has no affinity count for the key yet."""
+
+    NONE = -1  # it has a count, or is no owner
+    FLEET = 0  # an owner among all servers
+    ZONE = 1  # an owner among the servers of this router's zone
+
+
+class AttemptRecord(NamedTuple):
+    """An attempt in flight."""
+
+    server: int
+    sent_at: float
+    expected_time: float  # ms of service time expected at that server
+    in_flight_at_server: int  # this router's attempts in flight there, this one included, as it was sent
+    fetch_probability: float  # that the server has to fetch the value from the origin
+
+
+class PossibleExecution(NamedTuple):
+    """The first attempt of a request that the server may have executed."""
+
+    server: int
+    sent_at: float
+    attempt: int
+
+
+class AffinityCount(NamedTuple):
+    """How often this router sent a key to one server lately."""
+
+    request_count: float  # decayed up to updated_at
+    updated_at: float
+    hit_bias: float  # from observed hits and misses: -1 (missed lately) to 1 (hit lately)
+
+
 class Server:
-    """What this balancer knows of one server."""
+    """What this router knows of one server."""
 
     __slots__ = (
-        "slow_start",
+        "attempts_in_flight",
         "concurrency",
+        "cost_in_flight",
         "endpoint",
-        "attempts_in_flight",
+        "load",
         "outliers",
         "salt",
-        "load",
-        "unavailable_since",
-        "cold_since",
-        "cost_in_flight",
+        "slow_start",
         "unavailable",
+        "unavailable_since",
+        "warming_since",
     )
 
-    def __init__(self, line: Endpoint, tokens: float, since: float) -> None:
-        self.endpoint, self.cold_since = line, since  # since: when it was as cold as at its start; 0: long ago
-        self.slow_start = SlowStartBudget(tokens)  # while it is cold
-        self.unavailable = line.state != ServerState.READY
-        self.cost_in_flight, self.attempts_in_flight = 0.0, 0  # cost and number of our attempts that are out
-        self.concurrency, self.load, self.outliers = ConcurrencyLimit(), ServerLoad(), OutlierDetector()
-        self.unavailable_since = math.inf  # when we were told that it drains or is gone
-        self.salt = mix(line.server + 1)
+    def __init__(self, endpoint: Endpoint, tokens: float, warming_since: float) -> None:
+        """Begin with a server that was as empty as at its start at warming_since (0: long ago)."""
+        self.endpoint = endpoint
+        self.warming_since = warming_since
+        self.slow_start = SlowStartBudget(tokens)
+        self.unavailable = endpoint.state != ServerState.READY
+        self.unavailable_since = math.inf  # when the endpoint list first called it draining or gone
+        self.attempts_in_flight = 0
+        self.cost_in_flight = 0.0  # ms of service time expected for all attempts in flight
+        self.concurrency = ConcurrencyLimit()
+        self.load = ServerLoad()
+        self.outliers = OutlierDetector()
+        self.salt = mix(endpoint.server + 1)
 
 
-class Key:
-    """Our counts of one key: per server the count, when it was last decayed, and the nudge of the chance."""
+class KeyState:
+    """What this router knows of one key."""
 
     __slots__ = ("counts", "fetching_request", "owners", "used_at", "waiting")
 
     def __init__(self) -> None:
-        self.used_at, self.owners = math.inf, KeyOwners()
-        self.counts: dict[int, tuple[float, float, float]] = {}
-        self.fetching_request = 0  # the request whose fetch from the origin is out
-        self.waiting: list[RequestState] = []
+        self.used_at = math.inf
+        self.owners = KeyOwners()
+        self.counts: dict[int, AffinityCount] = {}  # by server
+        self.fetching_request = 0  # id of the request whose fetch from the origin is in flight
+        self.waiting: list[RequestState] = []  # requests that wait for that fetch
 
 
 class RequestState:
-    """A request that is owed an answer, or whose attempts are still out."""
+    """A request that is owed an answer, or whose attempts are still in flight."""
 
     __slots__ = (
-        "request",
-        "request_class",
-        "hit_probability",
-        "deadline",
-        "last_failed_server",
-        "expected_cost",
         "attempts",
         "attempts_in_flight",
-        "may_have_run_at",
-        "may_have_run_attempt",
-        "may_have_run_on",
-        "missed_servers",
-        "finished",
+        "deadline",
+        "expected_cost",
         "failed_servers",
-        "checked_for_hedge",
-        "streaming",
+        "finished",
+        "hit_probability",
+        "is_loss_sample",
+        "last_failed_server",
+        "missed_servers",
+        "origin_waits",
         "owner_group",
+        "possible_execution",
+        "request",
+        "request_class",
         "resume_at",
-        "origin_waits",
+        "streaming",
     )
 
-    def __init__(self, req: Request, cls: RequestClass, now: float, cost: float) -> None:
-        self.request, self.request_class, self.expected_cost, self.deadline = req, cls, cost, now + req.budget
-        # Server, sent at, cost there, its number among those out there, chance of a fetch; None: over.
-        self.attempts: list[tuple[int, float, float, int, float] | None] = []
+    def __init__(self, request: Request, request_class: RequestClass, now: float, expected_cost: float) -> None:
+        """Begin with a request that comes in now and takes expected_cost ms at the fastest kind of server."""
+        self.request = request
+        self.request_class = request_class
+        self.expected_cost = expected_cost
+        self.deadline = now + request.budget
+        self.finished = False
+        self.streaming = False  # its answer has begun to reach the client
+        self.attempts: list[AttemptRecord | None] = []  # None: ended
         self.attempts_in_flight = 0
-        self.may_have_run_at, self.may_have_run_on, self.may_have_run_attempt = (
-            -1.0,
-            0,
-            -1,
-        )  # the first attempt that may have run
-        self.finished = self.streaming = self.checked_for_hedge = False  # looked at: it may be on a dead connection
-        self.missed_servers: list[int] = []
-        self.failed_servers: list[int] = []  # servers that failed this request
-        self.last_failed_server = -1  # the server that failed it last, and may be asked once more
+        self.possible_execution: PossibleExecution | None = None
+        self.missed_servers: list[int] = []  # servers that answered with a miss
+        self.failed_servers: list[int] = []  # servers that are not tried again
+        self.last_failed_server = -1  # the server of the last failed attempt, which may be tried once more
         self.hit_probability = 1.0  # that the server chosen last has the key cached
-        self.resume_at, self.origin_waits = (
-            0.0,
-            0,
-        )  # when a held request goes on, and how often it waited for the origin
-        self.owner_group = -1  # the last attempt went to an uncounted owner: 0 of the fleet's, 1 of our zone's
+        self.owner_group = OwnerGroup.NONE  # of the server chosen last
+        self.is_loss_sample = False  # its outcome shows whether slow requests are lost or late
+        self.resume_at = 0.0  # when it is routed again, while it waits
+        self.origin_waits = 0  # times that it waited for a full origin
--- a/tests/test_refusal.py
+++ b/tests/test_admission.py
@@ -77,7 +77,7 @@
 def test_fetches_are_spared_an_origin_that_fails_and_what_is_cached_is_served_on() -> None:
     """Guards against a jam at the origin that keeps the servers' places from what they have cached."""
     world = World(THROUGH)
-    world.balancer.affinity.prior = [0.1, 0.1]
+    world.balancer.affinity.prior_hit_probability = [0.1, 0.1]
     for _ in range(20):
         world.read(7)
     fetch_many(world, 40, AttemptResult.OK)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -130,6 +130,6 @@
     """Each that has figures of its own names owners of its own, and each such owner is one more copy to fetch."""
     fleet = Fleet()
     fleet.play(15000.0)
-    assert all(router.load.speeds.speed(0) > 0.9 for router in fleet.routers)
-    speeds = sorted(router.load.speeds.speed(1) for router in fleet.routers)
+    assert all(router.load.machine_speeds.speed(0) > 0.9 for router in fleet.routers)
+    speeds = sorted(router.load.machine_speeds.speed(1) for router in fleet.routers)
     assert speeds[35] / speeds[4] < 1.5 and 0.6 < speeds[ROUTERS // 2] < 0.75
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -36,6 +36,7 @@
     "math",
     "random",
     "collections",
+    "enum",
     "heapq",
     "typing",
     "actions",
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -52,7 +52,7 @@
     assert chosen(world) == {1, 2, 3, 4}
     world.do(Maintenance(2, True))
     world.do(Maintenance(2, True))  # the call may come twice
-    assert chosen(world) == {1, 3, 4} and world.balancer.avoided(world.now) == [2]
+    assert chosen(world) == {1, 3, 4} and world.balancer.excluded_servers(world.now) == [2]
     lines = tuple(m for m in members() if m.kind != 3)
     world.do(EndpointList(EndpointListKind.FULL, 2, lines))
     world.do(EndpointList(EndpointListKind.DELTA, 3, (lines[1]._replace(started=world.now - 50.0),)))
@@ -64,7 +64,7 @@
     world.do(Maintenance(2, False))
     world.do(Maintenance(2, False))
     world.pass_time(3000.0)
-    assert 2 in chosen(world) and world.balancer.avoided(world.now) == []
+    assert 2 in chosen(world) and world.balancer.excluded_servers(world.now) == []
 
 
 def test_retries_and_second_copies_keep_away_too() -> None:
@@ -95,7 +95,7 @@
     world.pass_time(2000.0)
     world.do(Maintenance(2, False))
     server = world.balancer.fleet.servers[2]
-    assert server.cold_since == world.now and server.endpoint.started == 0.0
+    assert server.warming_since == world.now and server.endpoint.started == 0.0
     began, few = world.now, 0
     for key in range(1, 201):
         send = only_send(world.ask(key=key))
@@ -104,7 +104,7 @@
         world.end(send, AttemptResult.OK)
     assert 0 < few < 35  # a quarter would be 50; it starts at 0.3 of its capacity, and is at 0.5 by now
     world.do(EndpointList(EndpointListKind.DELTA, 9, (server.endpoint._replace(started=began - 500.0),)))
-    assert world.balancer.fleet.servers[2].cold_since == began  # never taken for warmer than it may be
+    assert world.balancer.fleet.servers[2].warming_since == began  # never taken for warmer than it may be
     world.pass_time(8001.0)
     assert chosen(world) == {1, 2, 3, 4}
 
@@ -262,9 +262,12 @@
 
 def test_what_was_learned_of_a_class_that_stays_is_kept() -> None:
     world = World(THROUGH)
-    world.balancer.load.work["unsafe"].typical = 77.0
+    world.balancer.load.service_times["unsafe"].typical = 77.0
     world.do(SettingsChanged(FEWER))
-    assert {name: work.typical for name, work in world.balancer.load.work.items()} == {"unsafe": 77.0, "read-2": 50.0}
+    assert {name: work.typical for name, work in world.balancer.load.service_times.items()} == {
+        "unsafe": 77.0,
+        "read-2": 50.0,
+    }
 
 
 def test_a_class_that_vanished_is_an_error_and_a_new_one_is_served() -> None:
--- a/tests/test_origin_limit.py
+++ b/tests/test_origin_limit.py
@@ -128,7 +128,7 @@
         for send in sends(world.ask(7, IDEMPOTENCY_KEY)):
             world.now += 500.0
             world.end(send, AttemptResult.ERROR, elapsed=400.0)
-    limit = world.balancer.load.fetches.limit
+    limit = world.balancer.load.origin_limit.limit
     assert limit.limit < 0.3 and sum(bool(sends(world.ask(8, IDEMPOTENCY_KEY))) for _ in range(100)) < 40
     limit.limit = 2.0
     assert len(sends(world.ask(8, IDEMPOTENCY_KEY))) == 1 and not sends(
@@ -142,7 +142,8 @@
     for _ in range(6):
         world.finish(only_send(world.ask(7)), 30.0)  # key 7 is cached now
     (server,) = world.balancer.fleet.servers.values()
-    server.concurrency.limit, world.balancer.affinity.prior = 8.5, [0.0, 0.0]  # what is not counted is a fetch
+    server.concurrency.limit = 8.5
+    world.balancer.affinity.prior_hit_probability = [0.0, 0.0]  # what is not counted is a fetch
     for key in range(100, 105):
         assert sends(world.ask(key))  # free slots for all: fetches are sent as well
     assert sends(world.ask(105))
@@ -153,5 +154,5 @@
     server.attempts_in_flight -= 3  # some end and free their slots
     assert not sends(world.ask(200)) and sends(world.ask(7))
     for _ in range(300):
-        world.balancer.refusal.reserve.observe(False)
+        world.balancer.admission.trunk_reservation.observe(False)
     assert sends(world.ask(200))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,6 +6,7 @@
 
 from starlingthread.actions import Fail
 from starlingthread.events import AttemptResult, RequestCancelled
+from starlingthread.state.records import AffinityCount
 
 from .world import COPIES, IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, only_send, sends, warmed_up
 
@@ -69,8 +70,8 @@
     """On churn+long of the second site a tenth of all got no answer for 15 s, and a fifth was refused for that."""
     world = World(COPIES)
     warmed_up(world)
-    hedging, fetches = world.balancer.retries.hedging, world.balancer.load.fetches
-    hedging.lost_share, world.balancer.affinity.prior = dead, [0.0, 0.0]
+    hedging, fetches = world.balancer.hedging.budget, world.balancer.load.origin_limit
+    hedging.lost_share, world.balancer.affinity.prior_hit_probability = dead, [0.0, 0.0]
     for key in range(100, 140):
         hedging.tokens = 0.0
         if not (sent := sends(world.ask(key))):
@@ -79,7 +80,7 @@
         world.now += 10.0
         while world.read(7) != first.server:
             world.now += 1.0
-            world.balancer.affinity.keys[7].counts = {first.server: (50.0, world.now, 1.0)}
+            world.balancer.affinity.keys[7].counts = {first.server: AffinityCount(50.0, world.now, 1.0)}
         world.now += 900.0
         world.end(first, AttemptResult.TIMEOUT, elapsed=990.0)
     assert fetches.limit.is_learned == (dead == 0.0)
@@ -101,7 +102,7 @@
     assert 0 < copies <= 0.04 * (len(asked) + 41) + 1
     slow = World(COPIES)
     warmed_up(slow)
-    slow.balancer.load.views.mean_wait = 300.0
+    slow.balancer.load.wait_estimates.mean_wait = 300.0
     slow.ask(7)
     assert not sends(slow.pass_time(400.0))
 
@@ -132,7 +133,10 @@
 def test_a_fetch_that_failed_is_not_tried_again() -> None:
     """Guards a jammed origin against retries, and our counts against what was never stored."""
     world = World(THROUGH)
-    world.balancer.affinity.prior = [0.1, 0.1]
+    world.balancer.affinity.prior_hit_probability = [0.1, 0.1]
     first = only_send(world.ask(9))
     assert len(answers(world.end(first, AttemptResult.ERROR, elapsed=200.0))) == 1
-    assert world.balancer.affinity.keys[9].counts[first.server][0] < 0.1 and min(world.balancer.affinity.prior) < 0.1
+    assert (
+        world.balancer.affinity.keys[9].counts[first.server].request_count < 0.1
+        and min(world.balancer.affinity.prior_hit_probability) < 0.1
+    )
--- a/tests/test_service_time.py
+++ b/tests/test_service_time.py
@@ -56,5 +56,5 @@
         send = only_send(world.do(Request(key, READ, 1000.0, key=key, cost_hint=hint)))
         world.now += 80.0
         world.finish(send, 80.0)
-    tracked_cost = world.balancer.load.work["read"].expected(hint)
+    tracked_cost = world.balancer.load.service_times["read"].expected(hint)
     assert tracked_cost == pytest.approx(80.0, rel=0.1)
