--- a/starlingthread/actions.py
+++ b/starlingthread/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision module calls for. Times are in milliseconds; equal actions compare equal."""
+"""The actions that the decision module returns. Times are in milliseconds; equal actions compare equal."""
 
 from __future__ import annotations
 
@@ -12,20 +12,18 @@
     id: int
     server: int
     timeout: float = 0.0  # 0: until the client gives up
-    write_deadline: float = (
-        math.inf
-    )  # clock time from which on it must not be written any more, as a repeat would run again
+    write_deadline: float = math.inf  # clock time from which on it must not be written: a repeat would be executed
 
 
 class Reject(NamedTuple):
-    """Action: final answer, turned away; the client may safely try again."""
+    """Action: final answer, rejected; the client may safely retry."""
 
     id: int
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # ms
 
 
 class Fail(NamedTuple):
-    """Action: final answer, failed; nothing is promised."""
+    """Action: final answer, failed; the request may have been executed or not."""
 
     id: int
 
@@ -38,14 +36,14 @@
 
 
 class SetTimer(NamedTuple):
-    """Action: ask for a Timer event at a clock time."""
+    """Action: request a Timer event at a clock time."""
 
     at: float
     label: int
 
 
 class HealthCheck(NamedTuple):
-    """Action: look at a server."""
+    """Action: check the health of a server."""
 
     server: int
 
@@ -57,26 +55,26 @@
 
 
 class SendToPeer(NamedTuple):
-    """Action: a message to one balancer, or to all (peer None)."""
+    """Action: send a message to one router, or to all (peer None)."""
 
     peer: int | None
     payload: bytes
 
 
 class Log(NamedTuple):
-    """Action: a line for the operators."""
+    """Action: log a line for the operators."""
 
     text: str
 
 
 class WatchEndpoints(NamedTuple):
-    """Action: subscribe to list changes, or stop."""
+    """Action: subscribe to changes of the endpoint list, or unsubscribe."""
 
     active: bool
 
 
 class FetchEndpoints(NamedTuple):
-    """Action: ask for the whole list once."""
+    """Action: request the complete endpoint list once."""
 
 
 Action: TypeAlias = (
--- a/starlingthread/baselines/policies.py
+++ b/starlingthread/baselines/policies.py
@@ -19,7 +19,7 @@
 from ..policy.load_estimate import LoadEstimate
 from ..policy.server_choice import ServerChoice
 from ..state.fleet import Fleet
-from ..state.records import KeyState, OwnerGroup, RequestState, Server
+from ..state.records import KeyState, RequestState, Server
 
 LOAD_BOUND = 1.25  # a server's load relative to the mean (Mirrokni, Thorup, Zadimoghaddam 2018)
 
@@ -31,7 +31,7 @@
         """Return the server that the policy picks, None if none may be used now."""
         usable = [server for server in self.fleet.ready if self._may_use(now, state, server)]
         state.hit_probability = 1.0
-        state.owner_group = OwnerGroup.NONE
+        state.owner_group = None
         return self.pick(state, usable) if usable else None
 
     def _may_use(self, now: float, state: RequestState, server: Server) -> bool:
--- a/starlingthread/events.py
+++ b/starlingthread/events.py
@@ -1,4 +1,4 @@
-"""The events that the decision module takes in. Times are in milliseconds; equal events compare equal."""
+"""The events that the decision module handles. Times are in milliseconds; equal events compare equal."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ServerState(IntEnum):
-    """What the list says of a server."""
+    """The state of a server in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -17,16 +17,16 @@
 
 
 class EndpointListKind(IntEnum):
-    """What a list event holds."""
+    """What an EndpointList event holds."""
 
-    CACHED = 1
-    FAILED = 2
+    CACHED = 1  # a complete list from an earlier run
+    FAILED = 2  # no list: discovery failed
     FULL = 3
     DELTA = 4
 
 
 class AttemptResult(IntEnum):
-    """How an attempt ended. FULL, CONNECT_FAILED, MOOT and MISS prove that it never ran."""
+    """How an attempt ended; NEVER_EXECUTED holds the results that prove that the server did not execute it."""
 
     OK = 1
     ERROR = 2
@@ -45,7 +45,7 @@
 
 
 class CacheStatus(IntEnum):
-    """What a server told about the key in its answer."""
+    """What a server's answer says of the key."""
 
     NONE = 0
     HIT = 1
@@ -54,7 +54,7 @@
 
 
 class Endpoint(NamedTuple):
-    """A line of the server list."""
+    """An entry of the endpoint list."""
 
     server: int
     zone: int = 0
@@ -66,7 +66,7 @@
 
 
 class EndpointList(NamedTuple):
-    """Event: the server list, or changes to it."""
+    """Event: the endpoint list, or changes to it."""
 
     kind: EndpointListKind
     version: int
@@ -74,19 +74,19 @@
 
 
 class Request(NamedTuple):
-    """Event: a client's request has come in; it is owed one final answer."""
+    """Event: a client's request has come in; it must get one final answer."""
 
     id: int
     class_index: int
-    budget: float
+    budget: float  # ms until its client gives up
     key: int = 0
     tenant: int = 0
-    cost_hint: float = 0.0  # a guess at the work, in a unit that is not told; 0: no hint
+    cost_hint: float = 0.0  # the client's estimate of the work, in an unknown unit; 0: no hint
     size: float = 0.0
     is_retry: bool = False
     is_write: bool = False
-    single_use: bool = False  # its value is not held whole, so it can be sent once only
-    queue_time: float = 0.0  # ms that it lay here, on a core that is full, before the module saw it
+    single_use: bool = False  # its value is streamed, not buffered, so it can be sent once only
+    queue_time: float = 0.0  # ms that it waited for this router's own core
 
 
 class Outcome(NamedTuple):
@@ -103,7 +103,7 @@
 
 
 class FirstByte(NamedTuple):
-    """Event: a streamed answer has begun; its attempt belongs to the client now."""
+    """Event: a streamed answer has begun; no other attempt may replace it."""
 
     id: int
     attempt: int
@@ -112,7 +112,7 @@
 
 
 class RequestCancelled(NamedTuple):
-    """Event: the client has left; nothing is owed any more."""
+    """Event: the client has left and needs no answer."""
 
     id: int
 
@@ -124,7 +124,7 @@
 
 
 class HealthCheckResult(NamedTuple):
-    """Event: what a probe found."""
+    """Event: how a health check ended."""
 
     server: int
     result: AttemptResult
@@ -133,20 +133,20 @@
 
 
 class Maintenance(NamedTuple):
-    """Event: an operator leaves a server out, whatever lists say of it, or lets it serve again."""
+    """Event: an operator takes a server out of service, whatever the endpoint list says, or puts it back."""
 
     server: int
     in_maintenance: bool
 
 
 class SettingsChanged(NamedTuple):
-    """Event: new settings hold from now on; requests that are under way keep their class."""
+    """Event: new settings take effect; open requests keep their class."""
 
     settings: Settings
 
 
 class PeerMessage(NamedTuple):
-    """Event: a message from another balancer."""
+    """Event: a message from another router."""
 
     sender: int
     payload: bytes
--- a/starlingthread/policy/admission.py
+++ b/starlingthread/policy/admission.py
@@ -12,10 +12,9 @@
 LATE_PROBE_SHARE = 0.1  # of the requests that would be late, sent all the same to learn when a server has recovered
 
 
-class Verdict(Enum):
-    """Whether a request is admitted, else why it is not."""
+class Rejection(Enum):
+    """Why a request is not admitted."""
 
-    ADMITTED = auto()
     ROUTER_OVERLOADED = auto()
     SERVER_FULL = auto()
     TOO_LATE = auto()
@@ -23,7 +22,10 @@
 
 
 class Admission:
-    """Sheds load that this router, a server or the origin can't bear; the lowest priority weight goes first."""
+    """Sheds load that this router, a server or the origin can't bear; the lowest priority weight goes first.
+
+    Each check returns None if the request is admitted, else the reason of its rejection.
+    """
 
     def __init__(self, load: LoadEstimate) -> None:
         self.fleet = load.fleet
@@ -31,17 +33,17 @@
         self.shedder = LoadShedder()
         self.trunk_reservation = TrunkReservation()
 
-    def check_arrival(self, now: float, state: RequestState) -> Verdict:
-        """Decide whether this router's own core and tables can take a new request."""
+    def check_arrival(self, now: float, state: RequestState) -> Rejection | None:
+        """Check whether this router's own core and tables can take a new request."""
         if len(self.fleet.requests) >= self.fleet.settings.max_open_requests:
-            return Verdict.ROUTER_OVERLOADED
+            return Rejection.ROUTER_OVERLOADED
         shed_share = self.shedder.shed_share(now, state.request.queue_time)
         if shed_share > 0 and self.fleet.rng.random() < shed_share ** self._relative_weight(state):
-            return Verdict.ROUTER_OVERLOADED
-        return Verdict.ADMITTED
+            return Rejection.ROUTER_OVERLOADED
+        return None
 
-    def check_server(self, now: float, state: RequestState, server: Server) -> Verdict:
-        """Decide whether a server can answer in time; guards against queues of requests that are late anyway."""
+    def check_server(self, now: float, state: RequestState, server: Server) -> Rejection | None:
+        """Check whether a server can answer in time; guards against queues of requests that are late anyway."""
         load = self.load
         concurrency = server.concurrency
         in_flight = server.attempts_in_flight
@@ -51,14 +53,14 @@
         )
         self.trunk_reservation.observe(not concurrency.allows(in_flight))
         if not concurrency.allows(in_flight + reserved):
-            return Verdict.SERVER_FULL
+            return Rejection.SERVER_FULL
         expected_time = load.expected_wait(now, server) + load.expected_service_time(state, server)
         if expected_time > load.time_limit(now, state) and self.fleet.rng.random() > LATE_PROBE_SHARE:
-            return Verdict.TOO_LATE
-        return Verdict.ADMITTED
+            return Rejection.TOO_LATE
+        return None
 
-    def check_fetch(self, now: float, state: RequestState) -> Verdict:
-        """Decide whether the origin can bear the fetch that a request may cause.
+    def check_fetch(self, now: float, state: RequestState) -> Rejection | None:
+        """Check whether the origin can bear the fetch that a request may cause.
 
         Guards against a jam at the origin, in which its fetches occupy the servers until they fail and what is cached
         can't be served either.
@@ -67,12 +69,12 @@
         if self.fleet.read_through:
             probability = self.load.fetch_probability(state)
             is_allowed = self.load.origin_limit.allows(now, probability, draw, state.request.is_write)
-            return Verdict.ADMITTED if is_allowed else Verdict.ORIGIN_OVERLOADED
+            return None if is_allowed else Rejection.ORIGIN_OVERLOADED
         throttle = self.load.origin_throttle
         if draw >= throttle.pressure(now) ** self._relative_weight(state):
-            return Verdict.ADMITTED
+            return None
         throttle.on_rejection(now)
-        return Verdict.ORIGIN_OVERLOADED
+        return Rejection.ORIGIN_OVERLOADED
 
     def _relative_weight(self, state: RequestState) -> float:
         return state.request_class.priority_weight / self.fleet.min_priority_weight
--- a/starlingthread/policy/affinity.py
+++ b/starlingthread/policy/affinity.py
@@ -7,7 +7,7 @@
 
 from ..balance.rendezvous import Candidate, Owner, Rendezvous
 from ..events import Request
-from ..state.records import AffinityCount, KeyState, Server
+from ..state.records import AffinityCount, KeyState, OwnerGroup, Server
 from .load_estimate import HALF_LIFE, LoadEstimate
 
 OWNER_COUNT = 3  # owners of a key by rendezvous hashing, in the fleet and again in this router's zone
@@ -83,7 +83,7 @@
             hit_bias += (observed - hit_bias) * HIT_BIAS_GAIN
         state.counts[server] = AffinityCount(count, now, hit_bias)
 
-    def update_prior(self, owner_group: int, is_hit: bool) -> None:
+    def update_prior(self, owner_group: OwnerGroup, is_hit: bool) -> None:
         """Learn the prior hit probability of a group of owners from an outcome at one that had no count."""
         prior = self.prior_hit_probability
         prior[owner_group] += (is_hit - prior[owner_group]) * PRIOR_GAIN
--- a/starlingthread/policy/dispatch.py
+++ b/starlingthread/policy/dispatch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..state.records import OwnerGroup, RequestState, Server
+from ..state.records import RequestState, Server
 from .affinity import Affinity
 from .attempt_gate import AttemptGate
 from .completion import Completion
@@ -56,7 +56,7 @@
     def _send_to_cache(self, now: float, state: RequestState, step: SendToCache) -> None:
         if not self._send(now, state, step.server):
             return
-        self.hedging.watch(now, state, state.owner_group is OwnerGroup.NONE)
+        self.hedging.watch(now, state, state.owner_group is None)
         if step.key_state is not None:
             self.affinity.count_request(now, step.key_state, step.server.endpoint.server)
 
--- a/starlingthread/policy/outcomes.py
+++ b/starlingthread/policy/outcomes.py
@@ -7,7 +7,7 @@
 from ..events import AttemptResult, CacheStatus, Outcome
 from ..limits.hedging import HedgeBudget
 from ..limits.limit_adjustment import adjust_limits
-from ..state.records import AttemptRecord, OwnerGroup, RequestState, Server
+from ..state.records import AttemptRecord, RequestState, Server
 from .affinity import Affinity
 from .attempt_gate import AttemptGate
 
@@ -59,7 +59,7 @@
         if not key or not (fetch_failed or event.result in SUCCESSES):
             return
         is_hit = event.result == AttemptResult.OK and event.cache_status != CacheStatus.MISS
-        if state.owner_group is not OwnerGroup.NONE:
+        if state.owner_group is not None:
             self.affinity.update_prior(state.owner_group, is_hit)
         key_state = self.affinity.key_state(now, key)
         if is_hit:
--- a/starlingthread/policy/routing.py
+++ b/starlingthread/policy/routing.py
@@ -12,7 +12,7 @@
 from ..events import NEVER_EXECUTED, AttemptResult
 from ..settings import Idempotency
 from ..state.records import KeyState, RequestState, Server
-from .admission import Admission, Verdict
+from .admission import Admission
 from .server_choice import ServerChoice
 from .timers import TIMER_TOLERANCE
 
@@ -77,7 +77,7 @@
 
     def first_step(self, now: float, state: RequestState) -> NextStep:
         """Decide the step of a request that has come in now."""
-        if self.admission.check_arrival(now, state) is not Verdict.ADMITTED:
+        if self.admission.check_arrival(now, state) is not None:
             return GIVE_UP
         return self._next_attempt(now, state)
 
@@ -108,11 +108,11 @@
         server = self.choice.choose(now, state, key_state)
         if server is None:
             return GIVE_UP if state.failed_servers else self._fetch(now, state, key_state)
-        if self.admission.check_server(now, state, server) is not Verdict.ADMITTED:
+        if self.admission.check_server(now, state, server) is not None:
             return GIVE_UP
         if len(state.failed_servers) >= MAX_FAILED_SERVERS:
             return GIVE_UP
-        if self.fleet.read_through and self.admission.check_fetch(now, state) is not Verdict.ADMITTED:
+        if self.fleet.read_through and self.admission.check_fetch(now, state) is not None:
             return GIVE_UP
         return SendToCache(server, key_state)
 
@@ -122,7 +122,7 @@
             return GIVE_UP
         if key_state is not None and state.missed_servers and self._is_fetched_by_another(key_state, state):
             return WaitForFetch(key_state, state.deadline - RESPONSE_MARGIN)
-        if self.admission.check_fetch(now, state) is not Verdict.ADMITTED:
+        if self.admission.check_fetch(now, state) is not None:
             return GIVE_UP
         return FetchFromOrigin(origin, key_state)
 
--- a/starlingthread/policy/server_choice.py
+++ b/starlingthread/policy/server_choice.py
@@ -22,12 +22,12 @@
     """How a server became a candidate."""
 
     min_affinity: float
-    owner_group: OwnerGroup
+    owner_group: OwnerGroup | None  # None: it is no owner of the key
 
 
 Score: TypeAlias = tuple[bool, float]  # whether an answer would be late, and ms for each unit of affinity
 
-SAMPLED = Candidate(SAMPLED_AFFINITY, OwnerGroup.NONE)
+SAMPLED = Candidate(SAMPLED_AFFINITY, None)
 FLEET_OWNERS = tuple(Candidate(OWNER_AFFINITY * 0.5**rank, OwnerGroup.FLEET) for rank in range(OWNER_COUNT))
 NO_COUNT = AffinityCount(0.0, 0.0, 0.0)
 WORST_SCORE: Score = (True, math.inf)
@@ -74,7 +74,7 @@
                 best = server
                 best_score = score
                 state.hit_probability = hit_probability
-                state.owner_group = OwnerGroup.NONE if affinity_count.request_count else candidate.owner_group
+                state.owner_group = None if affinity_count.request_count else candidate.owner_group
         return best
 
     def _candidates(
@@ -119,10 +119,10 @@
         zones = self.fleet.zones
         return not zones or zones.is_open(now, server.endpoint.zone, state.request.key)
 
-    def _hit_probability(self, affinity_count: AffinityCount, owner_group: OwnerGroup) -> float:
+    def _hit_probability(self, affinity_count: AffinityCount, owner_group: OwnerGroup | None) -> float:
         count = affinity_count.request_count
         probability = count / (count + 1)
-        if owner_group is not OwnerGroup.NONE:
+        if owner_group is not None:
             probability = max(probability, self.affinity.prior_hit_probability[owner_group])
         hit_bias = affinity_count.hit_bias
         return probability + hit_bias * (1 - probability if hit_bias > 0 else probability)
--- a/starlingthread/settings.py
+++ b/starlingthread/settings.py
@@ -8,10 +8,10 @@
 
 
 class Idempotency(IntEnum):
-    """Whether a request may run again."""
+    """Whether a request may be executed again."""
 
     IDEMPOTENT = 0
-    IDEMPOTENCY_KEY = 1
+    IDEMPOTENCY_KEY = 1  # servers deduplicate by its key, within a scope and a window
     NOT_IDEMPOTENT = 2
 
 
@@ -20,18 +20,18 @@
 
     name: str
     idempotency: Idempotency
-    latency_objective: float
-    deadline: float
+    latency_objective: float  # ms within which an answer is in time
+    deadline: float  # ms after which the client gives up
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0
-    deduplication_scope: str = "all"  # which servers drop a repeat: "all", "zone" or "cell"
-    idempotency_window: float = 0.0
+    late_priority_weight: float = 0.0  # of an answer after the latency objective
+    deduplication_scope: str = "all"  # which servers drop a duplicate: "all", "zone" or "cell"
+    idempotency_window: float = 0.0  # ms within which they do
     streamed: bool = False
     latency_objective_stretch: float = 0.0
 
 
 class Tenant(NamedTuple):
-    """A customer and its share of the service."""
+    """A customer, its quota and its share of the service."""
 
     name: str
     quota_per_s: float = 0.0
@@ -39,15 +39,15 @@
 
 
 class Settings(NamedTuple):
-    """What a balancer is told at its start."""
+    """The settings of one router; times are ms, prices are in latency objectives."""
 
     classes: tuple[RequestClass, ...]
     router_index: int = 0
     router_count: int = 1
     zone: int = 0
-    must_poll: bool = False  # the list has to be asked for
+    must_poll: bool = False  # the endpoint list is not pushed
     poll_interval: float = 10000.0
-    mode: str = "through"  # "aside": misses come back to us
+    mode: str = "through"  # caches fetch what they lack; "aside": the router does
     origin_kind: int = -1
     tenants: tuple[Tenant, ...] = ()
     over_quota_weight: float = 1.0
@@ -73,10 +73,10 @@
     price_late_fail: float = 0.0
     price_waste: float = 0.0
     weight_by_cost: bool = False
-    hot_keys: bool = False  # they get more owners; the operator's file turns it on
+    hot_keys: bool = False  # give hot keys more owners
 
     def validated(self) -> Settings:
-        """Return self, or raise a ValueError that names the setting that makes no sense."""
+        """Return self, or raise a ValueError that names the invalid setting."""
         if not self.classes:
             raise ValueError("classes: at least one request class is needed")
         if len({cls.name for cls in self.classes}) < len(self.classes):
--- a/starlingthread/state/records.py
+++ b/starlingthread/state/records.py
@@ -19,7 +19,6 @@
 class OwnerGroup(IntEnum):
     """The group of owners for which a server was chosen that has no affinity count for the key yet."""
 
-    NONE = -1  # it has a count, or is no owner
     FLEET = 0  # an owner among all servers
     ZONE = 1  # an owner among the servers of this router's zone
 
@@ -133,7 +132,7 @@
         self.failed_servers: list[int] = []  # servers that are not tried again
         self.last_failed_server = -1  # the server of the last failed attempt, which may be tried once more
         self.hit_probability = 1.0  # that the server chosen last has the key cached
-        self.owner_group = OwnerGroup.NONE  # of the server chosen last
+        self.owner_group: OwnerGroup | None = None  # of the server chosen last; None: it has a count, or is no owner
         self.is_loss_sample = False  # its outcome shows whether slow requests are lost or late
         self.resume_at = 0.0  # when it is routed again, while it waits
         self.origin_waits = 0  # times that it waited for a full origin
