--- a/tests/checker.py
+++ b/tests/checker.py
@@ -20,14 +20,18 @@
 
 @dataclass
 class Attempt:
+    """An attempt that the module sent."""
+
     server: int
-    at: float
-    out: bool = True
-    never_ran: bool = False
+    sent_at: float
+    in_flight: bool = True
+    never_executed: bool = False
 
 
 @dataclass
-class Seen:
+class RequestHistory:
+    """A request, its attempts and its answers."""
+
     req: Request
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
@@ -36,68 +40,75 @@
 
 
 class Checker:
-    """Feed it what goes in and out; it asserts."""
+    """Asserts the rules on the events that go into the module and the actions that come out."""
 
     def __init__(self, settings: Settings) -> None:
-        self.set = settings
-        self.seen: dict[int, Seen] = {}
-        self.shut_at: dict[int, float] = {}
-        self.place: dict[int, tuple[int, int]] = {}
+        self.settings = settings
+        self.seen: dict[int, RequestHistory] = {}
+        self.unavailable_since: dict[int, float] = {}
+        self.location: dict[int, tuple[int, int]] = {}
 
     def event(self, now: float, event: Event) -> None:
+        """Take in an event before the module handles it."""
         if isinstance(event, Request):
-            self.seen[event.id] = Seen(event, now + event.budget)
+            self.seen[event.id] = RequestHistory(event, now + event.budget)
         elif isinstance(event, Outcome):
             seen = self.seen[event.id]
             attempt = seen.attempts[event.attempt]
-            attempt.out, attempt.never_ran = False, event.result in NEVER_EXECUTED
+            attempt.in_flight = False
+            attempt.never_executed = event.result in NEVER_EXECUTED
             if event.request_finished and not seen.over:
                 seen.over = True
                 seen.answers += 1
         elif isinstance(event, RequestCancelled):
             self.seen[event.id].over = True
         elif isinstance(event, EndpointList) and event.kind != EndpointListKind.FAILED:
-            named = {m.server for m in event.endpoints}
+            listed = {m.server for m in event.endpoints}
             if event.kind != EndpointListKind.DELTA:
-                for server in self.place:
-                    if server not in named:
-                        self.shut_at.setdefault(server, now)
+                for server in self.location:
+                    if server not in listed:
+                        self.unavailable_since.setdefault(server, now)
             for m in event.endpoints:
-                self.place[m.server] = (m.zone, m.cell)
+                self.location[m.server] = (m.zone, m.cell)
                 if m.state == ServerState.READY:
-                    self.shut_at.pop(m.server, None)
+                    self.unavailable_since.pop(m.server, None)
                 else:
-                    self.shut_at.setdefault(m.server, now)
+                    self.unavailable_since.setdefault(m.server, now)
 
     def actions(self, now: float, actions: list[Action]) -> None:
+        """Check the actions that an event called for."""
         for action in actions:
             if isinstance(action, Send):
                 self._send(now, action)
             elif isinstance(action, Reject | Fail):
                 self._answer(now, action)
             elif isinstance(action, Cancel):
-                assert self.set.can_cancel
+                assert self.settings.can_cancel
                 assert action.attempt < len(self.seen[action.id].attempts)
 
     def _send(self, now: float, send: Send) -> None:
         seen = self.seen[send.id]
-        effect = self.set.classes[seen.req.class_index].idempotency
+        idempotency = self.settings.classes[seen.req.class_index].idempotency
         assert not seen.over, "sent for a request that is over"
         assert now < seen.deadline, "sent after the deadline"
-        assert len(seen.attempts) < self.set.max_attempts, "too many attempts"
-        assert send.server in self.place, "sent to a server that no list named"
-        assert now <= self.shut_at.get(send.server, now) + self.set.drain_grace, "drain not kept"
-        if not self.set.hedging_allowed or effect == Idempotency.NOT_IDEMPOTENT:
-            assert not any(a.out for a in seen.attempts), "two attempts at once"
-        risky = [a for a in seen.attempts if a.out or not a.never_ran]
-        if effect == Idempotency.NOT_IDEMPOTENT:
-            assert not risky, "an unsafe request went out again"
-        elif effect == Idempotency.IDEMPOTENCY_KEY and risky:
-            cls = self.set.classes[seen.req.class_index]
-            assert now - risky[0].at < cls.idempotency_window, "sent past the memory of repeats"
+        assert len(seen.attempts) < self.settings.max_attempts, "too many attempts"
+        assert send.server in self.location, "sent to a server that no list named"
+        assert now <= self.unavailable_since.get(send.server, now) + self.settings.drain_grace, (
+            "sent to a draining server after its grace"
+        )
+        if not self.settings.hedging_allowed or idempotency == Idempotency.NOT_IDEMPOTENT:
+            assert not any(a.in_flight for a in seen.attempts), "two attempts at once"
+        possible_executions = [a for a in seen.attempts if a.in_flight or not a.never_executed]
+        if idempotency == Idempotency.NOT_IDEMPOTENT:
+            assert not possible_executions, "a not idempotent request was sent again"
+        elif idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
+            cls = self.settings.classes[seen.req.class_index]
+            assert now - possible_executions[0].sent_at < cls.idempotency_window, "sent after the idempotency window"
             if cls.deduplication_scope != "all":
                 part = 0 if cls.deduplication_scope == "zone" else 1
-                assert self.place[risky[0].server][part] == self.place[send.server][part], "left the group"
+                assert self.location[possible_executions[0].server][part] == self.location[send.server][part], (
+                    "left the deduplication scope"
+                )
         seen.attempts.append(Attempt(send.server, now))
 
     def _answer(self, now: float, action: Reject | Fail) -> None:
@@ -105,16 +116,17 @@
         assert not seen.over, "a second answer"
         seen.over = True
         seen.answers += 1
-        assert now <= seen.deadline + self.set.answer_slack, "answered too late"
+        assert now <= seen.deadline + self.settings.answer_slack, "answered too late"
         if isinstance(action, Reject):
-            cls = self.set.classes[seen.req.class_index]
-            risky = any(a.out or not a.never_ran for a in seen.attempts)
+            cls = self.settings.classes[seen.req.class_index]
+            possible_executions = any(a.in_flight or not a.never_executed for a in seen.attempts)
             if cls.idempotency == Idempotency.NOT_IDEMPOTENT:
-                assert not risky, "refused an unsafe request that may have run"
-            elif cls.idempotency == Idempotency.IDEMPOTENCY_KEY and risky:
-                assert cls.deduplication_scope == "all", "refused a keyed request that may have run"
+                assert not possible_executions, "rejected a not idempotent request that may have been executed"
+            elif cls.idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
+                assert cls.deduplication_scope == "all", "rejected a keyed request that may have been executed"
 
     def all_answered(self) -> None:
+        """Check that each request got one answer."""
         for seen in self.seen.values():
             assert seen.over, f"request {seen.req.id} was never answered"
             assert seen.answers <= 1
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What is refused, when, and what the client is told."""
+"""Load shedding: which requests are rejected, and the Retry-After of a rejection."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 )
 
 
-def test_most_of_what_would_miss_its_aim_is_refused_early() -> None:
-    """Incident iddb886: queues longer than the aim were kept full."""
+def test_most_requests_that_would_be_late_are_rejected_at_once() -> None:
+    """Incident iddb886: queues longer than the latency objective stayed full."""
     world = World(ASIDE, members(6))
     late_reads(world, 60, 900.0)
-    world.now += 5000.0  # a balancer comes back to a server every few seconds only
-    refused = 0
+    world.now += 5000.0  # a router comes back to a server every few seconds only
+    rejected = 0
     for key in range(100):
         world.now += 1.0
-        refused += len(answers(world.ask(5000 + key, cost=0.0)))
-    assert 60 <= refused < 100  # a few go on, to find out when it is over
+        rejected += len(answers(world.ask(5000 + key, cost=0.0)))
+    assert 60 <= rejected < 100  # a few are sent to find out when the overload ends
 
 
-def test_work_goes_on_once_answers_are_quick_again() -> None:
+def test_requests_are_admitted_again_once_responses_are_fast() -> None:
     world = World(ASIDE, members(6))
     late_reads(world, 60, 900.0)
     late_reads(world, 600, 30.0)
@@ -40,42 +40,42 @@
     assert only_send(world.ask(9999, cost=0.0))
 
 
-def test_quick_answers_refuse_nothing() -> None:
+def test_nothing_is_rejected_while_responses_are_fast() -> None:
     world = World(ASIDE, members(6))
     late_reads(world, 100, 60.0)
     assert all(not answers(world.ask(5000 + key)) for key in range(50))
 
 
-def test_a_refused_client_is_told_when_to_come_back() -> None:
+def test_a_rejection_carries_a_retry_after_that_differs_by_request() -> None:
     world = World(ASIDE._replace(max_retry_after=2000.0), ())
-    told = [refusal.retry_after for _ in range(20) for refusal in answers(world.ask()) if isinstance(refusal, Reject)]
-    assert len(told) == 20 and all(1.0 <= ms <= 2000.0 for ms in told) and len(set(told)) > 10
+    retry_after = [a.retry_after for _ in range(20) for a in answers(world.ask()) if isinstance(a, Reject)]
+    assert len(retry_after) == 20 and all(1.0 <= ms <= 2000.0 for ms in retry_after) and len(set(retry_after)) > 10
 
 
-def test_what_our_own_core_is_too_small_for_is_refused_worth_least_first_and_only_then() -> None:
-    """Guards against a day on which all wait for us and none is in time."""
+def test_an_overloaded_router_sheds_the_lowest_priority_weight_first() -> None:
+    """Guards against a day on which all requests wait for the router and none is in time."""
 
-    def refused(world: World, waited: float, cls: int = READ) -> int:
+    def rejected(world: World, queue_time: float, cls: int = READ) -> int:
         count = 0
         for key in range(400):
             world.now += 10.0
             world.next_id += 1
-            done = world.do(Request(world.next_id, cls, 900.0, key=key + 1, cost_hint=40.0, queue_time=waited))
+            done = world.do(Request(world.next_id, cls, 900.0, key=key + 1, cost_hint=40.0, queue_time=queue_time))
             count += len(answers(done))
             for send in sends(done):
                 world.end(send, AttemptResult.OK)
         return count
 
     world = World(THROUGH)
-    assert refused(world, 5.0) == 0
-    reads, writes = refused(world, 40.0), refused(world, 40.0, IDEMPOTENCY_KEY)
+    assert rejected(world, 5.0) == 0
+    reads, writes = rejected(world, 40.0), rejected(world, 40.0, IDEMPOTENCY_KEY)
     assert 100 < reads < 350 and 0 < writes < 200
-    refused(world, 5.0)
-    assert refused(world, 5.0) == 0
+    rejected(world, 5.0)
+    assert rejected(world, 5.0) == 0
 
 
-def test_fetches_are_spared_an_origin_that_fails_and_what_is_cached_is_served_on() -> None:
-    """Guards against a jam at the origin that keeps the servers' places from what they have cached."""
+def test_fetches_from_a_failing_origin_are_rejected_and_cached_values_still_served() -> None:
+    """Guards against an overloaded origin whose fetches occupy the servers' slots, so that hits are rejected."""
     world = World(THROUGH)
     world.balancer.affinity.prior_hit_probability = [0.1, 0.1]
     for _ in range(20):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What many routers do together: each is harmless alone, so the harm, or the lack of use, shows in the sum only."""
+"""Many routers together: what each one does is harmless, and an overload or an idle server shows in the sum only."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 ROUTERS, SERVERS, KEYS = 40, 60, 3000
 TIMES = (50.0, 75.0)  # ms that a machine of each kind takes on average
 POPULARITY = list(accumulate(1 / rank for rank in range(5, KEYS + 5)))
-WINDOW = 2000.0  # ms in which a cold server falls over
+WINDOW = 2000.0  # ms in which a server in slow start may be overloaded
 SETTINGS = Settings(
     classes=(RequestClass("read", Idempotency.IDEMPOTENT, latency_objective=1200.0, deadline=4000.0),),
     router_count=ROUTERS,
@@ -38,7 +38,7 @@
             for number in range(ROUTERS)
         ]
         self.sends: list[tuple[float, int]] = []
-        self.refused = 0
+        self.rejected = 0
         self.out: list[tuple[float, int, Balancer, Outcome]] = []
         self.kinds = {1000 + n * 7919: n // 3 % 2 for n in range(SERVERS)}
         for router in self.routers:
@@ -72,7 +72,7 @@
             key = key * 0x9E3779B97F4A7C15 % 2**64
             actions = router.handle(self.now, Request(self.last_id, 0, 4000.0, key=key))
             sent = [a for a in actions if isinstance(a, Send)]
-            self.refused += not sent
+            self.rejected += not sent
             for send in sent:
                 self.sends.append((self.now, send.server))
                 took = TIMES[self.kinds[send.server]] * self.rng.expovariate(1.0)
@@ -87,36 +87,36 @@
                 )
 
 
-def test_cold_servers_get_what_their_ramp_bears_from_all_routers_together() -> None:
+def test_servers_in_slow_start_get_what_they_can_take_from_all_routers_together() -> None:
     """Their share of keys was drawn by the same hash as the owners, whose hashes are the greatest: none passed."""
     fleet = Fleet()
     fleet.play(5000.0)
-    cold = [m.server for m in fleet.members[: SERVERS // 3]]
-    fleet.restart(cold)
+    restarted = [m.server for m in fleet.members[: SERVERS // 3]]
+    fleet.restart(restarted)
     began = fleet.now
     fleet.play(8000.0)
-    to_cold = [(at, server) for at, server in fleet.sends if at >= began and server in cold]
-    # The ramp lets them do 0.15 to 0.46 of their work, 0.3 on average. What is counted elsewhere stays there.
-    usual = len([s for s in fleet.sends if s[0] >= began]) / SERVERS * len(cold)
-    assert 0.3 * usual / 5 < len(to_cold) < 0.3 * usual
-    assert len({server for _, server in to_cold}) == len(cold)
+    to_restarted = [(at, server) for at, server in fleet.sends if at >= began and server in restarted]
+    # Slow start lets them do 0.15 to 0.46 of their work, 0.3 on average. Keys with counts elsewhere stay there.
+    usual = len([s for s in fleet.sends if s[0] >= began]) / SERVERS * len(restarted)
+    assert 0.3 * usual / 5 < len(to_restarted) < 0.3 * usual
+    assert len({server for _, server in to_restarted}) == len(restarted)
 
 
-def test_routers_told_of_a_cold_server_at_once_do_not_all_send_at_once() -> None:
-    """Each allowed itself one request a window, which is many for the fleet: a hot key is asked for everywhere."""
+def test_routers_notified_of_a_restart_at_once_do_not_all_send_at_once() -> None:
+    """Each allowed itself one request a window, which is many for the fleet: a hot key is requested everywhere."""
     fleet = Fleet()
     fleet.play(5000.0)
-    cold = [m.server for m in fleet.members]
-    fleet.restart(cold)
+    restarted = [m.server for m in fleet.members]
+    fleet.restart(restarted)
     began = fleet.now
     fleet.play(6000.0, per_second=1800.0)
     windows = Counter((int((at - began) / WINDOW), server) for at, server in fleet.sends if at >= began)
     fair = 1800.0 * WINDOW / 1000.0 / SERVERS
-    # A server with a load of 0.6 while warm falls when it gets over 4 x 0.15 of that, or 1.0 of it.
+    # A server with a load of 0.6 while warm is overloaded when it gets over 4 x 0.15 of that, or 1.0 of it.
     assert max(count for (window, _), count in windows.items() if window == 0) < 1.0 * fair
 
 
-def test_quicker_machines_get_more_though_the_list_gives_all_the_same_weight() -> None:
+def test_faster_machines_get_more_though_the_list_gives_all_the_same_weight() -> None:
     """Half the keys lived on machines a third slower, which were full while the others were half idle."""
     fleet = Fleet()
     fleet.play(6000.0)
@@ -127,7 +127,7 @@
 
 
 def test_routers_agree_on_the_speed_of_kinds() -> None:
-    """Each that has figures of its own names owners of its own, and each such owner is one more copy to fetch."""
+    """A router with other estimates picks other owners, and each such owner is one more replica to fetch."""
     fleet = Fleet()
     fleet.play(15000.0)
     assert all(router.load.machine_speeds.speed(0) > 0.9 for router in fleet.routers)
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -4,7 +4,7 @@
 
 from starlingthread.events import AttemptResult
 
-from .world import COPIES, THROUGH, World, only_send, sends, warmed_up
+from .world import HEDGED, THROUGH, World, only_send, sends, warmed_up
 
 
 def test_single_failures_eject_no_server_and_consecutive_ones_do() -> None:
@@ -33,7 +33,7 @@
 
 def test_a_silent_server_is_ejected_before_the_deadline() -> None:
     """Guards against machines that vanish without closing their connections."""
-    world = World(COPIES)
+    world = World(HEDGED)
     owner = warmed_up(world)
     for _ in range(30):
         for send in sends(world.ask(7)):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""What follows an attempt: retries and second copies."""
+"""Retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from starlingthread.events import AttemptResult, RequestCancelled
 from starlingthread.state.records import AffinityCount
 
-from .world import COPIES, IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, only_send, sends, warmed_up
+from .world import HEDGED, IDEMPOTENCY_KEY, NOT_IDEMPOTENT, READ, THROUGH, World, answers, only_send, sends, warmed_up
 
 
-def test_what_stays_out_gets_one_second_copy_elsewhere_and_unsafe_work_none() -> None:
+def test_a_slow_request_is_hedged_once_at_another_server_unless_it_is_not_idempotent() -> None:
     """Guards against connections that fall silent: a time-out at the deadline would be too late."""
-    world = World(COPIES)
+    world = World(HEDGED)
     owner = warmed_up(world)
     first = only_send(world.ask(7))
     assert first.server == owner and not sends(world.pass_time(324.0))
@@ -24,56 +24,58 @@
     assert not sends(world.pass_time(900.0))
 
 
-def test_what_its_client_has_left_gets_no_second_copy() -> None:
-    world = World(COPIES)
+def test_a_cancelled_request_is_not_hedged() -> None:
+    world = World(HEDGED)
     warmed_up(world)
     first = only_send(world.ask(7))
-    world.pass_time(324.0)  # a copy is due 1 ms later
+    world.pass_time(324.0)  # the hedge is due 1 ms later
     world.do(RequestCancelled(first.id))
     assert not sends(world.pass_time(700.0))
 
 
-def test_a_long_request_at_a_server_that_answers_others_gets_no_second_copy() -> None:
-    """Where servers work on whatever became of a request, three copies in a hundred were a tenth of all work."""
-    world = World(COPIES)
+def test_a_slow_request_at_a_server_that_answers_others_is_not_hedged() -> None:
+    """Where servers finish cancelled requests too, three hedges in a hundred requests were a tenth of all work."""
+    world = World(HEDGED)
     owner = warmed_up(world)
     long, world.now = only_send(world.ask(7)), world.now + 100.0
     assert world.read(7) == owner and long.server == owner
     assert not sends(world.pass_time(800.0))
 
 
-def test_where_what_is_overtaken_is_never_answered_it_gets_copies_until_it_is_again() -> None:
+def test_overtaken_requests_are_hedged_while_such_requests_are_lost() -> None:
     """On rate+silent+leave 19 of 20 requests that were overtaken timed out: single connections had died."""
-    world = World(COPIES)
+    world = World(HEDGED)
 
-    def overtaken(result: AttemptResult, left: float) -> bool:
+    def is_hedged(result: AttemptResult, left: float) -> bool:
         warmed_up(world)
         first, sent_at = only_send(world.ask(7)), world.now
         world.now += 100.0
         assert any(world.read(7) == first.server for _ in range(5))
-        copies = sends(world.pass_time(400.0 + sent_at - world.now))
-        for copy in copies:
-            world.end(copy, AttemptResult.OK, attempt=1)
+        hedges = sends(world.pass_time(400.0 + sent_at - world.now))
+        for hedge in hedges:
+            world.end(hedge, AttemptResult.OK, attempt=1)
             world.end(first, AttemptResult.CANCELLED)
-        if not copies:
+        if not hedges:
             world.now = sent_at + 1000.0 - left
             world.end(first, result, elapsed=1000.0 - left)
-        return bool(copies)
+        return bool(hedges)
 
-    assert [overtaken(AttemptResult.TIMEOUT, 0.0) for _ in range(40)].index(True) in range(10, 20)
-    assert sum(overtaken(AttemptResult.OK, 500.0) for _ in range(80)) in range(5, 60)  # some get none, and show it
-    assert not any(overtaken(AttemptResult.OK, 500.0) for _ in range(20))
+    assert [is_hedged(AttemptResult.TIMEOUT, 0.0) for _ in range(40)].index(True) in range(10, 20)
+    assert sum(is_hedged(AttemptResult.OK, 500.0) for _ in range(80)) in range(5, 60)  # some get none, and show it
+    assert not any(is_hedged(AttemptResult.OK, 500.0) for _ in range(20))
 
 
-@pytest.mark.parametrize("dead", [0.0, 0.9])
-def test_what_got_lost_says_nothing_of_server_or_origin_and_more_of_it_is_copied(dead: float) -> None:
-    """On churn+long of the second site a tenth of all got no answer for 15 s, and a fifth was refused for that."""
-    world = World(COPIES)
+@pytest.mark.parametrize("lost_share", [0.0, 0.9])
+def test_lost_requests_do_not_lower_limits_and_earn_more_hedges(lost_share: float) -> None:
+    """On churn+long of the second site a tenth of all got no response for 15 s, and a fifth was rejected for that."""
+    world = World(HEDGED)
     warmed_up(world)
-    hedging, fetches = world.balancer.hedging.budget, world.balancer.load.origin_limit
-    hedging.lost_share, world.balancer.affinity.prior_hit_probability = dead, [0.0, 0.0]
+    budget = world.balancer.hedging.budget
+    origin_limit = world.balancer.load.origin_limit
+    budget.lost_share = lost_share
+    world.balancer.affinity.prior_hit_probability = [0.0, 0.0]
     for key in range(100, 140):
-        hedging.tokens = 0.0
+        budget.tokens = 0.0
         if not (sent := sends(world.ask(key))):
             break
         first = sent[0]
@@ -83,31 +85,31 @@
             world.balancer.affinity.keys[7].counts = {first.server: AffinityCount(50.0, world.now, 1.0)}
         world.now += 900.0
         world.end(first, AttemptResult.TIMEOUT, elapsed=990.0)
-    assert fetches.limit.is_learned == (dead == 0.0)
+    assert origin_limit.limit.is_learned == (lost_share == 0.0)
     for _ in range(20):
-        hedging.on_first_attempt(500.0, True)
-    assert (hedging.tokens >= 2.0) == (dead > 0)
+        budget.on_first_attempt(500.0, True)
+    assert (budget.tokens >= 2.0) == (lost_share > 0)
     outliers = world.balancer.fleet.servers[first.server].outliers
-    assert hedging.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 3.0, 0.5) == (
-        dead > 0
+    assert budget.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 3.0, 0.5) == (
+        lost_share > 0
     )  # a fetch out too long
-    assert not hedging.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 1.0, 0.5)
+    assert not budget.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 1.0, 0.5)
 
 
-def test_second_copies_are_few_and_none_where_all_are_slow() -> None:
-    world = World(COPIES)
+def test_hedges_are_few_and_none_are_sent_while_all_servers_are_slow() -> None:
+    world = World(HEDGED)
     warmed_up(world)
     asked = [only_send(world.ask(7)) for _ in range(100)]
-    copies = len(sends(world.pass_time(400.0)))
-    assert 0 < copies <= 0.04 * (len(asked) + 41) + 1
-    slow = World(COPIES)
+    hedges = len(sends(world.pass_time(400.0)))
+    assert 0 < hedges <= 0.04 * (len(asked) + 41) + 1
+    slow = World(HEDGED)
     warmed_up(slow)
     slow.balancer.load.wait_estimates.mean_wait = 300.0
     slow.ask(7)
     assert not sends(slow.pass_time(400.0))
 
 
-def test_a_broken_answer_is_asked_for_again_where_it_may_have_been_made_and_then_elsewhere() -> None:
+def test_a_reset_attempt_is_retried_once_at_the_same_server_and_then_elsewhere() -> None:
     world = World(THROUGH)
     owner = warmed_up(world)
     first = only_send(world.ask(7))
@@ -116,8 +118,8 @@
     assert first.server == second.server == owner != third.server
 
 
-def test_what_never_ran_clears_no_other_attempt_at_the_same_server_and_time() -> None:
-    """Guards the rule on refusals where a broken keyed write goes to the same server again at once."""
+def test_an_unexecuted_attempt_does_not_clear_another_one_at_the_same_server_and_time() -> None:
+    """Guards the rule on rejections where a reset write with a key is retried at the same server at once."""
     keyed = THROUGH.classes[IDEMPOTENCY_KEY]._replace(deduplication_scope="zone")
     world = World(THROUGH._replace(classes=(THROUGH.classes[READ], keyed)))
     first = only_send(world.ask(7, IDEMPOTENCY_KEY))
@@ -130,8 +132,8 @@
     assert [type(a) for a in answers(done)] == [Fail]
 
 
-def test_a_fetch_that_failed_is_not_tried_again() -> None:
-    """Guards a jammed origin against retries, and our counts against what was never stored."""
+def test_a_failed_fetch_is_not_retried() -> None:
+    """Guards an overloaded origin against retries, and the affinity counts against values never stored."""
     world = World(THROUGH)
     world.balancer.affinity.prior_hit_probability = [0.1, 0.1]
     first = only_send(world.ask(9))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -37,7 +37,7 @@
 )
 
 
-def test_miss_goes_to_the_origin_and_ok_ends_it() -> None:
+def test_a_miss_is_fetched_from_the_origin() -> None:
     world = World()
     first = only_send(world.ask())
     assert first.server != ORIGIN
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("cls", [IDEMPOTENCY_KEY, NOT_IDEMPOTENT])
-def test_writes_go_straight_to_the_origin_aside(cls: int) -> None:
+def test_writes_go_to_the_origin_in_aside_mode(cls: int) -> None:
     world = World()
     assert only_send(world.ask(cls=cls)).server == ORIGIN
 
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(
     "result", [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 )
-def test_an_unsafe_request_that_may_have_run_fails(result: AttemptResult) -> None:
+def test_a_not_idempotent_request_that_may_have_been_executed_fails(result: AttemptResult) -> None:
     world = World(THROUGH)
     send = only_send(world.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
     done = world.end(send, result)
@@ -65,13 +65,13 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.FULL, AttemptResult.CONNECT_FAILED])
-def test_an_unsafe_request_that_never_ran_may_go_on(result: AttemptResult) -> None:
+def test_a_not_idempotent_request_that_was_not_executed_is_retried(result: AttemptResult) -> None:
     world = World(THROUGH)
     send = only_send(world.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
     assert only_send(world.end(send, result)).server != send.server
 
 
-def test_a_keyed_request_stays_in_its_group_and_its_time() -> None:
+def test_a_keyed_request_is_retried_in_its_deduplication_scope_and_window() -> None:
     zoned = (CLASSES[0], CLASSES[1]._replace(deduplication_scope="zone"), CLASSES[2])
     world = World(THROUGH._replace(classes=zoned), members(4, zones=2))
     send = only_send(world.ask(cls=IDEMPOTENCY_KEY, budget=2000.0))
@@ -82,14 +82,14 @@
     assert all(isinstance(a, Fail) for a in answers(again))
 
 
-def test_a_keyed_request_is_not_sent_past_the_memory_of_repeats() -> None:
+def test_a_keyed_request_is_not_retried_after_its_idempotency_window() -> None:
     world = World(THROUGH)
     send = only_send(world.ask(cls=IDEMPOTENCY_KEY, budget=2000.0))
     world.now += 1600
     assert answers(world.end(send, AttemptResult.ERROR)) == [Fail(send.id)]
 
 
-def test_a_timeout_at_the_deadline_is_answered() -> None:
+def test_a_timeout_at_the_deadline_gets_an_answer() -> None:
     world = World()
     send = only_send(world.ask())
     world.now += 1000
@@ -97,7 +97,7 @@
     assert len(answers(done)) == 1 and sends(done) == []
 
 
-def test_nothing_goes_out_after_a_withdrawal() -> None:
+def test_nothing_is_sent_for_a_cancelled_request() -> None:
     world = World()
     send = only_send(world.ask())
     world.do(RequestCancelled(send.id))
@@ -105,7 +105,7 @@
     assert world.do(RequestCancelled(send.id)) == []
 
 
-def test_a_started_stream_is_left_alone() -> None:
+def test_a_request_whose_response_has_begun_is_not_retried() -> None:
     streamed = (CLASSES[0]._replace(streamed=True), *CLASSES[1:])
     world = World(ASIDE._replace(classes=streamed))
     send = only_send(world.ask())
@@ -114,19 +114,19 @@
     assert world.do(Outcome(send.id, 0, send.server, AttemptResult.RESET, 5000.0, True)) == []
 
 
-def test_no_server_and_no_origin_is_refused_at_once() -> None:
+def test_a_request_is_rejected_at_once_without_servers_and_origin() -> None:
     world = World(ASIDE, ())
     assert answers(world.ask()) == [Reject(1)]
     assert answers(world.ask(cls=NOT_IDEMPOTENT)) == [Reject(2)]
 
 
-def test_no_cache_server_falls_back_to_the_origin() -> None:
+def test_the_origin_is_used_without_cache_servers() -> None:
     world = World(ASIDE, (Endpoint(ORIGIN, kind=3),))
     assert only_send(world.ask()).server == ORIGIN
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_drains_are_kept_at_once(state: ServerState) -> None:
+def test_a_server_that_is_draining_or_gone_gets_nothing_more(state: ServerState) -> None:
     world = World()
     owner = world.read()
     world.do(EndpointList(EndpointListKind.DELTA, 2, (Endpoint(owner, state=state),)))
@@ -134,14 +134,14 @@
         assert world.read() != owner
 
 
-def test_a_server_missing_from_a_whole_list_is_gone() -> None:
+def test_a_server_missing_from_a_full_list_is_gone() -> None:
     world = World()
     owner = world.read()
     world.do(EndpointList(EndpointListKind.FULL, 2, tuple(m for m in members() if m.server != owner)))
     assert world.read() != owner
 
 
-def test_waiters_share_one_fetch_and_then_ask_the_cache() -> None:
+def test_waiting_requests_share_one_fetch_and_then_go_to_the_cache() -> None:
     world = World()
     first = only_send(world.ask())
     second = only_send(world.ask())
@@ -153,7 +153,7 @@
     world.checker.all_answered()
 
 
-def test_a_waiter_is_answered_before_its_client_gives_up() -> None:
+def test_a_waiting_request_is_answered_before_its_deadline() -> None:
     world = World()
     first = only_send(world.ask(budget=1000.0))
     second = only_send(world.ask(budget=400.0))
@@ -162,20 +162,20 @@
     assert answers(world.pass_time(400)) == [Reject(second.id)]
 
 
-def test_a_cold_server_gets_a_share_of_keys_that_grows() -> None:
+def test_a_server_in_slow_start_gets_a_growing_share_of_keys() -> None:
     def share(age: float) -> float:
-        taken = 0
+        accepted = 0
         for key in range(1, 201):
             world = World(ASIDE._replace(router_count=1), (Endpoint(1, started=1000.0), Endpoint(ORIGIN, kind=3)))
             world.now = 1000.0 + age
-            taken += only_send(world.ask(key)).server == 1
-        return taken / 200
+            accepted += only_send(world.ask(key)).server == 1
+        return accepted / 200
 
     assert share(0.0) < 0.45
     assert share(0.0) < share(4000.0) < share(8000.0) == 1.0
 
 
-def test_a_cold_server_gets_few_requests_in_a_window_from_one_balancer() -> None:
+def test_a_server_in_slow_start_gets_few_requests_in_a_window_from_one_router() -> None:
     world = World(ASIDE._replace(router_count=1), (Endpoint(1, started=1000.0), Endpoint(ORIGIN, kind=3)))
     world.now += 7000.0
     key = next(k for k in range(1, 50) if only_send(world.ask(k)).server == 1)
@@ -191,37 +191,37 @@
 def _stream(settings_: Settings, seed: int) -> list[object]:
     rng = random.Random(seed)
     world = World(settings_, members(5, zones=2), seed=seed)
-    out: dict[tuple[int, int], tuple[Send, float]] = {}
+    in_flight: dict[tuple[int, int], tuple[Send, float]] = {}
     seen: list[object] = []
 
-    def take(actions: list[object]) -> None:
+    def record(actions: list[object]) -> None:
         seen.extend(actions)
         for action in actions:
             if isinstance(action, Send):
                 number = len(world.checker.seen[action.id].attempts) - 1
-                out[action.id, number] = (action, world.now)
+                in_flight[action.id, number] = (action, world.now)
 
     def end_overdue() -> None:
-        """End, as the wire does, what is out at its deadline."""
-        for (rid, number), (send, _) in list(out.items()):
-            tracked = world.checker.seen[rid]
-            if world.now >= tracked.deadline:
-                del out[rid, number]
-                world.now, late = tracked.deadline, world.now
-                take([*world.do(Outcome(rid, number, send.server, AttemptResult.TIMEOUT, 0.0, tracked.over))])
+        """End, as the wire does, what is in flight at its deadline."""
+        for (rid, number), (send, _) in list(in_flight.items()):
+            request = world.checker.seen[rid]
+            if world.now >= request.deadline:
+                del in_flight[rid, number]
+                world.now, late = request.deadline, world.now
+                record([*world.do(Outcome(rid, number, send.server, AttemptResult.TIMEOUT, 0.0, request.over))])
                 world.now = late
 
     for _ in range(150):
         dice = rng.random()
         if dice < 0.4:
             cls = rng.choice((READ, READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT))
-            take([*world.ask(rng.randrange(6), cls, rng.uniform(50, 2000))])
-        elif dice < 0.75 and out:
-            (rid, number), (send, at) = rng.choice(list(out.items()))
-            del out[rid, number]
+            record([*world.ask(rng.randrange(6), cls, rng.uniform(50, 2000))])
+        elif dice < 0.75 and in_flight:
+            (rid, number), (send, at) = rng.choice(list(in_flight.items()))
+            del in_flight[rid, number]
             result = rng.choice(list(AttemptResult))
             over = world.checker.seen[rid].over or result == AttemptResult.OK
-            take([*world.do(Outcome(rid, number, send.server, result, world.now - at, over))])
+            record([*world.do(Outcome(rid, number, send.server, result, world.now - at, over))])
         elif dice < 0.8:
             line = Endpoint(
                 rng.randrange(1, 7),
@@ -229,13 +229,13 @@
                 state=rng.choice(list(ServerState)),
                 started=rng.choice((0.0, world.now)),
             )
-            take([*world.do(EndpointList(EndpointListKind.DELTA, 2, (line,)))])
+            record([*world.do(EndpointList(EndpointListKind.DELTA, 2, (line,)))])
         elif dice < 0.83 and world.checker.seen:
-            take([*world.do(RequestCancelled(rng.choice(list(world.checker.seen))))])
-        take([*world.pass_time(rng.choice((0, 0, 5, 40, 200)))])
+            record([*world.do(RequestCancelled(rng.choice(list(world.checker.seen))))])
+        record([*world.pass_time(rng.choice((0, 0, 5, 40, 200)))])
         end_overdue()
     for _ in range(60):
-        take([*world.pass_time(50)])
+        record([*world.pass_time(50)])
         end_overdue()
     world.checker.all_answered()
     return seen
@@ -245,13 +245,13 @@
 @given(
     seed=st.integers(0, 2**32),
     aside=st.booleans(),
-    group=st.sampled_from(("all", "zone", "cell")),
-    copies=st.booleans(),
+    scope=st.sampled_from(("all", "zone", "cell")),
+    hedging=st.booleans(),
 )
-def test_random_streams_keep_the_rules(seed: int, aside: bool, group: str, copies: bool) -> None:
+def test_random_streams_keep_the_rules(seed: int, aside: bool, scope: str, hedging: bool) -> None:
     base = ASIDE if aside else THROUGH
-    classes = (CLASSES[0], CLASSES[1]._replace(deduplication_scope=group), CLASSES[2])
-    _stream(base._replace(classes=classes, hedging_allowed=copies), seed)
+    classes = (CLASSES[0], CLASSES[1]._replace(deduplication_scope=scope), CLASSES[2])
+    _stream(base._replace(classes=classes, hedging_allowed=hedging), seed)
 
 
 def test_equal_events_give_equal_actions_and_instances_share_nothing() -> None:
@@ -260,10 +260,10 @@
     assert _stream(ASIDE, 5) == alone
 
 
-def test_a_failed_list_is_asked_for_again_before_a_drain_counts_as_told() -> None:
-    """Guards the drain rule once discovery is back: a change counts as told 6 s after, whatever call was refused.
+def test_a_failed_list_is_polled_again_before_a_drain_counts_as_notified() -> None:
+    """Guards the drain rule once discovery is back: a change counts as notified 6 s after, whatever poll was rejected.
 
-    A call that waits in turn for 2 s and is refused, with a pause before it and behind it, leaves 1 s for the answer.
+    A poll that is queued for 2 s and rejected, with a pause before it and after it, leaves 1 s for the answer.
     """
     world = World(THROUGH._replace(must_poll=True), members(4))
     for _ in range(12):
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -1,4 +1,4 @@
-"""Which server is chosen, beyond the one that counted the key."""
+"""The choice of a server, beyond the one with the greatest affinity."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from .world import ASIDE, ORIGIN, THROUGH, World, members, only_send, sends
 
 
-def test_a_crowded_owner_is_left_for_servers_that_would_be_in_time() -> None:
-    """Incident i952281: the owners of a crowded zone refused what idle servers could have answered."""
+def test_an_overloaded_owner_is_passed_over_for_servers_that_are_in_time() -> None:
+    """Incident i952281: the owners of a crowded zone rejected what idle servers could have answered."""
     world = World(ASIDE, members(12))
     owner = [world.read(7) for _ in range(12)][-1]
     for _ in range(5):  # the other servers are seen to be quick
@@ -23,26 +23,26 @@
         assert only_send(world.ask(7)).server not in (owner, ORIGIN)
 
 
-def test_a_key_gets_an_owner_in_the_zone_once_leaving_it_has_cost_as_much_as_a_fetch() -> None:
+def test_a_key_gets_an_owner_in_the_zone_once_crossing_it_costs_as_much_as_a_fetch() -> None:
     def near(price: float, routers: int = 4) -> int:
         world = World(THROUGH._replace(price_cross_zone=price, router_count=routers), members(8, zones=2))
         owners = [world.read(key) for key in range(1, 200)]
         return sum(owner % 2 == 0 for owner in owners)
 
-    # A fetch takes 75 ms as far as is known, the aim is 500 ms, and half of the servers are in our zone.
+    # A fetch takes 75 ms as far as is known, the latency objective is 500 ms, and half of the servers are in our zone.
     assert near(0.2) > 150 > near(0.02) > 60
     assert near(0.02, routers=40) > 150  # that many share the owner, and each sees little of what it saves
 
 
-def test_an_owner_that_has_too_much_from_us_already_is_left_before_any_answer_is_late() -> None:
+def test_an_owner_with_too_many_attempts_in_flight_is_passed_over_before_any_response_is_late() -> None:
     """Guards zones that are a server short: the two owners left drew 80 requests a second each, the others 20."""
     world = World(THROUGH)
     for key in range(1, 30):
         world.read(key)
     owner = world.read(7)
-    went: dict[int, int] = {}
+    sent_to: dict[int, int] = {}
     for _ in range(80):  # a crowd for one key, of which nothing is answered yet
         for send in sends(world.ask(7, cost=40.0)):
-            went[send.server] = went.get(send.server, 0) + 1
-    # 500 ms of aim, two at a time, 30 ms each as it was learned: more than that would be late at one server.
-    assert went[owner] <= 500 / 30 * 2 + 1 and len(went) > 2
+            sent_to[send.server] = sent_to.get(send.server, 0) + 1
+    # 500 ms of latency objective, two at a time, 30 ms each as was learned: more than that would be late at one server.
+    assert sent_to[owner] <= 500 / 30 * 2 + 1 and len(sent_to) > 2
--- a/tests/world.py
+++ b/tests/world.py
@@ -48,7 +48,7 @@
     load_report_delivery="piggyback",
 )
 THROUGH = ASIDE._replace(mode="through", origin_kind=-1)
-COPIES = THROUGH._replace(hedging_allowed=True)
+HEDGED = THROUGH._replace(hedging_allowed=True)
 
 
 def members(count: int = 4, *, zones: int = 1, started: float = 0.0) -> tuple[Endpoint, ...]:
@@ -151,7 +151,7 @@
 
 
 def warmed_up(world: World) -> int:
-    """Let one key be read until its owner is counted and second copies are saved up; return the owner."""
+    """Let one key be read until its owner is counted and tokens for hedges are saved up; return the owner."""
     return [world.read(7) for _ in range(40)][-1]
 
 
