--- a/starlingthread/analysis/comparison.py
+++ b/starlingthread/analysis/comparison.py
@@ -64,9 +64,11 @@
 
 def _class_changes(before: ClassResult, after: ClassResult) -> list[Change]:
     changes = [Change(f"{before.name} worth share", before.goodput_share, after.goodput_share)]
-    for name in LATENCY_PERCENTILES:
-        if name in before.percentiles and name in after.percentiles:
-            changes.append(Change(f"{before.name} p{name} ms", before.percentiles[name], after.percentiles[name]))
+    changes.extend(
+        Change(f"{before.name} p{name} ms", before.percentiles[name], after.percentiles[name])
+        for name in LATENCY_PERCENTILES
+        if name in before.percentiles and name in after.percentiles
+    )
     return changes
 
 
