--- a/starlingthread/__main__.py
+++ b/starlingthread/__main__.py
@@ -27,7 +27,7 @@
     options, options_error = _read_options()
     log_writer = LogWriter(options.log)
     if options_error:
-        log.error("options-failed", why=options_error)
+        log.error("options-invalid", reason=options_error)
     inherited = _inherit(config)
 
     async def serve() -> int:
@@ -85,7 +85,7 @@
     try:
         return request_handover(folder)
     except OSError as error:
-        log.warning("handover-failed", why=repr(error))  # this process binds its sockets beside the old one then
+        log.warning("handover-failed", reason=repr(error))  # this process binds its sockets beside the old one then
         return None
 
 
--- a/starlingthread/core/maintenance.py
+++ b/starlingthread/core/maintenance.py
@@ -72,7 +72,7 @@
         removed = sorted(self.names - names)
         self.names = names
         for name in added:
-            log.info("maintenance-began", server=name)
+            log.info("maintenance-started", server=name)
             self._on_change(name, True)
         for name in removed:
             log.info("maintenance-ended", server=name)
@@ -100,7 +100,7 @@
             if content.version != VERSION:
                 raise ValueError(f"version {content.version}")
         except (OSError, ValueError, msgspec.MsgspecError) as error:
-            log.error("maintenance-unreadable", file=str(path), why=one_line(error))
+            log.error("maintenance-read-failed", file=str(path), reason=one_line(error))
             return set(self.names)
         return set(content.excluded)
 
@@ -111,7 +111,7 @@
             temporary.write_bytes(msgspec.json.encode(MaintenanceFile(VERSION, sorted(names))))
             os.replace(temporary, path)
         except OSError as error:
-            log.error("maintenance-unwritten", file=str(path), why=one_line(error))
+            log.error("maintenance-write-failed", file=str(path), reason=one_line(error))
         self._loaded = self._stamp(path)
 
     @contextlib.contextmanager
--- a/starlingthread/core/request_table.py
+++ b/starlingthread/core/request_table.py
@@ -32,7 +32,7 @@
         request.id = self._last_id
         self.requests[request.id] = request
         self.attempts[request.id] = []
-        self._counters.increment("requests.taken")
+        self._counters.increment("requests.received")
 
     def finish(self, request: PendingRequest, answer: Answer) -> None:
         """Give a request its final answer: the one place that does. Ignored if it is finished."""
@@ -47,7 +47,7 @@
     def withdraw(self, request: PendingRequest) -> None:
         """Finish a request whose client has disconnected, without an answer."""
         self._close(request)
-        self._counters.increment("requests.withdrawn")
+        self._counters.increment("requests.cancelled")
         self._telemetry.on_finished(request.request_class.name, FinalStatus.ABANDONED)
 
     def remove_if_done(self, request: PendingRequest) -> None:
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -239,7 +239,10 @@
             return
         self.counters.increment("requests.overdue")
         log.warning(
-            "overdue", request=request.id, sends=request.attempts_started, **{"class": request.request_class.name}
+            "request-overdue",
+            request=request.id,
+            attempts=request.attempts_started,
+            **{"class": request.request_class.name},
         )
         self._table.finish(request, Failed())
         self._decide(RequestCancelled(request.id))
@@ -343,7 +346,7 @@
             case SetTimer():
                 self.deadlines.set(action.at, lambda: self._decide(Timer(action.label)))
             case HealthCheck():
-                self.counters.increment("probes.sent")
+                self.counters.increment("health_checks.sent")
                 self.fleet.check_health(action.server)
             case CloseConnections():
                 self.fleet.close_idle(action.server)
--- a/starlingthread/handover/actor.py
+++ b/starlingthread/handover/actor.py
@@ -65,7 +65,7 @@
         if self.inherited is not None:
             reader, self._predecessor = await asyncio.open_connection(sock=self.inherited.channel, limit=MAX_LINE)
             self.watcher.start(
-                self._await_predecessor_end(reader), "handover-elder", lambda _: self._on_predecessor_gone()
+                self._await_predecessor_end(reader), "handover-predecessor", lambda _: self._on_predecessor_gone()
             )
 
     def on_serving(self) -> None:
@@ -86,7 +86,7 @@
         if self._predecessor is not None:
             self._predecessor.transport.abort()
             self._predecessor = None
-            self._double_resource_share("elder-gone")
+            self._double_resource_share("predecessor-exited")
 
     def _double_resource_share(self, log_event: str) -> None:
         self.resource_share = min(1.0, self.resource_share * 2)
@@ -102,7 +102,7 @@
             self._listener = HandoverListener(self.folder)
         except (OSError, AttributeError) as error:
             # No handover then: a new process binds its own sockets beside these.
-            log.info("handover-off", why=repr(error))
+            log.info("handover-disabled", reason=repr(error))
             return
         asyncio.get_running_loop().add_reader(self._listener.socket.fileno(), self._accept_successor)
 
@@ -127,14 +127,14 @@
             send_offer(channel, self.resource_share / 2, self.process.sockets())
         except OSError as error:
             channel.close()
-            log.warning("handover-failed", why=repr(error))
+            log.warning("handover-failed", reason=repr(error))
             return
         self._has_successor = True
-        self.counters.increment("handovers.begun")
+        self.counters.increment("handovers.started")
         self.resource_share /= 2
-        log.info("heir-came", share=self.resource_share)
+        log.info("successor-connected", share=self.resource_share)
         self.process.apply_resource_share(self.resource_share)
-        self.watcher.start(self._follow_successor(channel), "handover-heir", lambda _: self._on_successor_gone())
+        self.watcher.start(self._follow_successor(channel), "handover-successor", lambda _: self._on_successor_gone())
 
     async def _follow_successor(self, channel: socket.socket) -> None:
         """Read the successor's status lines until it ends."""
@@ -144,10 +144,10 @@
                 status = msgspec.json.decode(line, type=HandoverStatus)
                 if status.serving and not self.has_yielded:
                     self.has_yielded = True
-                    log.info("gave-way")
+                    log.info("handed-over")
                     self.process.pause_accepting()
         except (OSError, ValueError, msgspec.MsgspecError) as error:
-            log.warning("handover-failed", why=repr(error))
+            log.warning("handover-failed", reason=repr(error))
         self._on_successor_gone()
 
     def _on_successor_gone(self) -> None:
@@ -158,7 +158,7 @@
         if self._successor is not None:
             self._successor.transport.abort()
             self._successor = None
-        self._double_resource_share("heir-gone")
+        self._double_resource_share("successor-exited")
         if self.has_yielded:
             self.has_yielded = False
             # The successor took the socket's name over, and the next new process would find no listener behind it.
--- a/starlingthread/net/clients/connection.py
+++ b/starlingthread/net/clients/connection.py
@@ -97,7 +97,7 @@
             return
         if state.partial_since is not None:
             if now - state.partial_since >= COMMAND_TIMEOUT_MS and not self._is_reading_paused():
-                self.listener.counters.increment("clients.midway")
+                self.listener.counters.increment("clients.partial_command_timeout")
                 self.requests.fail_partial_command()
             return
         allowed_ms = SHORT_IDLE_TIMEOUT_MS if crowded or not state.commands else IDLE_TIMEOUT_MS
--- a/starlingthread/net/clients/listener.py
+++ b/starlingthread/net/clients/listener.py
@@ -109,7 +109,7 @@
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.counters.increment("clients.accepted")
         if len(self.connections) >= self.max_clients and not self._evict_one():
-            self.counters.increment("clients.turned_away")
+            self.counters.increment("clients.rejected")
             writer.transport.abort()
             return
         limit_read_size(writer, READ_BYTES)
@@ -173,7 +173,7 @@
         return [(rank, actor) for actor in self.connections if (rank := actor.eviction_rank(now)) is not None]
 
     def _evict(self, actor: ClientConnectionActor) -> None:
-        self.counters.increment("clients.shed")
+        self.counters.increment("clients.evicted")
         actor.evict()
 
     # graceful shutdown
--- a/starlingthread/net/clients/requests.py
+++ b/starlingthread/net/clients/requests.py
@@ -56,7 +56,9 @@
             self._fail_incoming_value(item)
             return
         if self._state.disconnected and isinstance(item, meta.Command):
-            listener.counters.increment("clients.left_unread")  # its client has closed: nobody awaits the answer
+            listener.counters.increment(
+                "clients.disconnected_unread"
+            )  # its client has closed: nobody awaits the answer
             return
         slot = self._responses.append()
         self._state.last_used_at = listener.clock.now()
@@ -80,7 +82,7 @@
             return
         if command.request_id in listener.open_ids:
             # Guards the request that is open: two of one id could not be told apart, here or at a server.
-            listener.counters.increment("clients.id_taken")
+            listener.counters.increment("clients.duplicate_id")
             self._respond_malformed(slot, meta.client_error("id in use"))
             return
         listener.open_ids.add(command.request_id)
--- a/starlingthread/net/clients/writer.py
+++ b/starlingthread/net/clients/writer.py
@@ -53,7 +53,7 @@
         self._streaming = None
         self._state.last_used_at = self._listener.clock.now()
         if not pipe.complete or pipe.abandoned:
-            self._listener.counters.increment("clients.value_broke_off")
+            self._listener.counters.increment("clients.value_aborted")
             self._writer.transport.abort()
             raise ConnectionAbortedError
 
@@ -81,5 +81,5 @@
 
     def _cut_off(self) -> None:
         if not self._writer.transport.is_closing() or self._writer.transport.get_write_buffer_size():
-            self._listener.counters.increment("clients.cut_off")
+            self._listener.counters.increment("clients.write_stalled")
             self._writer.transport.abort()
--- a/starlingthread/net/discovery/actor.py
+++ b/starlingthread/net/discovery/actor.py
@@ -114,10 +114,10 @@
         """Leave discovery's old address and repeat all pending calls at the new one, at once."""
         self.mailbox.must_put(ChangeAddress(address))
 
-    def report_failure(self, why: str) -> None:
+    def report_failure(self, reason: str) -> None:
         """Report a failed call to the router; where lists are pushed, retry the watch after a backoff."""
-        self.counters.increment("registry.failures")
-        log.info("registry-failed", why=why)
+        self.counters.increment("discovery.failures")
+        log.info("discovery-failed", reason=reason)
         self.router.mailbox.must_put(EndpointsReceived(EndpointList(EndpointListKind.FAILED, self.version), {}))
         if self.pushed:
             self.deadlines.set(self.clock.now() + self._next_backoff(), self._retry_watch)
@@ -181,9 +181,9 @@
             self._start_fetch()
 
     def _start_call(self, path: str, is_watch: bool) -> asyncio.Task[None]:
-        self.counters.increment("registry.watches" if is_watch else "registry.fetches")
+        self.counters.increment("discovery.watches" if is_watch else "discovery.fetches")
         work = self._run_call(path, is_watch)
-        return self.watcher.start(work, "registry-call", lambda error: self.report_failure(repr(error)))
+        return self.watcher.start(work, "discovery-call", lambda error: self.report_failure(repr(error)))
 
     async def _run_call(self, path: str, is_watch: bool) -> None:
         """Make one call. A poll reports one list or one failure; a watch any number of lists, then one failure."""
@@ -213,20 +213,20 @@
         if event.kind == EndpointListKind.DELTA and event.version < self.version:
             known = self.version
             self.version = 0  # discovery has restarted its count: the next call fetches the whole list
-            raise EndpointListError(f"changes for version {event.version}, we have {known}")
+            raise EndpointListError(f"changes for version {event.version}, but the list has version {known}")
         self.version = event.version
         self._update_listed(event)
         self.parser.ids.retain(self._listed)
         self._consecutive_failures = 0
-        self.counters.increment("registry.lists")
+        self.counters.increment("discovery.lists")
         self.router.mailbox.must_put(listing)
 
     def _parse_json(self, text: bytes) -> object:
         try:
             raw: object = json.loads(text)
         except (ValueError, RecursionError) as error:
-            self.counters.increment("registry.bad_json")
-            raise EndpointListError(f"bad JSON: {error}") from None
+            self.counters.increment("discovery.bad_json")
+            raise EndpointListError(f"invalid JSON: {error}") from None
         return raw
 
     def _update_listed(self, event: EndpointList) -> None:
--- a/starlingthread/net/discovery/call.py
+++ b/starlingthread/net/discovery/call.py
@@ -72,7 +72,7 @@
     def finish(self, is_complete: bool) -> None:
         """Pass the list on; raise DiscoveryCallError if the response broke off."""
         if not is_complete:
-            raise DiscoveryCallError("closed")
+            raise DiscoveryCallError("connection closed")
         self._on_list(bytes(self._body))
 
 
@@ -102,11 +102,11 @@
         if not continues_list:
             self._list_began_at = now
         if self._objects.has_partial_object() and now - self._list_began_at > LIST_TIMEOUT_MS:
-            raise DiscoveryCallError("list not finished")
+            raise DiscoveryCallError("incomplete list")
 
     def finish(self, is_complete: bool) -> NoReturn:
         """Raise DiscoveryCallError: a watch is not supposed to end."""
-        raise DiscoveryCallError("watch ended")
+        raise DiscoveryCallError("watch closed")
 
 
 class DiscoveryCall:
@@ -134,7 +134,7 @@
         except asyncio.CancelledError:
             if not silence.expired:
                 raise
-            raise DiscoveryCallError("silent") from None
+            raise DiscoveryCallError("read timeout") from None
         finally:
             silence.stop()
             if writer is not None:
@@ -161,7 +161,7 @@
                 response.feed(bytes(event.data))
                 silence.restart(response.silence_timeout)
                 if response.buffered > MAX_LIST_BYTES:
-                    raise DiscoveryCallError("list too long")
+                    raise DiscoveryCallError("list too large")
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 response.finish(is_complete=isinstance(event, h11.EndOfMessage))
                 return
--- a/starlingthread/net/discovery/json_stream.py
+++ b/starlingthread/net/discovery/json_stream.py
@@ -38,7 +38,7 @@
             yield from self._take_single_lines()
         while (token := _TOKEN.search(self._buffer, self._scanned)) is not None:
             if self._depth == 0 and (token[0] != b"{" or self._buffer[: token.start()].strip()):
-                raise EndpointListError("not an object")
+                raise EndpointListError("not a JSON object")
             if token[0] == b'"':
                 self._check_open_string(token.end())
                 break
@@ -70,9 +70,9 @@
     def _check_open_string(self, start: int) -> None:
         """Raise if a string that is not closed yet can't be closed any more, as its line has ended."""
         if b"\n" in self._buffer[start:]:
-            raise EndpointListError("a string that does not end")
+            raise EndpointListError("unterminated string")
 
     def _drop_whitespace(self) -> None:
         if self._buffer.strip():
-            raise EndpointListError("not an object")
+            raise EndpointListError("not a JSON object")
         self._buffer.clear()
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -54,7 +54,7 @@
             keys = read_peer_keys(members)
             _check_drained_zones(options, zone_names)
         except (TopologyError, PeerKeyError) as error:
-            log.error("failover-failed", why=str(error))
+            log.error("failover-failed", reason=str(error))
             return
         if topology.unknown_zones:
             log.warning("failover-unknown-zones", zones=",".join(topology.unknown_zones))
@@ -83,7 +83,9 @@
         if enabled:
             self.peers.handlers[VERSION] = self._on_datagram
         else:
-            log.warning("failover-alone", why="messages between routers are not allowed, or there are no others")
+            log.warning(
+                "failover-uncoordinated", reason="messages between routers are not allowed, or there are no others"
+            )
             self.peers.handlers.pop(VERSION, None)
 
     def stop(self) -> None:
@@ -146,10 +148,10 @@
 
     def _log_change(self, change: PlanChange) -> None:
         log.warning(
-            "zone-lost" if change.lost else "zone-back",
+            "zone-lost" if change.lost else "zone-recovered",
             zone=self._zone_name(change.zone),
-            lost=change.lost_votes,
-            words=change.votes,
+            lost_votes=change.lost_votes,
+            votes=change.votes,
         )
 
 
@@ -159,4 +161,4 @@
 
     unknown = sorted(set(options.drained_zones) - set(zone_names))
     if unknown:
-        raise TopologyError(f"closed: no zone {unknown[0]!r} in the configuration")
+        raise TopologyError(f"drained_zones: no zone {unknown[0]!r} in the configuration")
--- a/starlingthread/net/management.py
+++ b/starlingthread/net/management.py
@@ -157,7 +157,7 @@
     async def _send(self, response: Response) -> None:
         self.is_answered = True
         is_success = response.status < HTTPStatus.BAD_REQUEST
-        self.server.counters.increment("management.yes" if is_success else "management.no")
+        self.server.counters.increment("management.succeeded" if is_success else "management.rejected")
         self.writer.write(_encode(response))
         timeout = self.server.deadlines.set(self.server.clock.now() + RESPONSE_TIMEOUT_MS, self.abort)
         try:
@@ -174,7 +174,7 @@
 
     def abort(self) -> None:
         """Close at once, without flushing, and count it."""
-        self.server.counters.increment("management.cut")
+        self.server.counters.increment("management.aborted")
         self.writer.transport.abort()
 
 
@@ -210,7 +210,7 @@
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Accept a connection; at the limit, evict the oldest one that has not been answered yet."""
         if len(self.connections) >= self.max_connections:
-            self.counters.increment("management.crowded")
+            self.counters.increment("management.evicted")
             oldest = min(self.connections, key=lambda connection: connection.is_answered)
             del self.connections[oldest]
             oldest.abort()
--- a/starlingthread/net/members.py
+++ b/starlingthread/net/members.py
@@ -46,7 +46,7 @@
         try:
             keys = read_peer_keys(options) if enabled else ()
         except PeerKeyError as error:
-            log.error("members-failed", why=str(error))
+            log.error("membership-failed", reason=str(error))
             return
         previous, self._options = self._options, options
         if not enabled:
@@ -59,10 +59,10 @@
 
     def _can_run(self, allowed: bool) -> bool:
         if not allowed:
-            log.warning("members-off", why="messages between routers are not allowed")
+            log.warning("membership-disabled", reason="messages between routers are not allowed")
             return False
         if len(self.peers.peers) < 2:
-            log.warning("members-off", why="the configuration names no other routers")
+            log.warning("membership-disabled", reason="the configuration names no other routers")
             return False
         return True
 
@@ -125,5 +125,5 @@
         if changes:
             self.on_change()
         for change in changes:
-            log.info(LOG_EVENTS[change.state], router=change.member, alive=alive, of=membership.member_count)
+            log.info(LOG_EVENTS[change.state], router=change.member, alive=alive, total=membership.member_count)
         self._timer.restart(membership.next_tick_at)
--- a/starlingthread/net/peers.py
+++ b/starlingthread/net/peers.py
@@ -57,11 +57,11 @@
         """Route a message; one from an unknown address, or too long for a peer's, is counted and dropped."""
         sender = self._index_by_address.get((addr[0], addr[1]))
         if sender is None or len(data) > MAX_MESSAGE_BYTES or sender == self.router_index:
-            self.counters.increment("peers.stray")
+            self.counters.increment("peers.unknown_sender")
             return
         handler = self.handlers.get(data[0]) if data else None
         if handler is not None:
-            self.counters.increment("peers.taken")
+            self.counters.increment("peers.control_received")
             handler(sender, data)
         elif self.router.mailbox.put(PeerMessage(sender, data)):
             self.counters.increment("peers.received")
@@ -73,7 +73,7 @@
     def send(self, peer: int | None, payload: bytes) -> None:
         """Send a message to one router, or to all others (None)."""
         if self.transport is None or len(payload) > MAX_MESSAGE_BYTES:
-            self.counters.increment("peers.unsent")
+            self.counters.increment("peers.not_sent")
             return
         for address in self._targets(peer):
             self.transport.sendto(payload, address)
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -134,7 +134,7 @@
         if not self.opener.complete(exchange, connection):
             return
         if connection is None:
-            self._context.counters.increment("connections.refused")
+            self._context.counters.increment("connections.connect_failed")
             self.reporter.report(exchange, AttemptResult.CONNECT_FAILED)
             return
         self._context.counters.increment("connections.opened")
@@ -154,7 +154,7 @@
         if exchange in self.opener.pending and is_handled_late(self._context.clock, due):
             self.opener.extend(exchange)
         elif self.opener.cancel(exchange):
-            self._context.counters.increment("connections.late")
+            self._context.counters.increment("connections.connect_timeout")
             self.reporter.report(exchange, AttemptResult.CONNECT_FAILED)
 
     def _abandon(self, exchange: Exchange) -> None:
@@ -205,7 +205,7 @@
                 "bad-answer",
                 server=f"{connection.address[0]}:{connection.address[1]}",
                 kind=answer.kind.name,
-                says=repr(b"".join(answer.parts)[:MAX_LOGGED_ANSWER]),
+                received=repr(b"".join(answer.parts)[:MAX_LOGGED_ANSWER]),
             )
 
     def _on_health_check_answer(
--- a/starlingthread/net/upstreams/reader.py
+++ b/starlingthread/net/upstreams/reader.py
@@ -57,7 +57,7 @@
         if is_partial and not connection.awaiting_response:
             connection.out_of_sync = True
         if connection.out_of_sync:
-            self._context.counters.increment("servers.stray_answers")
+            self._context.counters.increment("servers.unexpected_answers")
             return False
         if is_partial or connection.read_timer is not None:
             self.set_read_timeout(connection, is_partial, is_recheck=False)
--- a/starlingthread/router_process/configuration.py
+++ b/starlingthread/router_process/configuration.py
@@ -41,10 +41,10 @@
         except ConfigError as error:
             self._counters.increment("reloads.failed")
             self._actors.router.telemetry.reconfig_failed += 1
-            log.error("reload-failed", why=one_line(error))
+            log.error("reload-failed", reason=one_line(error))
             self._apply_options_alone()
             return
-        self._counters.increment("reloads.done")
+        self._counters.increment("reloads.succeeded")
         self._actors.router.telemetry.reconfig_ok += 1
         self._apply_config(new)
 
@@ -71,8 +71,8 @@
         try:
             new = options_file.read(options_file.find_file())
         except options_file.OptionsError as error:
-            self._counters.increment("reloads.options_failed")
-            log.error("options-failed", why=one_line(error))
+            self._counters.increment("reloads.options_invalid")
+            log.error("options-invalid", reason=one_line(error))
             return
         self.options = new
         self._log_writer.apply_options(new.log)
--- a/starlingthread/router_process/process.py
+++ b/starlingthread/router_process/process.py
@@ -142,7 +142,7 @@
                 unused.close()
 
     def _run_discovery(self) -> None:
-        self.watcher.start(self.actors.discovery.run(), "registry", self._restart_discovery)
+        self.watcher.start(self.actors.discovery.run(), "discovery", self._restart_discovery)
 
     def _restart_discovery(self, error: BaseException) -> None:
         self.actors.discovery.report_failure(repr(error))
--- a/starlingthread/router_process/shutdown.py
+++ b/starlingthread/router_process/shutdown.py
@@ -28,7 +28,7 @@
     try:
         await asyncio.wait_for(clients.drain(answer_by), max(DRAIN_TIMEOUT_S, longest_deadline / 1000.0))
     except TimeoutError:
-        log.warning("stopped-late", **{"requests.open": len(router.requests)})
+        log.warning("shutdown-timeout", **{"requests.open": len(router.requests)})
         router.fail_all()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(clients.drain(answer_by), FAIL_TIMEOUT_S)
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -157,7 +157,7 @@
             discovery.close()
         return now.log
 
-    assert counted(asyncio.run(play()), "clients.shed") > 3 * SOCKETS
+    assert counted(asyncio.run(play()), "clients.evicted") > 3 * SOCKETS
 
 
 FLOODS = {
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -27,7 +27,7 @@
             await client.send(b"".join(read_command(n) for n in range(MAX_PIPELINED + 4)))
             await until(lambda: harness.counters["attempts.started"] == MAX_PIPELINED)
             getattr(client, disconnect)()
-            await until(lambda: harness.counters["requests.withdrawn"] == MAX_PIPELINED)
+            await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED)
             await step()
             assert harness.counters["attempts.started"] == MAX_PIPELINED and not harness.router.requests
 
@@ -49,7 +49,7 @@
             await step()
             harness.router.clock._base += limits.DISCONNECT_CHECK_INTERVAL_MS
             harness.router.mailbox.wake()
-            await until(lambda: harness.counters["requests.withdrawn"] == MAX_PIPELINED)
+            await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED)
             await until(lambda: not harness.program.actors.clients.connections)
             assert harness.counters["attempts.started"] == MAX_PIPELINED and not harness.router.requests
 
@@ -79,7 +79,7 @@
             )
             await step()
             client.half_close()  # it reads nothing, so the writer goes on waiting
-            await until(lambda: harness.counters["requests.withdrawn"] == 1)
+            await until(lambda: harness.counters["requests.cancelled"] == 1)
             assert not harness.router.requests and actor in harness.program.actors.clients.connections
 
     asyncio.run(play())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -82,7 +82,7 @@
         await harness.settle()
         assert not harness.writer.transport.closed
         harness.listener.deadlines.sweep(harness.listener.clock.now() + 10000.0)
-        assert harness.writer.transport.closed and harness.listener.counters["clients.cut_off"] == 1
+        assert harness.writer.transport.closed and harness.listener.counters["clients.write_stalled"] == 1
 
     run_client_script(script)
 
@@ -137,7 +137,7 @@
         await harness.settle()
         assert {harness.actor, *active} == harness.listener.connections
         harness.listener._accept(asyncio.StreamReader(), (last := Writer()))  # type: ignore[arg-type]
-        assert last.transport.closed and harness.listener.counters["clients.turned_away"] == 1
+        assert last.transport.closed and harness.listener.counters["clients.rejected"] == 1
 
     run_client_script(script)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -123,7 +123,7 @@
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             await watch.send(chunk(b"\n\n" + listing(3, one, full=False, indent=indent)))
             await until(lambda: server_states(harness)["s-1"] == ServerState.READY)
-            assert harness.counters["registry.failures"] == 0
+            assert harness.counters["discovery.failures"] == 0
 
     asyncio.run(play())
 
@@ -139,7 +139,7 @@
             await watch.send(listing(2, one, full=False) + listing(3, two, full=False)[:-9])
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             watch.reset()
-            await until(lambda: harness.counters["registry.failures"] == 1)
+            await until(lambda: harness.counters["discovery.failures"] == 1)
             await step()
             assert server_states(harness)["s-2"] == ServerState.READY
 
@@ -158,7 +158,7 @@
             good = listing(2, {**one, "status": "terminating"}, full=False) + b"\n"
             await watch.send(chunk(good + spoilt))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
-            await until(lambda: harness.counters["registry.failures"] == 1)
+            await until(lambda: harness.counters["discovery.failures"] == 1)
 
     asyncio.run(play())
 
@@ -177,7 +177,7 @@
             await step()
             harness.router.clock._base += LIST_TIMEOUT_MS / 2 + 1.0
             await watch.send(chunk(b" "))
-            await until(lambda: harness.counters["registry.failures"] == 1)
+            await until(lambda: harness.counters["discovery.failures"] == 1)
 
     asyncio.run(play())
 
@@ -232,17 +232,17 @@
     async def play() -> None:
         async with running_router(tmp_path) as harness:
             _watch = await open_watch(harness)
-            await until(lambda: harness.counters["registry.watches"] == 1)
+            await until(lambda: harness.counters["discovery.watches"] == 1)
             await step()
             harness.router.clock._base += 2400.0  # it says something every 2 s
             harness.router.mailbox.wake()
             await step()
-            assert harness.counters["registry.failures"] == 0
+            assert harness.counters["discovery.failures"] == 0
             for _ in range(200):  # in small steps, as a look that is late by itself does not count
                 harness.router.clock._base += 1.0
                 harness.router.mailbox.wake()
                 await step(3)
-            assert harness.counters["registry.failures"] == 1
+            assert harness.counters["discovery.failures"] == 1
 
     asyncio.run(play())
 
@@ -259,7 +259,7 @@
             await watch.send(chunk(listing(2, {**one, "status": "terminating"}, full=False)))
             harness.router.deadlines.sweep(harness.router.clock.now())
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
-            assert harness.counters["registry.failures"] == 0
+            assert harness.counters["discovery.failures"] == 0
 
     asyncio.run(play())
 
@@ -276,7 +276,7 @@
             one, _ = harness.entries()
             await watch.send(chunk(listing(2, {**one, "status": "terminating"}, full=False)))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
-            assert harness.counters["registry.watches"] == 1
+            assert harness.counters["discovery.watches"] == 1
 
     asyncio.run(play())
 
@@ -291,9 +291,9 @@
             harness.program.actors.discovery.set_address(("127.0.0.1", harness.discovery.port))
             new = await accept_watch(harness)
             await new.send(chunk(listing(2, *harness.entries())))
-            await until(lambda: harness.counters["registry.lists"] >= 1)
+            await until(lambda: harness.counters["discovery.lists"] >= 1)
             await step()
             assert server_states(harness)["s-1"] == ServerState.READY and harness.program.actors.discovery.version == 2
-            assert harness.counters["registry.failures"] == 0
+            assert harness.counters["discovery.failures"] == 0
 
     asyncio.run(play())
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -75,7 +75,7 @@
             await asyncio.Event().wait()
 
         registry._run_call = speak  # type: ignore[method-assign]
-        registry.watcher.start(registry.run(), "registry", lambda _: None)
+        registry.watcher.start(registry.run(), "discovery", lambda _: None)
         registry.watch(True)
         registry.fetch()
         await asyncio.sleep(0.0)
@@ -87,7 +87,7 @@
         paths = [f"{LIST_PATH}?watch=1&after=0", LIST_PATH]
         assert spoken == [(port, path) for port in (1, 2) for path in paths]
         assert old is not None and old.cancelled() and fetch.cancelled()
-        assert registry.counters["registry.failures"] == 0
+        assert registry.counters["discovery.failures"] == 0
         assert not place.router.mailbox.take()
         await registry.watcher.stop()
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -134,7 +134,7 @@
         assert " event=started " in started and " servers=9" in started
     own.write_text('[log]\nformat = "xml"\n')
     router.send_signal(signal.SIGHUP)
-    assert "log.format" in until("options-failed")
+    assert "log.format" in until("options-invalid")
     until("reloaded")  # each reload is over before the next signal: two that wait count as one
     own.write_text('[log]\nformat = "text"\n')
     router.send_signal(signal.SIGHUP)
@@ -150,7 +150,7 @@
     own.write_text("[membership]\nenabled = true\n")
     router.send_signal(signal.SIGHUP)
     until("reload-failed")
-    assert "not allowed" in until("members-off")
+    assert "not allowed" in until("membership-disabled")
     began = time.monotonic()
     router.send_signal(signal.SIGTERM)
     assert router.wait(10) == 0 and time.monotonic() - began < 5
--- a/tests/test_failover_process.py
+++ b/tests/test_failover_process.py
@@ -52,7 +52,7 @@
 servers = [1, 4, 7]
 from_zone = "bloco-a"
 """
-LINE = re.compile(r"(zone-lost|zone-back).*?\bzone=(\S+)")
+LINE = re.compile(r"(zone-lost|zone-recovered).*?\bzone=(\S+)")
 
 
 def said(folder: Path, faults: str, *settings: str) -> list[list[tuple[str, str]]]:
@@ -65,7 +65,7 @@
 def test_all_routers_leave_a_dark_zone_and_take_it_back_and_a_restarted_one_takes_up_the_plan(tmp_path: Path) -> None:
     for me, own in enumerate(said(tmp_path, DARK)):
         # It flaps: lost and back twice, the same at all; the one that is killed while it is lost takes that up anew.
-        expected = [("zone-lost", "bloco-b"), ("zone-back", "bloco-b")] * 2
+        expected = [("zone-lost", "bloco-b"), ("zone-recovered", "bloco-b")] * 2
         assert own == ([("zone-lost", "bloco-b")] if me == 1 else []) + expected, (me, own)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -269,8 +269,8 @@
         old.pause_receiving()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             sender.sendto(b"x", old.socket.getsockname())
-            await until(lambda: new.counters["peers.stray"] == 1)
-        assert old.counters["peers.stray"] == 0
+            await until(lambda: new.counters["peers.unknown_sender"] == 1)
+        assert old.counters["peers.unknown_sender"] == 0
         old.close()
         new.close()
 
--- a/tests/test_lingering_close.py
+++ b/tests/test_lingering_close.py
@@ -67,7 +67,7 @@
             assert await client.receive() == b""  # our end of file
             await client.send(read_command(1))
             await step()
-            assert harness.counters["requests.taken"] == 0 and len(harness.program.actors.clients.connections) == 1
+            assert harness.counters["requests.received"] == 0 and len(harness.program.actors.clients.connections) == 1
             client.half_close()
             await until(lambda: not harness.program.actors.clients.connections)
             assert await client.receive() == b"" and harness.counters["attempts.started"] == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -233,7 +233,7 @@
         assert [t for t in site.came["s-1"] if t > back_at]
         assert max(count for count, _ in usage) <= SOCKETS and max(size for _, size in usage) <= MEMORY, usage
         log = (tmp_path / "log-1").read_text()
-        assert "elder-gone" in log and "gave-way" in (tmp_path / "log-0").read_text()
+        assert "predecessor-exited" in log and "handed-over" in (tmp_path / "log-0").read_text()
         print(f"turned back {load.ends}; descriptors {max(c for c, _ in usage)}, MB {max(m for _, m in usage):.0f}")
 
     asyncio.run(play())
