--- a/starlingthread/net/clients/requests.py
+++ b/starlingthread/net/clients/requests.py
@@ -56,9 +56,8 @@
             self._fail_incoming_value(item)
             return
         if self._state.disconnected and isinstance(item, meta.Command):
-            listener.counters.increment(
-                "clients.disconnected_unread"
-            )  # its client has closed: nobody awaits the answer
+            # Its client has closed, so nobody awaits the answer.
+            listener.counters.increment("clients.disconnected_unread")
             return
         slot = self._responses.append()
         self._state.last_used_at = listener.clock.now()
