--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -120,7 +120,7 @@
         for listener in now.servers:
             listener.close()
     assert now.process.returncode == 0
-    assert counted(now.log, "clients.shed") >= now.evictions
+    assert counted(now.log, "clients.evicted") >= now.evictions
     for bad in ("Traceback", "Too many open files", "actor-died", "module-error"):
         assert bad not in now.log
 
