--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -32,6 +32,8 @@
     assert exists("net/") and exists("README.md") and not exists("peers.py") and not exists("core/router/")
 
 
-@pytest.mark.parametrize("page", [page for page in PAGES if page.name not in HISTORY], ids=lambda page: page.stem)
+@pytest.mark.parametrize(
+    "page", [page for page in PAGES if page.name not in HISTORY], ids=lambda page: str(page.relative_to(ROOT))
+)
 def test_files_and_folders_named_in_a_page_exist(page: Path) -> None:
     assert [path for path in sorted(quoted_paths(page.read_text(encoding="utf-8"))) if not exists(path)] == []
