--- a/starlingthread/baselines/__init__.py
+++ b/starlingthread/baselines/__init__.py
@@ -1,1 +1,1 @@
-"""Baselines for the router: other ways to choose a server, for the emulator alone. ``serve`` never imports this."""
+"""Baselines for the router: other ways to choose a server, for comparisons. The router itself never imports them."""
--- a/starlingthread/baselines/policies.py
+++ b/starlingthread/baselines/policies.py
@@ -148,6 +148,8 @@
     """Return the decision module with another choice of a server, or another load estimate."""
 
     class BaselineBalancer(Balancer):
+        """The decision module with the parts given."""
+
         server_choice_class = choice
         load_estimate_class = load
 
--- a/starlingthread/policy/server_choice.py
+++ b/starlingthread/policy/server_choice.py
@@ -18,6 +18,14 @@
 ORIGIN_PRESSURE_PRICE = 2.0  # latency objectives that a fetch costs more at full pressure on the origin
 
 
+class KeyAffinity(NamedTuple):
+    """Where a request's key belongs."""
+
+    counts: dict[int, AffinityCount]  # by server
+    owners: list[Owner]
+    rarity: float  # logarithm of the fleet's size relative to the number of counted servers, as in tf-idf
+
+
 class Candidate(NamedTuple):
     """How a server became a candidate."""
 
@@ -47,14 +55,7 @@
 
         key_state is that of the request's key, None for a request without a key.
         """
-        counts: dict[int, AffinityCount] = {}
-        owners: list[Owner] = []
-        if key_state is not None:
-            counts = self.affinity.current_counts(now, key_state)
-            owners = self.affinity.owners(now, key_state, state.request)
-            if key_state.owners.spread:  # a hot key stays at this router's part of its owners
-                counts = {owner.number: counts[owner.number] for owner in owners if owner.number in counts}
-        rarity = math.log(max(1.0, len(self.fleet.ready) / len(counts))) if counts else 0.0
+        counts, owners, rarity = self._key_affinity(now, state, key_state)
         candidates = self._candidates(state, counts, owners, rarity)
         miss_cost = self._miss_cost(now, state.request_class)
         time_limit = self.load.time_limit(now, state)
@@ -77,6 +78,16 @@
                 state.owner_group = None if affinity_count.request_count else candidate.owner_group
         return best
 
+    def _key_affinity(self, now: float, state: RequestState, key_state: KeyState | None) -> KeyAffinity:
+        if key_state is None:
+            return KeyAffinity({}, [], 0.0)
+        counts = self.affinity.current_counts(now, key_state)
+        owners = self.affinity.owners(now, key_state, state.request)
+        if key_state.owners.spread:  # a hot key stays at this router's part of its owners
+            counts = {owner.number: counts[owner.number] for owner in owners if owner.number in counts}
+        rarity = math.log(max(1.0, len(self.fleet.ready) / len(counts))) if counts else 0.0
+        return KeyAffinity(counts, owners, rarity)
+
     def _candidates(
         self, state: RequestState, counts: dict[int, AffinityCount], owners: list[Owner], rarity: float
     ) -> dict[int, Candidate]:
