--- a/starlingthread/limits/replicas.py
+++ b/starlingthread/limits/replicas.py
@@ -2,9 +2,9 @@
 
 A key that is cached at several servers is fetched several times, so under overload the replicas themselves overload the
 origin, what is rejected for that is cached nowhere, and the fetches never end: a feedback loop that outlasts its cause
-(docs/design/copies.md). So the number of replicas follows the share of fetches that the origin cannot serve. It changes
-key by key, in an order that is the same at every router, so that two routers whose levels differ a little disagree on
-few keys.
+(docs/design/replicas.md). So the number of replicas follows the share of fetches that the origin cannot serve. It
+changes key by key, in an order that is the same at every router, so that two routers whose levels differ a little
+disagree on few keys.
 """
 
 from __future__ import annotations
