--- a/starlingthread/core/request_table.py
+++ b/starlingthread/core/request_table.py
@@ -44,7 +44,7 @@
         request.requester.answer(request, answer)
         self.remove_if_done(request)
 
-    def withdraw(self, request: PendingRequest) -> None:
+    def cancel(self, request: PendingRequest) -> None:
         """Finish a request whose client has disconnected, without an answer."""
         self._close(request)
         self._counters.increment("requests.cancelled")
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -250,7 +250,7 @@
     def _on_disconnected(self, request: PendingRequest) -> None:
         if request.finished:
             return
-        self._table.withdraw(request)
+        self._table.cancel(request)
         if request.id:
             self._decide(RequestCancelled(request.id))
             self._table.remove_if_done(request)
--- a/starlingthread/net/clients/connection.py
+++ b/starlingthread/net/clients/connection.py
@@ -132,7 +132,7 @@
         self.responses.mailbox.wake()
 
     def close(self) -> None:
-        """Release the connection, here and nowhere else; requests in flight are withdrawn."""
+        """Release the connection, here and nowhere else; requests in flight are cancelled."""
         self.requests.close()
         self._on_closed(self)
         self._response_writer.close()
--- a/starlingthread/net/clients/writer.py
+++ b/starlingthread/net/clients/writer.py
@@ -62,7 +62,7 @@
 
     async def _drain(self) -> None:
         """Wait for a slow client, for a while: its responses take memory, and its connection a descriptor."""
-        timer = self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._cut_off)
+        timer = self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._abort_stalled)
         try:
             await self._writer.drain()
         finally:
@@ -77,9 +77,10 @@
         """Close the stream; what is unsent still goes out, within a time."""
         self._writer.close()
         if self._writer.transport.get_write_buffer_size():
-            self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._cut_off)
+            self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._abort_stalled)
 
-    def _cut_off(self) -> None:
+    def _abort_stalled(self) -> None:
+        """Abort the connection of a client that has read too slowly, unless all of its responses are sent."""
         if not self._writer.transport.is_closing() or self._writer.transport.get_write_buffer_size():
             self._listener.counters.increment("clients.write_stalled")
             self._writer.transport.abort()
