--- a/starlingthread/analysis/comparison.py
+++ b/starlingthread/analysis/comparison.py
@@ -7,6 +7,7 @@
 import msgspec
 import numpy as np
 
+from .evenness import EVENNESS_LABELS
 from .results import ClassResult, Results, RouterResult
 
 EVENNESS_FIGURES = (
@@ -20,9 +21,9 @@
 )
 LATENCY_PERCENTILES = ("50", "99", "99.9")
 ROUTER_FIGURES = (
-    ("CPU µs a request", "cpu_us_per_request"),
-    ("memory MB, most", "peak_memory_mb"),
-    ("descriptors, most", "peak_descriptors"),
+    ("CPU per request, µs", "cpu_us_per_request"),
+    ("peak memory, MB", "peak_memory_mb"),
+    ("peak descriptors", "peak_descriptors"),
 )
 
 
@@ -42,15 +43,15 @@
 def compare(before: Results, after: Results) -> list[Change]:
     """Return the figures of two runs beside each other; classes that only one of them has are left out."""
     changes = [
-        Change("worth share", before.goodput_share, after.goodput_share),
-        Change("attempts a request", before.attempts_per_request, after.attempts_per_request),
-        Change("hit share", before.hit_share, after.hit_share),
+        Change("goodput share", before.goodput_share, after.goodput_share),
+        Change("attempts per request", before.attempts_per_request, after.attempts_per_request),
+        Change("cache hit ratio", before.hit_share, after.hit_share),
         Change("violations", sum(before.verdict.counts.values()), sum(after.verdict.counts.values())),
     ]
     if before.evenness is not None and after.evenness is not None:
         for field in EVENNESS_FIGURES:
             value_of = attrgetter(field)
-            changes.append(Change(field.replace("_", " "), value_of(before.evenness), value_of(after.evenness)))
+            changes.append(Change(EVENNESS_LABELS[field], value_of(before.evenness), value_of(after.evenness)))
     classes_after = {result.name: result for result in after.classes}
     for class_before in before.classes:
         if (class_after := classes_after.get(class_before.name)) is not None:
@@ -63,7 +64,7 @@
 
 
 def _class_changes(before: ClassResult, after: ClassResult) -> list[Change]:
-    changes = [Change(f"{before.name} worth share", before.goodput_share, after.goodput_share)]
+    changes = [Change(f"{before.name} goodput share", before.goodput_share, after.goodput_share)]
     changes.extend(
         Change(f"{before.name} p{name} ms", before.percentiles[name], after.percentiles[name])
         for name in LATENCY_PERCENTILES
--- a/starlingthread/analysis/evenness.py
+++ b/starlingthread/analysis/evenness.py
@@ -35,7 +35,7 @@
 Flags: TypeAlias = NDArray[np.bool_]
 
 
-class Evenness(msgspec.Struct):
+class Evenness(msgspec.Struct, rename={"peak_connections": "connections_most"}):
     """Load of the servers relative to their fair shares; 1 is even. Part of the results file."""
 
     busiest_1s: float = 0.0  # highest of any server in any second
@@ -50,7 +50,24 @@
     period_strength: float = 0.0  # its power over the highest that chance gives
     owners_differ: float = 0.0  # share of pairs of routers with different owners for a key
     connections: float = 0.0  # at a server, mean
-    connections_most: float = 0.0
+    peak_connections: float = 0.0
+
+
+EVENNESS_LABELS = {  # by field, as reports and comparisons show it
+    "busiest_1s": "peak load ratio in 1 s",
+    "busiest_10s": "peak load ratio in 10 s",
+    "busiest": "highest load ratio over the run",
+    "least": "lowest load ratio over the run",
+    "variation": "standard deviation of the load ratios",
+    "idle_servers": "servers idle at least once",
+    "idle_share": "share of the time idle",
+    "herd_index": "herd index",
+    "period_s": "strongest period, s",
+    "period_strength": "strength of that period",
+    "owners_differ": "owner disagreement",
+    "connections": "connections per server, mean",
+    "peak_connections": "connections per server, peak",
+}
 
 
 class _Period(NamedTuple):
@@ -91,7 +108,7 @@
         period_strength=period.strength,
         owners_differ=round(_owner_disagreement(ledger), 4),
         connections=round(float(np.mean(connections)), 1) if connections else 0.0,
-        connections_most=float(max(connections, default=0)),
+        peak_connections=float(max(connections, default=0)),
     )
 
 
--- a/starlingthread/analysis/plots.py
+++ b/starlingthread/analysis/plots.py
@@ -39,8 +39,8 @@
     """Return the plots of a run."""
     limits = results.scenario.routers
     return [
-        _plot("Worth served, with the faults marked", lambda axes: _draw_goodput(axes, results)),
-        _plot("Tail and losses", lambda axes: _draw_tail(axes, results)),
+        _plot("Goodput, with the faults marked", lambda axes: _draw_goodput(axes, results)),
+        _plot("Tail latency and losses", lambda axes: _draw_tail(axes, results)),
         _plot(
             "Latency by percentile, from when a request was due",
             lambda axes: _draw_latency_curve(axes, results),
@@ -107,10 +107,10 @@
 
 def _draw_goodput(axes: Axes, results: Results) -> None:
     at = [second.at for second in results.seconds]
-    axes.step(at, [second.offered for second in results.seconds], where="post", color="0.6", label="asked")
+    axes.step(at, [second.offered for second in results.seconds], where="post", color="0.6", label="offered")
     served = [second.served for second in results.seconds]
-    axes.fill_between(at, served, step="post", color="C0", alpha=0.6, label="served in time")
-    axes.set_ylabel("worth a second")
+    axes.fill_between(at, served, step="post", color="C0", alpha=0.6, label="goodput")
+    axes.set_ylabel("priority weight per second")
     axes.set_xlabel("s")
     axes.set_ylim(bottom=0)
     axes.legend(loc="lower left", fontsize=8)
@@ -121,7 +121,7 @@
     at = [second.at for second in results.seconds]
     axes.semilogy(at, [max(second.p99_ms, MIN_LOG_VALUE) for second in results.seconds], label="p99 ms")
     losses = [max(second.rejected + second.failed, MIN_LOG_VALUE) for second in results.seconds]
-    axes.step(at, losses, where="post", label="refused and failed, a second")
+    axes.step(at, losses, where="post", label="rejected and failed per second")
     axes.set_xlabel("s")
     axes.legend(loc="lower right", fontsize=8)
     _draw_faults(axes, results)
@@ -133,6 +133,6 @@
             tails = [1.0 / max(MIN_TAIL, 1.0 - percentile / 100.0) for percentile, _ in result.curve]
             axes.loglog(tails, [latency for _, latency in result.curve], marker=".", label=result.name)
     axes.set_xticks(list(PERCENTILE_TICKS), list(PERCENTILE_TICKS.values()))
-    axes.set_xlabel("percentile of what was served")
+    axes.set_xlabel("percentile of the served requests")
     axes.set_ylabel("ms")
     axes.legend(fontsize=8)
--- a/starlingthread/analysis/report.py
+++ b/starlingthread/analysis/report.py
@@ -7,6 +7,7 @@
 import msgspec
 from jinja2 import Environment
 
+from .evenness import EVENNESS_LABELS
 from .plots import plots_of
 from .results import Results
 
@@ -22,17 +23,19 @@
 </style></head><body>
 <h1>{{ r.scenario.name }}, seed {{ r.scenario.seed }}</h1>
 <p class="about">{{ r.scenario.about }}</p>
-<p><span class="big">{{ "%.1f" | format(100 * r.goodput_share) }}%</span> of the worth served ·
+<p><span class="big">{{ "%.1f" | format(100 * r.goodput_share) }}%</span> goodput
+(share of the offered priority weight) ·
 {{ r.requests }} requests, {{ "%.0f" | format(r.requests_per_s) }}/s ·
-{{ "%.2f" | format(r.attempts_per_request) }} attempts a request · hits {{ "%.1f" | format(100 * r.hit_share) }}%
-· {{ r.scenario.routers.count }} routers, {{ r.scenario.fleet.servers }} servers</p>
-{% for why in r.verdict.void %}<p class="bad">Void: {{ why }}</p>{% endfor %}
+{{ "%.2f" | format(r.attempts_per_request) }} attempts per request ·
+cache hits {{ "%.1f" | format(100 * r.hit_share) }}% ·
+{{ r.scenario.routers.count }} routers, {{ r.scenario.fleet.servers }} servers</p>
+{% for reason in r.verdict.void %}<p class="bad">Void: {{ reason }}</p>{% endfor %}
 {% if r.verdict.counts %}<p class="bad">Rules broken:
 {% for name, count in r.verdict.counts.items() %}{{ name }} ({{ count }}) {% endfor %}</p>
 {% elif not r.verdict.void %}<p class="good">No rule broken.</p>{% endif %}
 <h2>Classes</h2>
-<table><tr><th>class</th><th>requests</th><th>in time</th><th>late</th><th>refused</th><th>failed</th>
-<th>left</th><th>tries</th><th>worth</th><th>p50 ms</th><th>p99</th><th>p99.9</th><th>most</th></tr>
+<table><tr><th>class</th><th>requests</th><th>in time</th><th>late</th><th>rejected</th><th>failed</th>
+<th>cancelled by client</th><th>attempts</th><th>goodput</th><th>p50 ms</th><th>p99</th><th>p99.9</th><th>max</th></tr>
 {% for c in r.classes %}<tr><td>{{ c.name }}</td><td>{{ c.offered }}</td><td>{{ c.in_time }}</td>
 <td>{{ c.late }}</td><td>{{ c.rejected }}</td><td>{{ c.failed }}</td><td>{{ c.abandoned }}</td><td>{{ c.attempts }}</td>
 <td>{{ "%.3f" | format(c.goodput_share) }}</td>
@@ -40,26 +43,27 @@
 {% endfor %}</tr>{% endfor %}</table>
 {% for title, picture in pictures %}<h2>{{ title }}</h2>
 <img alt="{{ title }}" src="data:image/png;base64,{{ picture }}">{% endfor %}
-{% if r.evenness %}<h2>Evenness of the servers</h2><p class="about">Load against a server's part by its speed:
-1 is even. The herd index is the variance of arrivals in 50 ms over their mean: 1 by chance alone.</p><table>
-{% for name in r.evenness.__struct_fields__ %}<tr><td>{{ name.replace("_", " ") }}</td>
+{% if r.evenness %}<h2>Evenness of the servers</h2><p class="about">The load ratio is
+a server's load over its fair share by speed: 1 is even.
+The herd index is the variance of arrivals in 50 ms over their mean: 1 by chance alone.</p><table>
+{% for name, label in evenness_labels.items() %}<tr><td>{{ label }}</td>
 <td>{{ "%g" | format(r.evenness[name]) }}</td></tr>{% endfor %}</table>{% endif %}
 <h2>Routers</h2>
-<table><tr><th>router</th><th>requests</th><th>CPU µs a request</th><th>share of a core</th><th>memory MB</th>
-<th>descriptors</th></tr>
+<table><tr><th>router</th><th>requests</th><th>CPU per request, µs</th><th>CPU, cores</th><th>peak memory, MB</th>
+<th>peak descriptors</th></tr>
 {% for x in r.routers %}<tr><td>{{ x.name }}</td><td>{{ x.requests }}</td>
 <td>{{ "%.0f" | format(x.cpu_us_per_request) }}</td><td>{{ "%.2f" | format(x.cpu_share) }}</td>
 <td>{{ "%.1f" | format(x.peak_memory_mb) }}</td><td>{{ x.peak_descriptors }}</td></tr>{% endfor %}</table>
-{% if r.faults %}<h2>Faults</h2><table><tr><th>fault</th><th>kind</th><th>from s</th><th>to s</th><th>at</th></tr>
+{% if r.faults %}<h2>Faults</h2><table><tr><th>fault</th><th>kind</th><th>from s</th><th>to s</th><th>targets</th></tr>
 {% for f in r.faults %}<tr><td>{{ f.label }}</td><td>{{ f.kind }}</td><td>{{ "%.1f" | format(f.began_at) }}</td>
 <td>{{ "%.1f" | format(f.ended_at) }}</td><td>{{ f.target }}</td></tr>{% endfor %}</table>{% endif %}
-{% if r.verdict.violations %}<h2>Violations</h2><table><tr><th>rule</th><th>s</th><th>router</th><th>request</th>
-<th>what</th></tr>{% for v in r.verdict.violations %}<tr><td>{{ v.rule }}</td><td>{{ v.at_s }}</td>
+{% if r.verdict.violations %}<h2>Violations</h2><table><tr><th>rule</th><th>at s</th><th>router</th><th>request</th>
+<th>description</th></tr>{% for v in r.verdict.violations %}<tr><td>{{ v.rule }}</td><td>{{ v.at_s }}</td>
 <td>{{ v.router }}</td><td><code>{{ v.request }}</code></td><td>{{ v.text }}</td></tr>{% endfor %}</table>{% endif %}
-<h2>Counts</h2><table>
+<h2>Counters</h2><table>
 {% for name, value in facts.items() %}<tr><td>{{ name }}</td><td>{{ "%g" | format(value) }}</td></tr>{% endfor %}
 </table>
-<p class="about">starlingthread {{ r.version }}, Python {{ r.python }}. The data lie beside this page as
+<p class="about">starlingthread {{ r.version }}, Python {{ r.python }}. The data are in the file beside this page,
 <code>{{ data }}</code>.</p>
 </body></html>
 """
@@ -71,7 +75,13 @@
     data_path = path.with_suffix(".json")
     data_path.write_bytes(msgspec.json.encode(results))
     template = Environment(autoescape=True).from_string(_TEMPLATE)
-    page = template.render(r=results, pictures=plots_of(results), facts=_facts(results), data=data_path.name)
+    page = template.render(
+        r=results,
+        pictures=plots_of(results),
+        evenness_labels=EVENNESS_LABELS,
+        facts=_facts(results),
+        data=data_path.name,
+    )
     path.write_text(page, encoding="utf-8")
     return data_path
 
--- a/starlingthread/cli/results_output.py
+++ b/starlingthread/cli/results_output.py
@@ -16,7 +16,7 @@
 
 MAX_ROUTERS = 10  # of more, the busiest are printed
 MAX_VIOLATIONS = 20
-CLASS_COLUMNS = ("class", "requests", "in time", "late", "refused", "failed", "worth", "p50 ms", "p99", "p99.9")
+CLASS_COLUMNS = ("class", "requests", "in time", "late", "rejected", "failed", "goodput", "p50 ms", "p99", "p99.9")
 PERCENTILES = ("50", "99", "99.9")
 
 
@@ -41,7 +41,7 @@
     broken = sum(sum(run.verdict.counts.values()) for run in runs)
     void = sum(bool(run.verdict.void) for run in runs)
     click.echo(
-        f"{runs[0].scenario.name}: worth {np.mean(shares):.4f}, from {min(shares):.4f} to {max(shares):.4f} "
+        f"{runs[0].scenario.name}: goodput {np.mean(shares):.4f}, from {min(shares):.4f} to {max(shares):.4f} "
         f"over {len(runs)} seeds; rules broken {broken}, void {void}"
     )
 
@@ -50,8 +50,7 @@
     from rich.table import Table
 
     table = Table(
-        title=f"{results.scenario.name}, seed {results.scenario.seed}: "
-        f"{100 * results.goodput_share:.1f}% of the worth served"
+        title=f"{results.scenario.name}, seed {results.scenario.seed}: {100 * results.goodput_share:.1f}% goodput"
     )
     for name in CLASS_COLUMNS:
         table.add_column(name, justify="left" if name == "class" else "right")
@@ -67,10 +66,10 @@
     if evenness is None:
         return
     console.print(
-        f"servers: busiest {evenness.busiest_1s:.2f} of its part in 1 s, {evenness.busiest_10s:.2f} in 10 s, "
-        f"least {evenness.least:.2f}, {evenness.idle_servers} idle at times, herd index "
-        f"{evenness.herd_index:.2f}, period {evenness.period_s:g} s, owners differ {evenness.owners_differ:.3f}, "
-        f"{evenness.connections:.0f} connections",
+        f"servers: peak load ratio {evenness.busiest_1s:.2f} in 1 s, {evenness.busiest_10s:.2f} in 10 s, "
+        f"lowest {evenness.least:.2f}, {evenness.idle_servers} idle at least once, herd index "
+        f"{evenness.herd_index:.2f}, period {evenness.period_s:g} s, owner disagreement {evenness.owners_differ:.3f}, "
+        f"{evenness.connections:.0f} connections per server",
         highlight=False,
     )
 
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -40,7 +40,7 @@
 def test_even_load_measures_as_even_and_busy_idle_and_herded_servers_show() -> None:
     even = measured([50.0] * 8)
     assert even.busiest_10s < 1.25 and even.least > 0.9 and even.idle_servers == 0 and even.period_s == 0.0
-    assert 0.9 < even.herd_index < 1.1 and (even.connections, even.connections_most) == (7.5, 11.0)
+    assert 0.9 < even.herd_index < 1.1 and (even.connections, even.peak_connections) == (7.5, 11.0)
     uneven = measured([150.0, 2.0, *[50.0] * 6])
     assert uneven.busiest_10s > 2.5 and uneven.idle_servers == 1 and uneven.least < 0.1
     assert measured([50.0] * 8, herd=5).herd_index > 4.0
@@ -89,3 +89,10 @@
             ledger.deliveries.append(Delivery(f"{router}-{n}", server, 5000.0, 5000.0))
     result = evenness.measure(spec, ledger)
     assert result is not None and result.owners_differ == pytest.approx(2 / 3, abs=1e-3)
+
+
+def test_every_measure_has_a_label_and_the_key_of_the_results_file() -> None:
+    assert tuple(evenness.EVENNESS_LABELS) == evenness.Evenness.__struct_fields__
+    assert len(set(evenness.EVENNESS_LABELS.values())) == len(evenness.EVENNESS_LABELS)
+    stored = msgspec.to_builtins(evenness.Evenness(peak_connections=11.0))
+    assert stored["connections_most"] == 11.0 and "peak_connections" not in stored
