--- a/tests/stream.py
+++ b/tests/event_stream.py
@@ -1,7 +1,7 @@
-"""Streams of events for the module: drawn, written down with the actions they called for, and played again.
+"""Random streams of events for the decision module, recorded with the resulting actions, and replayed.
 
-``python -m tests.stream`` writes the streams of this module down anew; that is right only where it is meant to decide
-otherwise. A stream holds settings by name, and for each step the time, the event and the actions.
+``python -m tests.event_stream`` records the streams of the present module again; do so only if its decisions are meant
+to change. A stream has settings by name, and for each step the time, the event and the actions.
 """
 
 from __future__ import annotations
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -33,7 +33,7 @@
         self.abandoned: list[Attempt] = []
         self.answers: list[tuple[PendingRequest, Answer]] = []
         fleet = tuple(m for m in members(4) if m.kind != 3)
-        self.give(EndpointsReceived(EndpointList(EndpointListKind.CACHED, 1, fleet), {}))
+        self.deliver(EndpointsReceived(EndpointList(EndpointListKind.CACHED, 1, fleet), {}))
 
     def answer(self, request: PendingRequest, answer: Answer) -> None:
         self.answers.append((request, answer))
@@ -52,12 +52,12 @@
         while len(self.router.mailbox):
             self.router.turn()
 
-    def give(self, message: Message) -> None:
+    def deliver(self, message: Message) -> None:
         """Deliver a message and run what follows from it."""
         self.router.mailbox.must_put(message)
         self.run_until_idle()
 
-    def ask(self, cls: int = READ, wait: float = 900.0) -> PendingRequest:
+    def submit_request(self, cls: int = READ, wait: float = 900.0) -> PendingRequest:
         """Submit a request with a deadline after so many ms."""
         now = self.clock.time
         request = PendingRequest(
@@ -67,7 +67,7 @@
         self.run_until_idle()
         return request
 
-    def pass_time(self, span: float) -> None:
+    def advance_time(self, span: float) -> None:
         """Advance the clock, in ms, and run each deadline at its time."""
         until = self.clock.time + span
         while (first := self.router.deadlines.first()) is not None and first <= until:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -88,9 +88,11 @@
     """A client's connection to a listener whose router is never run: tests answer the requests."""
 
     def __init__(self) -> None:
-        place = RouterHarness()
-        self.router, self.watcher = place.router, Watcher()
-        self.listener = ClientListener(THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: place.router.listed)
+        harness = RouterHarness()
+        self.router, self.watcher = harness.router, Watcher()
+        self.listener = ClientListener(
+            THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: harness.router.listed
+        )
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.writer.on_eof = self.reader.feed_eof  # the peer closes in turn
         self.actor = ClientConnectionActor(
@@ -131,27 +133,27 @@
     def __init__(self) -> None:
         with contextlib.suppress(RuntimeError):  # streams want a loop, though none is run here
             asyncio.set_event_loop(asyncio.new_event_loop())
-        self.place = RouterHarness()
-        self.fleet = ServerFleet(THROUGH, self.place.router, Watcher(), 10, 15000.0)
+        self.router_harness = RouterHarness()
+        self.fleet = ServerFleet(THROUGH, self.router_harness.router, Watcher(), 10, 15000.0)
         self.actor = ServerActor(self.fleet.context, 1, ("127.0.0.1", 1))
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.connection = Connection(self.reader, self.writer, self.actor.pool.address)  # type: ignore[arg-type]
-        self.connection.idle_since = self.place.clock.now()
+        self.connection.idle_since = self.router_harness.clock.now()
         self.actor.pool.idle.append(self.connection)
         self.actor.pool.open_count = 1
 
     def attempt(self, text: bytes = b"mg a v O1 Pc=read,d=500\r\n") -> Attempt:
         (command,) = meta.CommandParser().feed(text)
         assert isinstance(command, meta.Command)
-        now = self.place.clock.now()
+        now = self.router_harness.clock.now()
         request = PendingRequest(
-            self.place, THROUGH.classes[0], 7, now + 500.0, command, now, is_write=command.is_write
+            self.router_harness, THROUGH.classes[0], 7, now + 500.0, command, now, is_write=command.is_write
         )
         return Attempt(request, 0, 1, now, now + 400.0)
 
     def deliver(self, message: messages.Message) -> list[Any]:
         self.actor.handle(message)
-        return list(self.place.router.mailbox.take())
+        return list(self.router_harness.router.mailbox.take())
 
     def receive(self, data: bytes) -> list[Any]:
         """Feed bytes to the connection's reader, and its messages to the actor; return the messages to the router."""
@@ -159,7 +161,7 @@
             self.actor.post(messages.ConnectionLost(self.connection))
         for message in self.actor.mailbox.take():
             self.actor.handle(message)
-        return list(self.place.router.mailbox.take())
+        return list(self.router_harness.router.mailbox.take())
 
 
 ANSWER = b"VA 1 O1 h1\r\nx\r\n"
--- a/tests/test_chunked_answers.py
+++ b/tests/test_chunked_answers.py
@@ -53,7 +53,7 @@
         elif failure == "no end":
             server.receive(b"xy")
         elif failure == "stalled":
-            server.actor._on_read_timeout(server.connection, is_recheck=True, due=server.place.clock.time)
+            server.actor._on_read_timeout(server.connection, is_recheck=True, due=server.router_harness.clock.time)
         elif failure == "gone":
             server.actor.close()
         else:
@@ -73,25 +73,25 @@
 
 
 def test_a_late_chunked_answer_is_abandoned() -> None:
-    place = RouterHarness()
-    place.ask()
-    (attempt,) = place.started
+    harness = RouterHarness()
+    harness.submit_request()
+    (attempt,) = harness.started
     late = Pipe(ByteBudget(0))
-    place.pass_time(900.0)
-    place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x", pipe=late))
+    harness.advance_time(900.0)
+    harness.deliver(AttemptEnded(attempt, AttemptResult.OK, payload=b"x", pipe=late))
     assert late.abandoned
 
 
 def test_a_chunked_answer_is_timed_by_its_first_bytes_and_counted_once_complete() -> None:
     for complete, end in ((True, FinalStatus.SUCCESS), (False, FinalStatus.FAILURE), (None, FinalStatus.ABANDONED)):
-        place = RouterHarness()
-        request, pipe = place.ask(), Pipe(ByteBudget(0))
-        place.give(AttemptEnded(place.started[0], AttemptResult.OK, payload=b"x", pipe=pipe))
-        assert place.answers == [(request, Served(b"x", pipe))] and place.router.telemetry.inflight == 1
-        place.pass_time(5000.0)  # long past its deadline: what the server still gives is not cut off
-        assert not pipe.abandoned and len(place.answers) == 1
+        harness = RouterHarness()
+        request, pipe = harness.submit_request(), Pipe(ByteBudget(0))
+        harness.deliver(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"x", pipe=pipe))
+        assert harness.answers == [(request, Served(b"x", pipe))] and harness.router.telemetry.inflight == 1
+        harness.advance_time(5000.0)  # long past its deadline: what the server still gives is not cut off
+        assert not pipe.abandoned and len(harness.answers) == 1
         pipe.abandon() if complete is None else pipe.finish(complete)
-        assert place.router.telemetry.finished_count("read", end) == 1 and place.router.telemetry.inflight == 0
+        assert harness.router.telemetry.finished_count("read", end) == 1 and harness.router.telemetry.inflight == 0
 
 
 async def begin_large_answer(harness: ClientHarness, piece: bytes = VALUE[:9]) -> Pipe:
--- a/tests/test_chunked_writes.py
+++ b/tests/test_chunked_writes.py
@@ -142,7 +142,7 @@
         )
         assert server.writer.transport.closed == (reset or not complete)
         assert complete or server.body.abandoned
-        return outcomes[0].result, server.place.router.telemetry.backend_calls
+        return outcomes[0].result, server.router_harness.router.telemetry.backend_calls
 
     assert asyncio.run(play(False, "reset")) == (AttemptResult.CONNECT_FAILED, 0)
     assert asyncio.run(play(True, "reset")) == (AttemptResult.RESET, 1)
@@ -151,21 +151,21 @@
 
 
 def test_a_request_gets_its_deadline_once_its_value_is_received() -> None:
-    place = RouterHarness()
-    now = place.clock.time
+    harness = RouterHarness()
+    now = harness.clock.time
     request = PendingRequest(
-        place, THROUGH.classes[1], 7, now + 30000.0, b"p", now, is_write=True, body=Pipe(ByteBudget(0))
+        harness, THROUGH.classes[1], 7, now + 30000.0, b"p", now, is_write=True, body=Pipe(ByteBudget(0))
     )
-    place.router.submit(request)
-    place.router.turn()
-    place.pass_time(2500.0)
-    assert place.started[0].pending and place.answers == []
-    place.give(BodyReceived(request, place.clock.time + 700.0))
-    assert place.started[0].sent_at == place.clock.time
-    place.pass_time(699.0)
-    assert place.answers == []
-    place.pass_time(1.0)
-    assert len(place.answers) == 1 and not place.started[0].pending and place.abandoned == place.started
+    harness.router.submit(request)
+    harness.router.turn()
+    harness.advance_time(2500.0)
+    assert harness.started[0].pending and harness.answers == []
+    harness.deliver(BodyReceived(request, harness.clock.time + 700.0))
+    assert harness.started[0].sent_at == harness.clock.time
+    harness.advance_time(699.0)
+    assert harness.answers == []
+    harness.advance_time(1.0)
+    assert len(harness.answers) == 1 and not harness.started[0].pending and harness.abandoned == harness.started
 
 
 def test_a_single_use_request_is_attempted_once() -> None:
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -67,8 +67,8 @@
     """Guards a reload: what the new address sends counts as notified soon after the signal."""
 
     async def play() -> None:
-        place, spoken = RouterHarness(), []
-        registry = DiscoveryActor(place.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
+        harness, spoken = RouterHarness(), []
+        registry = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
 
         async def speak(path: str, is_watch: bool) -> None:
             spoken.append((registry.address[1], path))
@@ -88,7 +88,7 @@
         assert spoken == [(port, path) for port in (1, 2) for path in paths]
         assert old is not None and old.cancelled() and fetch.cancelled()
         assert registry.counters["discovery.failures"] == 0
-        assert not place.router.mailbox.take()
+        assert not harness.router.mailbox.take()
         await registry.watcher.stop()
 
     asyncio.run(play())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -240,8 +240,8 @@
 
 def test_a_paused_listener_accepts_again_once_resumed() -> None:
     async def play() -> None:
-        place = RouterHarness()
-        front = ClientListener(THROUGH, place.router, Watcher(), 4, 4, 1 << 20, lambda: True)
+        harness = RouterHarness()
+        front = ClientListener(THROUGH, harness.router, Watcher(), 4, 4, 1 << 20, lambda: True)
         await front.listen("127.0.0.1", 0)
         assert front.socket is not None
         address = front.socket.getsockname()
--- a/tests/test_operations.py
+++ b/tests/test_maintenance_and_reload.py
@@ -208,8 +208,8 @@
 
 
 def test_only_listed_names_are_known() -> None:
-    place = RouterHarness()
-    registry = DiscoveryActor(place.router, EndpointListParser((), ()), ("127.0.0.1", 1), None)  # type: ignore[arg-type]
+    harness = RouterHarness()
+    registry = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), None)  # type: ignore[arg-type]
     line = {"name": "s-1", "address": "127.0.0.1:1", "status": "in_service"}
     registry.load_cached_list({"index": 1, "snapshot": True, "endpoints": [line]})
     assert registry.server_id("s-1") is not None and registry.endpoint_count == 1
@@ -226,20 +226,22 @@
 
 
 def test_requests_under_way_keep_their_class_and_what_comes_after_has_the_new_one() -> None:
-    place = RouterHarness()
-    before = [place.ask(cls) for cls in (READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)]
-    place.router.mailbox.must_put(HealthCheckResult(1, AttemptResult.OK, 1.0))
-    place.router.apply_settings(FEWER)
-    place.give(AttemptEnded(place.started[0], AttemptResult.RESET))  # "read" is gone, but this one may still run again
-    assert len(place.started) == 3  # though no more attempts are allowed now
-    for attempt in place.started[1:3]:
-        place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
-    (new,) = [place.ask(1)]
-    assert new.request_class.name == "read-2" and len(place.started) == 4
-    place.give(AttemptEnded(place.started[3], AttemptResult.RESET))  # stricter now: it may have run
-    assert len(place.started) == 4
-    assert [len([a for r, a in place.answers if r is request]) for request in [*before, new]] == [1, 1, 1, 1]
-    figures = place.router.telemetry
+    harness = RouterHarness()
+    before = [harness.submit_request(cls) for cls in (READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)]
+    harness.router.mailbox.must_put(HealthCheckResult(1, AttemptResult.OK, 1.0))
+    harness.router.apply_settings(FEWER)
+    harness.deliver(
+        AttemptEnded(harness.started[0], AttemptResult.RESET)
+    )  # "read" is gone, but this one may still run again
+    assert len(harness.started) == 3  # though no more attempts are allowed now
+    for attempt in harness.started[1:3]:
+        harness.deliver(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
+    (new,) = [harness.submit_request(1)]
+    assert new.request_class.name == "read-2" and len(harness.started) == 4
+    harness.deliver(AttemptEnded(harness.started[3], AttemptResult.RESET))  # stricter now: it may have run
+    assert len(harness.started) == 4
+    assert [len([a for r, a in harness.answers if r is request]) for request in [*before, new]] == [1, 1, 1, 1]
+    figures = harness.router.telemetry
     assert (
         figures.finished_count("keyed", FinalStatus.SUCCESS)
         == figures.finished_count("unsafe", FinalStatus.SUCCESS)
@@ -249,15 +251,15 @@
 
 
 def test_what_was_read_before_the_change_is_asked_under_the_old_settings() -> None:
-    place = RouterHarness()
-    now = place.clock.time
-    place.router.submit(PendingRequest(place, THROUGH.classes[0], 7, now + 900.0, b"p", now))
-    place.router.apply_settings(FEWER)
-    place.router.turn()
-    (attempt,) = place.started
-    place.give(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
-    assert place.router.telemetry.finished_count("read", FinalStatus.SUCCESS) == 1
-    assert place.router.balancer.fleet.settings is FEWER and place.router.settings is FEWER
+    harness = RouterHarness()
+    now = harness.clock.time
+    harness.router.submit(PendingRequest(harness, THROUGH.classes[0], 7, now + 900.0, b"p", now))
+    harness.router.apply_settings(FEWER)
+    harness.router.turn()
+    (attempt,) = harness.started
+    harness.deliver(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
+    assert harness.router.telemetry.finished_count("read", FinalStatus.SUCCESS) == 1
+    assert harness.router.balancer.fleet.settings is FEWER and harness.router.settings is FEWER
 
 
 def test_what_was_learned_of_a_class_that_stays_is_kept() -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -62,10 +62,10 @@
     """A management server whose connections are hand-fed."""
 
     def __init__(self, max_connections: int = 4) -> None:
-        self.place, self.control, self.watcher = RouterHarness(), FakeRouter(), Watcher()
-        router = self.place.router
+        self.router_harness, self.control, self.watcher = RouterHarness(), FakeRouter(), Watcher()
+        router = self.router_harness.router
         self.management = ManagementServer(
-            self.control, self.watcher, self.place.clock, router.counters, router.deadlines, max_connections
+            self.control, self.watcher, self.router_harness.clock, router.counters, router.deadlines, max_connections
         )
 
     def connect(self, request: bytes) -> Caller:
@@ -140,7 +140,7 @@
         await fixture.settle()
         assert caller.transport.sent.startswith(b"HTTP/1.1 200 ")
         assert incomplete[0].transport.closed and not incomplete[1].transport.closed
-        fixture.place.pass_time(REQUEST_TIMEOUT_MS + 1.0)
+        fixture.router_harness.advance_time(REQUEST_TIMEOUT_MS + 1.0)
         assert incomplete[1].transport.closed
         await fixture.watcher.stop()
 
@@ -159,40 +159,42 @@
     )
 )
 def test_each_submitted_request_has_ended_or_is_in_flight(steps: list[tuple[str, int, int]]) -> None:
-    place = RouterHarness()
+    harness = RouterHarness()
     requests: list[PendingRequest] = []
     results = {"ok": AttemptResult.OK, "error": AttemptResult.ERROR, "full": AttemptResult.FULL}
     for step, cls, which in steps:
-        now = place.clock.time
+        now = harness.clock.time
         if step in ("submit", "reject"):
-            request = PendingRequest(place, THROUGH.classes[cls], which + 1, now + 900.0, b"p", now, is_write=cls != 0)
+            request = PendingRequest(
+                harness, THROUGH.classes[cls], which + 1, now + 900.0, b"p", now, is_write=cls != 0
+            )
             requests.append(request)
-            place.router.submit(request) if step == "submit" else place.router.reject(request)
-            place.router.turn()
+            harness.router.submit(request) if step == "submit" else harness.router.reject(request)
+            harness.router.turn()
         elif step == "disconnect" and requests:
-            place.give(ClientDisconnected(requests[which % len(requests)]))
+            harness.deliver(ClientDisconnected(requests[which % len(requests)]))
         elif step == "pass":
-            place.pass_time(200.0 * which)
-        elif place.started and step in results:
-            place.give(AttemptEnded(place.started[which % len(place.started)], results[step], payload=b""))
-        telemetry = place.router.telemetry
+            harness.advance_time(200.0 * which)
+        elif harness.started and step in results:
+            harness.deliver(AttemptEnded(harness.started[which % len(harness.started)], results[step], payload=b""))
+        telemetry = harness.router.telemetry
         ends = {
             cls.name: {end: telemetry.finished_count(cls.name, end) for end in FinalStatus} for cls in THROUGH.classes
         }
         assert sum(map(sum, (e.values() for e in ends.values()))) + telemetry.inflight == len(requests)
         answered = sum(e[FinalStatus.SUCCESS] + e[FinalStatus.BUSY] + e[FinalStatus.FAILURE] for e in ends.values())
-        assert answered == len(place.answers)
-    place.pass_time(2000.0)
-    assert place.router.telemetry.inflight == 0
-    report = place.router.telemetry.snapshot(3, 1)
+        assert answered == len(harness.answers)
+    harness.advance_time(2000.0)
+    assert harness.router.telemetry.inflight == 0
+    report = harness.router.telemetry.snapshot(3, 1)
     assert set(report["calls"]) == {"read", "keyed", "unsafe"}  # type: ignore[call-overload]
 
 
 def test_a_full_mailbox_rejects_and_counts() -> None:
-    place = RouterHarness()
-    place.router.mailbox.limit = 1
+    harness = RouterHarness()
+    harness.router.mailbox.limit = 1
     for number in range(2):
-        now = place.clock.time
-        place.router.submit(PendingRequest(place, THROUGH.classes[0], number + 1, now + 900.0, b"p", now))
-    assert len(place.answers) == 1 and place.router.telemetry.finished_count("read", FinalStatus.BUSY) == 1
-    assert isinstance(place.router.mailbox.take()[0], RequestReceived)
+        now = harness.clock.time
+        harness.router.submit(PendingRequest(harness, THROUGH.classes[0], number + 1, now + 900.0, b"p", now))
+    assert len(harness.answers) == 1 and harness.router.telemetry.finished_count("read", FinalStatus.BUSY) == 1
+    assert isinstance(harness.router.mailbox.take()[0], RequestReceived)
--- a/tests/test_crowd.py
+++ b/tests/test_overload_fleet.py
@@ -14,8 +14,8 @@
     fleet.play(8000.0, 300.0)
     fleet.restart(1)
     fleet.play(6000.0, 1100.0)  # 2.4 times what they can do
-    assert fleet.servers[1].pushed(SETTINGS.overload_window) < SETTINGS.overload_factor
-    assert len([1 for at, _ in fleet.servers[1].sent if at >= fleet.servers[1].started]) > 30  # and is put to work
+    assert fleet.servers[1].peak_overload(SETTINGS.overload_window) < SETTINGS.overload_factor
+    assert len([1 for at, _ in fleet.servers[1].received if at >= fleet.servers[1].started]) > 30  # and is put to work
 
 
 @pytest.mark.parametrize(("cores", "max_rejected_share"), [(1, 0.5), (2, 0.25), (7, 0.2), (64, 0.2)])
@@ -30,19 +30,19 @@
     crowd = fleet.play(2000.0, 1.6 * capacity)
     after = fleet.play(3000.0, 1.6 * capacity)
     assert after["served"] > 0.75 * 3.0 * capacity and after["late"] < 0.15 * after["served"]
-    sent = sum(len(server.sent) for server in fleet.servers.values())
+    sent = sum(len(server.received) for server in fleet.servers.values())
     # Three routers have at least one request in flight each, where one core has a queue of two.
-    assert fleet.turned < max_rejected_share * sent, (fleet.turned, sent, crowd)
+    assert fleet.rejected < max_rejected_share * sent, (fleet.rejected, sent, crowd)
 
 
 def test_a_server_that_rejected_everything_is_used_again_once_it_has_recovered() -> None:
     fleet = VirtualFleet([Server(6, 90.0, 9) for _ in range(6)])
     fleet.play(5000.0, 200.0)
-    fleet.servers[1].slow = 10.0
+    fleet.servers[1].slowdown = 10.0
     degraded = fleet.play(6000.0, 200.0)
     assert degraded["served"] > 0.9 * sum(degraded.values())
-    fleet.servers[1].slow = 1.0
+    fleet.servers[1].slowdown = 1.0
     fleet.play(5000.0, 390.0)  # nearly all that the servers can do: each is needed
-    before = len(fleet.servers[1].sent)
+    before = len(fleet.servers[1].received)
     fleet.play(3000.0, 390.0)
-    assert len(fleet.servers[1].sent) - before > 0.6 * 3.0 * 390.0 / 6
+    assert len(fleet.servers[1].received) - before > 0.6 * 3.0 * 390.0 / 6
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -31,26 +31,26 @@
 
 def test_an_answer_goes_to_the_client_and_the_request_is_removed() -> None:
     harness = RouterHarness()
-    request = harness.ask()
-    harness.give(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"value"))
+    request = harness.submit_request()
+    harness.deliver(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"value"))
     assert harness.answers == [(request, Served(b"value"))]
     assert not harness.router.requests and not harness.router.attempts
 
 
 def test_a_late_outcome_is_dropped_and_an_abandoned_attempt_has_one_outcome() -> None:
     harness = RouterHarness()
-    request = harness.ask()
-    harness.pass_time(900.0)
+    request = harness.submit_request()
+    harness.advance_time(900.0)
     assert harness.abandoned == harness.started and not harness.started[0].pending
     assert harness.answers == [(request, Rejected(harness.answers[0][1].retry_after))]  # type: ignore[union-attr]
-    harness.give(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"late"))
+    harness.deliver(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"late"))
     assert len(harness.answers) == 1
 
 
 def test_an_answer_in_the_mailbox_does_not_lose_to_an_expired_deadline() -> None:
     """Guards the order of a turn: after a pause of the process both are due at once."""
     harness = RouterHarness()
-    request = harness.ask()
+    request = harness.submit_request()
     harness.router.mailbox.must_put(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"v"))
     harness.clock.time += 2000.0
     harness.router.turn()
@@ -59,8 +59,8 @@
 
 def test_a_disconnected_client_gets_no_answer_and_its_attempt_is_abandoned() -> None:
     harness = RouterHarness()
-    request = harness.ask()
-    harness.give(ClientDisconnected(request))
+    request = harness.submit_request()
+    harness.deliver(ClientDisconnected(request))
     assert harness.answers == [] and harness.abandoned == harness.started
     assert not harness.router.requests
 
@@ -68,9 +68,9 @@
 @pytest.mark.parametrize("result", [AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.ERROR])
 def test_an_unsafe_request_that_may_have_run_is_never_sent_again(result: AttemptResult) -> None:
     harness = RouterHarness()
-    harness.ask(NOT_IDEMPOTENT)
-    harness.give(AttemptEnded(harness.started[0], result))
-    harness.pass_time(2000.0)
+    harness.submit_request(NOT_IDEMPOTENT)
+    harness.deliver(AttemptEnded(harness.started[0], result))
+    harness.advance_time(2000.0)
     assert len(harness.started) == 1
     assert [type(a) for _, a in harness.answers] == [Failed]
 
@@ -79,17 +79,17 @@
     harness = RouterHarness()
     with monkeypatch.context() as patch:
         patch.setattr(harness.router.balancer, "handle", lambda *_: 1 // 0)
-        lost = harness.ask()
+        lost = harness.submit_request()
     assert harness.answers == [(lost, Failed())]
-    harness.ask()
+    harness.submit_request()
     assert len(harness.started) == 1
 
 
 def test_a_request_that_the_module_forgets_is_answered_as_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = RouterHarness()
     monkeypatch.setattr(harness.router.balancer, "handle", lambda *_: [])
-    request = harness.ask(wait=300.0)
-    harness.pass_time(400.0)
+    request = harness.submit_request(wait=300.0)
+    harness.advance_time(400.0)
     assert harness.answers == [(request, Failed())]
 
 
@@ -113,17 +113,19 @@
     for step, pick, result in steps:
         harness.clock.time += 1.0
         if step == "request":
-            requests.append(harness.ask((READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)[pick % 3], 100.0 + 200 * pick))
+            requests.append(
+                harness.submit_request((READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)[pick % 3], 100.0 + 200 * pick)
+            )
         elif step == "outcome" and harness.started:
-            harness.give(AttemptEnded(harness.started[-1 - pick % len(harness.started)], result, payload=b"v"))
+            harness.deliver(AttemptEnded(harness.started[-1 - pick % len(harness.started)], result, payload=b"v"))
         elif step == "disconnect" and requests:
             request = requests[pick % len(requests)]
             if not request.finished:
                 disconnected.add(request.id)
-            harness.give(ClientDisconnected(request))
+            harness.deliver(ClientDisconnected(request))
         else:
-            harness.pass_time(30.0 * pick)
-    harness.pass_time(5000.0)
+            harness.advance_time(30.0 * pick)
+    harness.advance_time(5000.0)
     assert sorted([r.id for r, _ in harness.answers] + list(disconnected)) == [r.id for r in requests]
     assert not harness.router.requests and not any(a.pending for a in harness.started)
     assert all(r.attempts_started <= THROUGH.max_attempts for r in requests)
@@ -197,11 +199,11 @@
     harness.router.begin()
     for share in (0.3, 0.39, 0.3):
         used += share * 0.25
-        harness.pass_time(250.0)
+        harness.advance_time(250.0)
         request = PendingRequest(
             harness, THROUGH.classes[READ], 7, harness.clock.time + 900.0, b"p", harness.clock.time - 30.0
         )
         with patch.object(harness.router.balancer, "handle", return_value=[]) as handle:
-            harness.give(RequestReceived(request))
+            harness.deliver(RequestReceived(request))
         queue_times.append(handle.call_args.args[1].queue_time)
     assert queue_times == [0.0, 30.0, 0.0]
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -63,7 +63,7 @@
         attempt = harness.attempt()
         harness.deliver(messages.StartExchange(attempt))
         harness.receive(ANSWER)
-        harness.place.clock.time += pause
+        harness.router_harness.clock.time += pause
         harness.deliver(messages.StartExchange(harness.attempt(b"ms a 1 O1 Pc=put,d=500\r\nx\r\n")))
         assert [m.result for m in harness.receive(b"SERVER_ERROR busy\r\n")] == [result]
 
@@ -73,13 +73,13 @@
     attempt = harness.attempt()
     harness.deliver(messages.StartExchange(attempt))
     assert harness.receive(b"VA 9 O1\r\nx\r\n") == []
-    now = harness.place.clock.time
+    now = harness.router_harness.clock.time
     harness.actor._on_read_timeout(harness.connection, is_recheck=False, due=now)
     # This timer is handled late: the rest of the answer may be here by now.
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now - 20.0)
-    assert list(harness.place.router.mailbox.take()) == [] and not harness.writer.transport.closed
+    assert list(harness.router_harness.router.mailbox.take()) == [] and not harness.writer.transport.closed
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now)
-    (ended,) = harness.place.router.mailbox.take()
+    (ended,) = harness.router_harness.router.mailbox.take()
     assert isinstance(ended, AttemptEnded) and ended.result == AttemptResult.RESET and harness.writer.transport.closed
 
 
@@ -89,7 +89,7 @@
     attempt = harness.attempt()
     opener = harness.actor.opener
     opener.pending[attempt] = PendingConnect(Mock(), opener._set_timeout(attempt))
-    now = harness.place.clock.time
+    now = harness.router_harness.clock.time
     assert harness.deliver(messages.ConnectTimedOut(attempt, now - 20.0)) == [] and attempt in opener.pending
     assert [m.result for m in harness.deliver(messages.ConnectTimedOut(attempt, now))] == [AttemptResult.CONNECT_FAILED]
 
@@ -122,10 +122,10 @@
     def fresh() -> ServerActorHarness:
         harness = ServerActorHarness()
         harness.fleet.context.idle_failure_rates = risk
-        harness.connection.idle_since = harness.place.clock.time - 200.0
+        harness.connection.idle_since = harness.router_harness.clock.time - 200.0
         return harness
 
-    risk, now = IdleFailureRates(), ServerActorHarness().place.clock.time
+    risk, now = IdleFailureRates(), ServerActorHarness().router_harness.clock.time
     for _ in range(20):
         risk.record(now, 20.0, False)
         risk.record(now, None, False)
@@ -163,11 +163,11 @@
         attempt.request.cancelled = True
     elif spoil == "repeat":
         # It would reach the server after that has forgotten the first one's idempotency key.
-        attempt.write_deadline = harness.place.clock.time + 4.0
+        attempt.write_deadline = harness.router_harness.clock.time + 4.0
     elif spoil == "late":
-        harness.place.clock.time += 401.0
+        harness.router_harness.clock.time += 401.0
     else:
-        harness.actor.draining_since = harness.place.clock.time - THROUGH.drain_grace + 50.0
+        harness.actor.draining_since = harness.router_harness.clock.time - THROUGH.drain_grace + 50.0
     assert [m.result for m in harness.deliver(messages.StartExchange(attempt))] == [AttemptResult.NOT_SENT]
     assert not harness.writer.transport.sent
 
@@ -178,10 +178,10 @@
     harness.deliver(messages.StartExchange(attempt))
     assert harness.deliver(messages.AbandonExchange(attempt)) == [] and harness.writer.transport.closed
     old = ServerActorHarness()
-    old.place.clock.time += 9000.0
+    old.router_harness.clock.time += 9000.0
     old.deliver(messages.CloseIdle(old.fleet.context.settings.max_idle))
     assert not old.writer.transport.closed
-    old.place.clock.time += 1000.0
+    old.router_harness.clock.time += 1000.0
     old.deliver(messages.CloseIdle(old.fleet.context.settings.max_idle))
     assert old.writer.transport.closed and old.actor.pool.open_count == 0
 
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -41,13 +41,13 @@
     """Cores that work side by side, a short queue, and 'full' beyond it. A cold one is slower."""
 
     def __init__(self, cores: int, work: float, queue: int) -> None:
-        self.cores, self.work, self.queue = cores, work, queue
-        self.slow, self.started = 1.0, 0.0
-        self.free = [0.0] * cores  # when each core has done what it has
-        self.hold = 0
-        self.sent: list[tuple[float, float]] = []  # when, and the work in ms of a core
+        self.cores, self.work_ms, self.queue_length = cores, work, queue
+        self.slowdown, self.started = 1.0, 0.0
+        self.core_free_at = [0.0] * cores  # when each core has done what it has
+        self.in_progress = 0
+        self.received: list[tuple[float, float]] = []  # when, and the work in ms of a core
 
-    def share(self, now: float) -> float:
+    def capacity_share(self, now: float) -> float:
         age = max(0.0, now - self.started)
         return (
             1.0
@@ -58,27 +58,32 @@
             )
         )
 
-    def take(self, now: float, size: float) -> float | None:
+    def accept(self, now: float, size: float) -> float | None:
         """Take a request in; return when it is answered, or None if it is turned away."""
-        self.sent.append((now, self.work * size))
-        if self.hold >= self.cores + self.queue:
+        self.received.append((now, self.work_ms * size))
+        if self.in_progress >= self.cores + self.queue_length:
             return None
-        at = max(now, min(self.free))
-        done = at + self.work * size * self.slow / self.share(now)
-        self.free[self.free.index(min(self.free))] = done
-        self.hold += 1
+        at = max(now, min(self.core_free_at))
+        done = at + self.work_ms * size * self.slowdown / self.capacity_share(now)
+        self.core_free_at[self.core_free_at.index(min(self.core_free_at))] = done
+        self.in_progress += 1
         return done
 
-    def pushed(self, window: float) -> float:
+    def peak_overload(self, window: float) -> float:
         """Return the greatest multiple of what it could do while cold that came within a window."""
         most, within, last = 0.0, 0.0, 0
-        for number, (at, work) in enumerate(self.sent):
+        for number, (at, work) in enumerate(self.received):
             within += work
-            while self.sent[last][0] <= at - window:
-                within -= self.sent[last][1]
+            while self.received[last][0] <= at - window:
+                within -= self.received[last][1]
                 last += 1
-            if self.started and self.sent[last][0] >= self.started and self.share(at) < 1 and number >= last:
-                most = max(most, within / (window * self.cores * self.share(at - window / 2)))
+            if (
+                self.started
+                and self.received[last][0] >= self.started
+                and self.capacity_share(at) < 1
+                and number >= last
+            ):
+                most = max(most, within / (window * self.cores * self.capacity_share(at - window / 2)))
         return most
 
 
@@ -99,36 +104,36 @@
         self.routers = [
             Balancer(settings._replace(router_index=n), seed * 100 + n) for n in range(settings.router_count)
         ]
-        self.members = [Endpoint(n, kind=n % kinds) for n in self.servers]
-        self.due: list[tuple[float, int, object]] = []
-        self.asked: dict[int, Asked] = {}
-        self.open: set[int] = set()
-        self.ends: list[tuple[float, str]] = []
-        self.popular = list(accumulate(1 / (5 + rank) for rank in range(400)))
-        self.turned = 0
+        self.endpoints = [Endpoint(n, kind=n % kinds) for n in self.servers]
+        self.scheduled: list[tuple[float, int, object]] = []
+        self.requests: dict[int, Asked] = {}
+        self.open_requests: set[int] = set()
+        self.results: list[tuple[float, str]] = []
+        self.popularity = list(accumulate(1 / (5 + rank) for rank in range(400)))
+        self.rejected = 0
         for router in self.routers:
             self._carry_out(router, router.start(self.now))
-        self.tell()
+        self.publish_endpoints()
 
-    def tell(self) -> None:
+    def publish_endpoints(self) -> None:
         for router in self.routers:
             self._carry_out(
-                router, router.handle(self.now, EndpointList(EndpointListKind.FULL, 1, tuple(self.members)))
+                router, router.handle(self.now, EndpointList(EndpointListKind.FULL, 1, tuple(self.endpoints)))
             )
 
     def restart(self, number: int) -> None:
         """Let a server start anew, cold; all are told at once."""
         self.servers[number].started = self.now
-        self.members = [m._replace(started=self.now) if m.server == number else m for m in self.members]
-        self.tell()
+        self.endpoints = [m._replace(started=self.now) if m.server == number else m for m in self.endpoints]
+        self.publish_endpoints()
 
     def _later(self, at: float, what: object) -> None:
-        heappush(self.due, (at, next(self.ids), what))
+        heappush(self.scheduled, (at, next(self.ids), what))
 
     def _ask(self, asked: Asked) -> None:
         number, router = next(self.ids), self.rng.choice(self.routers)
-        self.asked[number] = asked
-        self.open.add(number)
+        self.requests[number] = asked
+        self.open_requests.add(number)
         self._carry_out(
             router,
             router.handle(
@@ -141,8 +146,8 @@
             if isinstance(action, Send):
                 attempt = len(router.fleet.requests[action.id].attempts) - 1
                 server = self.servers[action.server]
-                done = server.take(self.now, self.asked[action.id].size)
-                self.turned += done is None
+                done = server.accept(self.now, self.requests[action.id].size)
+                self.rejected += done is None
                 late = done is not None and done - self.now > 1300.0
                 if done is None or late:
                     result, at = (
@@ -159,41 +164,41 @@
                 self._later(action.at, (router, action.label))
 
     def _over(self, number: int, how: str, pause: float = 0.0) -> None:
-        if number not in self.open:
+        if number not in self.open_requests:
             return
-        self.open.remove(number)
-        asked = self.asked[number]
+        self.open_requests.remove(number)
+        asked = self.requests[number]
         if how != "served" and asked.tries < 2 and self.now + pause - asked.began < READ.deadline:
             self._later(self.now + max(pause, 84.0), asked._replace(tries=asked.tries + 1))
         elif how == "served" and self.now - asked.began > READ.latency_objective:
-            self.ends.append((self.now, "late"))
+            self.results.append((self.now, "late"))
         else:
-            self.ends.append((self.now, how))
+            self.results.append((self.now, how))
 
     def play(self, span: float, per_second: float) -> dict[str, int]:
         """Let clients ask for a while (ms); return how requests ended in it."""
-        until, first = self.now + span, len(self.ends)
+        until, first = self.now + span, len(self.results)
         at = self.now
         while (at := at + self.rng.expovariate(per_second / 1000.0)) < until:
-            key = self.rng.choices(range(1, 401), cum_weights=self.popular)[0]
+            key = self.rng.choices(range(1, 401), cum_weights=self.popularity)[0]
             self._later(at, Asked(at, key, self.rng.lognormvariate(-0.3, 0.8), 0))
-        while self.due and self.due[0][0] < until:
-            self.now, _, what = heappop(self.due)
+        while self.scheduled and self.scheduled[0][0] < until:
+            self.now, _, what = heappop(self.scheduled)
             if isinstance(what, Asked):
                 self._ask(what)
             elif isinstance(what, Server):
-                what.hold -= 1
+                what.in_progress -= 1
             elif isinstance(what, tuple) and len(what) == 2:
                 self._carry_out(what[0], what[0].handle(self.now, Timer(what[1])))
             elif isinstance(what, tuple):
                 self._answer(*what)
         self.now = until
-        ends = [how for _, how in self.ends[first:]]
+        ends = [how for _, how in self.results[first:]]
         return {how: ends.count(how) for how in ("served", "late", "refused")}
 
     def _answer(self, router: Balancer, send: Send, attempt: int, result: AttemptResult, sent_at: float) -> None:
         served = result == AttemptResult.OK
-        ended = served or result == AttemptResult.TIMEOUT or send.id not in self.open
+        ended = served or result == AttemptResult.TIMEOUT or send.id not in self.open_requests
         if ended:
             self._over(send.id, "served" if served else "late")
         self._carry_out(
