--- a/tests/event_stream.py
+++ b/tests/event_stream.py
@@ -36,7 +36,7 @@
 from .world import ASIDE, ORIGIN, THROUGH, members
 
 DATA = Path(__file__).with_name("data")
-# The streams were written down before the types got these names, and are not written anew for a name.
+# The streams were recorded before the types had these names, and are not recorded again for a name.
 RECORDED_NAMES = {
     "Endpoint": "Member",
     "EndpointList": "MemberList",
@@ -46,7 +46,7 @@
     "SettingsChanged": "Retuned",
     "WatchEndpoints": "Watch",
 }
-PRESENT_NAMES = {recorded: present for present, recorded in RECORDED_NAMES.items()}
+CURRENT_NAMES = {recorded: current for current, recorded in RECORDED_NAMES.items()}
 SETTINGS: dict[str, Settings] = {
     "aside": ASIDE._replace(
         hedging_allowed=True, price_origin=0.02, price_cross_zone=0.01, must_poll=True, poll_interval=3000.0
@@ -61,142 +61,156 @@
 
 
 class Step(NamedTuple):
-    """One event, and what was done about it; the first has no event: the module starts."""
+    """One event and the resulting actions; the first step has no event, as the module starts."""
 
     now: float
     event: Event | None
     actions: list[Any]
 
 
-class Drawn:
-    """Draws events that fit what the module did so far."""
+class StreamGenerator:
+    """Draws random events that are consistent with the earlier actions."""
 
     def __init__(self, name: str, seed: int) -> None:
-        self.settings, self.rng, self.now = SETTINGS[name], Random(seed), 1000.0
+        """Create a generator of the stream with some settings, by name."""
+        self.settings = SETTINGS[name]
+        self.rng = Random(seed)
+        self.now = 1000.0
         self.balancer = Balancer(self.settings, seed)
-        self.lines = {m.server: m for m in members(6, zones=2) if self.settings.mode == "aside" or m.server != ORIGIN}
-        self.out: dict[tuple[int, int], tuple[int, float]] = {}  # attempts: server, and when it was sent
-        self.sent: dict[int, int] = {}
+        self.endpoints = {
+            endpoint.server: endpoint
+            for endpoint in members(6, zones=2)
+            if self.settings.mode == "aside" or endpoint.server != ORIGIN
+        }
+        self.in_flight: dict[tuple[int, int], tuple[int, float]] = {}  # (request, attempt): server, time sent
+        self.last_attempts: dict[int, int] = {}  # by request
         self.timers: list[SetTimer] = []
-        self.left_out: set[int] = set()
+        self.in_maintenance: set[int] = set()
         self.version = 1
 
-    def steps(self) -> list[Step]:
+    def generate(self) -> list[Step]:
         """Return the whole stream."""
-        found = [self._step(None, self.balancer.start(self.now))]
-        found.append(self._do(EndpointList(EndpointListKind.FULL, 1, tuple(self.lines.values()))))
-        while len(found) < STEPS:
+        steps = [self._record_step(None, self.balancer.start(self.now))]
+        steps.append(self._handle(EndpointList(EndpointListKind.FULL, 1, tuple(self.endpoints.values()))))
+        while len(steps) < STEPS:
             self.now += self.rng.expovariate(1 / 12.0)
-            due = [t for t in self.timers if t.at <= self.now]
+            due = [timer for timer in self.timers if timer.at <= self.now]
             if due:
-                first = min(due, key=lambda t: t.at)
+                first = min(due, key=lambda timer: timer.at)
                 self.timers.remove(first)
-                self.now = max(found[-1].now, first.at)
-                found.append(self._do(Timer(first.label)))
+                self.now = max(steps[-1].now, first.at)
+                steps.append(self._handle(Timer(first.label)))
             else:
-                found.append(self._do(self._event()))
-        return found
+                steps.append(self._handle(self._draw_event()))
+        return steps
 
-    def _do(self, event: Event) -> Step:
-        return self._step(event, self.balancer.handle(self.now, event))
+    def _handle(self, event: Event) -> Step:
+        return self._record_step(event, self.balancer.handle(self.now, event))
 
-    def _step(self, event: Event | None, actions: list[Action]) -> Step:
+    def _record_step(self, event: Event | None, actions: list[Action]) -> Step:
         for action in actions:
             if isinstance(action, Send):
-                number = self.sent[action.id] = self.sent.get(action.id, -1) + 1
-                self.out[(action.id, number)] = (action.server, self.now)
+                number = self.last_attempts[action.id] = self.last_attempts.get(action.id, -1) + 1
+                self.in_flight[(action.id, number)] = (action.server, self.now)
             elif isinstance(action, SetTimer):
                 self.timers.append(action)
             elif isinstance(action, Reject | Fail):
-                self.sent.setdefault(action.id, -1)
+                self.last_attempts.setdefault(action.id, -1)
         return Step(self.now, event, list(actions))
 
-    def _event(self) -> Event:
-        draw, rng = self.rng.random(), self.rng
-        if draw < 0.45 or not self.out:
-            cls = rng.choice((0, 0, 0, 0, 1, 2))
-            key = rng.choice((0, *range(1, 12), rng.randrange(1, 1 << 40)))
-            self.version += 1
-            return Request(
-                self.version,
-                cls,
-                rng.uniform(200.0, 2000.0),
-                key=key,
-                cost_hint=rng.choice((0.0, 20.0, 60.0)),
-                single_use=rng.random() < 0.05,
-                is_write=cls != 0,
-                queue_time=rng.choice((0.0, 0.0, 40.0)),
-            )
+    def _draw_event(self) -> Event:
+        rng = self.rng
+        draw = rng.random()
+        if draw < 0.45 or not self.in_flight:
+            return self._draw_request()
         if draw < 0.9:
-            return self._outcome()
+            return self._draw_outcome()
         if draw < 0.93:
-            return self._list()
+            return self._draw_endpoint_list()
         if draw < 0.945:
-            server = rng.choice(sorted(self.lines))
-            self.left_out ^= {server}
-            return Maintenance(server, server in self.left_out)
-        request, attempt = rng.choice(sorted(self.out))
+            server = rng.choice(sorted(self.endpoints))
+            self.in_maintenance ^= {server}
+            return Maintenance(server, server in self.in_maintenance)
+        request, attempt = rng.choice(sorted(self.in_flight))
         if draw < 0.965:
             return RequestCancelled(request)
         if draw < 0.975:
-            server, sent_at = self.out[(request, attempt)]
+            server, sent_at = self.in_flight[(request, attempt)]
             return FirstByte(request, attempt, server, self.now - sent_at)
         if draw < 0.99:
-            return HealthCheckResult(self.out[(request, attempt)][0], AttemptResult.OK, 3.0, (rng.random(), 4.0))
+            return HealthCheckResult(self.in_flight[(request, attempt)][0], AttemptResult.OK, 3.0, (rng.random(), 4.0))
         return SettingsChanged(self.settings._replace(max_retry_after=rng.choice((100.0, 800.0))))
 
-    def _outcome(self) -> Outcome:
+    def _draw_request(self) -> Request:
+        rng = self.rng
+        cls = rng.choice((0, 0, 0, 0, 1, 2))
+        key = rng.choice((0, *range(1, 12), rng.randrange(1, 1 << 40)))
+        self.version += 1
+        return Request(
+            self.version,
+            cls,
+            rng.uniform(200.0, 2000.0),
+            key=key,
+            cost_hint=rng.choice((0.0, 20.0, 60.0)),
+            single_use=rng.random() < 0.05,
+            is_write=cls != 0,
+            queue_time=rng.choice((0.0, 0.0, 40.0)),
+        )
+
+    def _draw_outcome(self) -> Outcome:
         rng = self.rng
-        (request, attempt), (server, at) = rng.choice(sorted(self.out.items()))
-        del self.out[(request, attempt)]
+        (request, attempt), (server, sent_at) = rng.choice(sorted(self.in_flight.items()))
+        del self.in_flight[(request, attempt)]
         result = rng.choices(list(AttemptResult), (60, 4, 6, 5, 5, 5, 2, 2, 8))[0]
-        note = (
+        cache_status = (
             rng.choice((CacheStatus.NONE, CacheStatus.HIT, CacheStatus.HIT, CacheStatus.MISS))
             if result == AttemptResult.OK
             else CacheStatus.NONE
         )
         report = (rng.random(), rng.uniform(0.0, 9.0)) if rng.random() < 0.2 else ()
-        return Outcome(request, attempt, server, result, self.now - at, result == AttemptResult.OK, note, report)
+        return Outcome(
+            request, attempt, server, result, self.now - sent_at, result == AttemptResult.OK, cache_status, report
+        )
 
-    def _list(self) -> EndpointList:
+    def _draw_endpoint_list(self) -> EndpointList:
         rng = self.rng
         if rng.random() < 0.25:
             return EndpointList(EndpointListKind.FAILED, 0, ())
-        number = rng.choice([n for n in self.lines if n != ORIGIN])
+        number = rng.choice([server for server in self.endpoints if server != ORIGIN])
         state = rng.choice((ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.GONE))
-        started = self.now if rng.random() < 0.4 else self.lines[number].started
-        line = self.lines[number] = Endpoint(number, zone=self.lines[number].zone, state=state, started=started)
+        started = self.now if rng.random() < 0.4 else self.endpoints[number].started
+        endpoint = self.endpoints[number] = Endpoint(
+            number, zone=self.endpoints[number].zone, state=state, started=started
+        )
         self.version += 1
         if rng.random() < 0.3:
-            return EndpointList(EndpointListKind.FULL, self.version, tuple(self.lines.values()))
-        return EndpointList(EndpointListKind.DELTA, self.version, (line,))
+            return EndpointList(EndpointListKind.FULL, self.version, tuple(self.endpoints.values()))
+        return EndpointList(EndpointListKind.DELTA, self.version, (endpoint,))
 
 
-def written(value: Any) -> Any:
-    """Return a value as JSON can hold it: a named tuple by its type and fields."""
+def to_json_value(value: Any) -> Any:
+    """Return a value in JSON's types: a named tuple becomes a list of its recorded type name and fields."""
     if isinstance(value, SettingsChanged):
         return [RECORDED_NAMES["SettingsChanged"], value.settings.max_retry_after]
     if isinstance(value, tuple) and hasattr(value, "_fields"):
         name = type(value).__name__
-        return [RECORDED_NAMES.get(name, name), *map(written, value)]
+        return [RECORDED_NAMES.get(name, name), *map(to_json_value, value)]
     if isinstance(value, IntEnum):
         return int(value)
-    return [written(item) for item in value] if isinstance(value, tuple | list) else value
+    return [to_json_value(item) for item in value] if isinstance(value, tuple | list) else value
 
 
-def event_of(raw: list[Any], settings: Settings) -> Event:
-    """Return the event that was written down."""
+def parse_event(raw: list[Any], settings: Settings) -> Event:
+    """Return the event of its recorded form."""
     recorded, *fields = raw
-    name = PRESENT_NAMES.get(recorded, recorded)
+    name = CURRENT_NAMES.get(recorded, recorded)
     if name == "SettingsChanged":
         return SettingsChanged(settings._replace(max_retry_after=fields[0]))
     if name == "EndpointList":
-        kind, version, lines = fields
-        return EndpointList(
-            EndpointListKind(kind),
-            version,
-            tuple(Endpoint(*line[1:])._replace(state=ServerState(Endpoint(*line[1:]).state)) for line in lines),
-        )
+        kind, version, raw_endpoints = fields
+        endpoints = [Endpoint(*raw_endpoint[1:]) for raw_endpoint in raw_endpoints]
+        typed = tuple(endpoint._replace(state=ServerState(endpoint.state)) for endpoint in endpoints)
+        return EndpointList(EndpointListKind(kind), version, typed)
     event: Any = getattr(events, name)(*fields)
     if isinstance(event, Outcome):
         return event._replace(
@@ -210,16 +224,19 @@
 
 
 def path_of(name: str, seed: int) -> Path:
-    """Return the file of a stream."""
+    """Return the path of a stream's file."""
     return DATA / f"stream-{name.replace(', ', '-').replace(' ', '-')}-{seed}.json"
 
 
 def main() -> None:
-    """Write all streams down."""
+    """Record all streams."""
     DATA.mkdir(exist_ok=True)
     for name in SETTINGS:
         for seed in SEEDS:
-            lines = [json.dumps(written(tuple(step)), separators=(",", ":")) for step in Drawn(name, seed).steps()]
+            lines = [
+                json.dumps(to_json_value(tuple(step)), separators=(",", ":"))
+                for step in StreamGenerator(name, seed).generate()
+            ]
             path_of(name, seed).write_text("\n".join(lines) + "\n", encoding="utf-8")
 
 
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -1,4 +1,4 @@
-"""Peers that do harm, against a process of its own under a limit of the system's: nobody else is the worse for it."""
+"""Misbehaving peers against a real router process with limited descriptors: no other peer is affected."""
 
 from __future__ import annotations
 
@@ -17,25 +17,29 @@
 from .peers import CLASSES, LIMIT, WATCHED, Listener, Peer, chunk, connect, entry, free_port, listing
 
 SOCKETS = 96
-GROWTH = 25.0  # MB that a router may grow by while it is flooded
+MAX_MEMORY_GROWTH = 25.0  # MB that a router's memory may grow by while it is flooded
+FATAL_LOG_TEXTS = ("Traceback", "Too many open files", "actor-died", "module-error")
 
 
-class Guarded:
-    """A router's process between two cache servers; discovery is down until a test opens it."""
+class LimitedRouter:
+    """A router process in front of two cache servers; discovery is down until a test opens its port."""
 
     def __init__(self, folder: Path) -> None:
-        self.listen, self.calls, self.discovery = free_port(), free_port(), free_port()
+        """Write the configuration; the process is started by limited_router."""
+        self.listen_port = free_port()
+        self.management_port = free_port()
+        self.discovery_port = free_port()
         self.servers = [Listener(), Listener()]
         self.entries = [entry(f"s-{n}", server.address) for n, server in enumerate(self.servers)]
-        self.path = folder / "config.json"
-        self.path.write_text(
+        self.config_path = folder / "config.json"
+        self.config_path.write_text(
             json.dumps(
                 {
                     "name": "r",
-                    "listen": f"127.0.0.1:{self.listen}",
-                    "discovery": f"127.0.0.1:{self.discovery}",
+                    "listen": f"127.0.0.1:{self.listen_port}",
+                    "discovery": f"127.0.0.1:{self.discovery_port}",
                     "seed": "5",
-                    "management": f"127.0.0.1:{self.calls}",
+                    "management": f"127.0.0.1:{self.management_port}",
                     "limits": {"cores": 1.0, "memory_mb": 80, "sockets": SOCKETS},
                     "known": {"index": 1, "snapshot": True, "endpoints": self.entries},
                     "settings": {
@@ -51,17 +55,17 @@
         )
         self.process: asyncio.subprocess.Process
         self.log = ""
-        self.evictions = 0  # times that the router closed the good client's idle connection
+        self.evictions = 0  # times that the router closed the well-behaved client's idle connection
 
-    def memory(self) -> float:
-        """Return what the process holds, in MB."""
+    def memory_mb(self) -> float:
+        """Return the resident memory of the process, in MB."""
         return float(psutil.Process(self.process.pid).memory_info().rss) / (1 << 20)
 
-    async def say(self, text: bytes) -> Peer:
-        """Connect and send something, again if there was no place."""
+    async def connect_and_send(self, text: bytes) -> Peer:
+        """Connect and send some bytes; retry if the router had no free descriptor and closed the connection."""
         while True:
             try:
-                peer = await connect(self.listen)
+                peer = await connect(self.listen_port)
                 await peer.send(text)
                 if not text or await peer.until(b"\r\n"):
                     return peer
@@ -70,94 +74,94 @@
 
 
 @asynccontextmanager
-async def bystander(now: Guarded) -> AsyncIterator[Callable[[], Awaitable[None]]]:
-    """A good client, to be seen to now and then; meanwhile the process must not grow.
+async def well_behaved_client(router: LimitedRouter) -> AsyncIterator[Callable[[], Awaitable[None]]]:
+    """Yield a check that a well-behaved client is served and that the process has not grown.
 
-    Its connection rests in between. The router may close it then, for want of descriptors, as it may close any that
-    is owed nothing: the client connects once more. Each such close has to stand in the router's count of evictions.
+    Its connection is idle between two checks. The router may then close it, as it may close any idle connection if
+    descriptors run out, and the client reconnects. Each such close must be in the router's count of evictions.
     """
-    good, before = await now.say(b"mn\r\n"), now.memory()
+    client, memory_before = await router.connect_and_send(b"mn\r\n"), router.memory_mb()
 
-    async def served() -> None:
-        nonlocal good
+    async def check_served() -> None:
+        nonlocal client
         try:
-            await good.send(b"mn\r\n")
-            answer = await good.until(b"\r\n")
+            await client.send(b"mn\r\n")
+            answer = await client.until(b"\r\n")
         except (ConnectionError, AssertionError):
-            assert not good.unread, "closed in the middle of an answer"
-            now.evictions += 1
-            good.close()
-            good = await now.say(b"mn\r\n")
+            assert not client.unread, "closed in the middle of an answer"
+            router.evictions += 1
+            client.close()
+            client = await router.connect_and_send(b"mn\r\n")
         else:
             assert answer == b"MN\r\n"
-        assert now.memory() - before < GROWTH
+        assert router.memory_mb() - memory_before < MAX_MEMORY_GROWTH
 
-    yield served
-    assert now.memory() - before < GROWTH
-    good.close()
+    yield check_served
+    assert router.memory_mb() - memory_before < MAX_MEMORY_GROWTH
+    client.close()
 
 
 @asynccontextmanager
-async def guarded(folder: Path) -> AsyncIterator[Guarded]:
-    """Run it; its log must hold no exception, and it must end well."""
-    now = Guarded(folder)
-    now.process = await asyncio.create_subprocess_exec(
+async def limited_router(folder: Path) -> AsyncIterator[LimitedRouter]:
+    """Run a router process; its log must have no exception, and its exit code must be 0."""
+    router = LimitedRouter(folder)
+    router.process = await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
         f"ulimit -n {SOCKETS}; exec {sys.executable} -m starlingthread",
         stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "LB_CONFIG": str(now.path), "TMPDIR": str(folder)},
+        env={**os.environ, "LB_CONFIG": str(router.config_path), "TMPDIR": str(folder)},
     )
     try:
         async with asyncio.timeout(3 * LIMIT):
-            yield now
-            now.process.terminate()
-            _, log = await now.process.communicate()
-            now.log = log.decode()
+            yield router
+            router.process.terminate()
+            _, log = await router.process.communicate()
+            router.log = log.decode()
     finally:
         with contextlib.suppress(ProcessLookupError):
-            now.process.kill()
-        for listener in now.servers:
+            router.process.kill()
+        for listener in router.servers:
             listener.close()
-    assert now.process.returncode == 0
-    assert counted(now.log, "clients.evicted") >= now.evictions
-    for bad in ("Traceback", "Too many open files", "actor-died", "module-error"):
-        assert bad not in now.log
+    assert router.process.returncode == 0
+    assert final_counter(router.log, "clients.evicted") >= router.evictions
+    for text in FATAL_LOG_TEXTS:
+        assert text not in router.log
 
 
-def counted(log: str, name: str) -> int:
-    """Return a counter as the process told it at its end."""
+def final_counter(log: str, name: str) -> int:
+    """Return a counter from the line that the process logs at its end, 0 if it is not there."""
     (line,) = (line for line in log.splitlines() if " counters " in line)
     return next((int(word.partition("=")[2]) for word in line.split() if word.startswith(f"{name}=")), 0)
 
 
-def test_idle_clients_that_fill_all_places_while_discovery_is_down_keep_nobody_out(tmp_path: Path) -> None:
-    """One must be left for discovery, for a cache server, for operators' calls, and for accepting itself."""
+def test_idle_clients_that_use_all_descriptors_while_discovery_is_down_block_no_one(tmp_path: Path) -> None:
+    """Descriptors must remain for discovery, a cache server, management calls and for accepting connections."""
 
     async def play() -> str:
-        async with guarded(tmp_path) as now:
-            idle = [await now.say(b"mn\r\n" if n % 2 else b"") for n in range(3 * SOCKETS)]
-            discovery = Listener(now.discovery)
+        async with limited_router(tmp_path) as router:
+            idle = [await router.connect_and_send(b"mn\r\n" if n % 2 else b"") for n in range(3 * SOCKETS)]
+            discovery = Listener(router.discovery_port)
             watch = await discovery.accept()
             await watch.until(b"\r\n\r\n")
-            one, two = now.entries
-            await watch.send(WATCHED + chunk(listing(2, {**one, "status": "terminating"}, two) + b"\n"))
-            idle += [await now.say(b"mn\r\n" if n % 2 else b"") for n in range(SOCKETS)]
-            asking = await connect(now.listen)
-            await asking.send(b"mg k v O1 Pc=read,d=5000\r\n")
-            server = await now.servers[1].accept()
+            first, second = router.entries
+            await watch.send(WATCHED + chunk(listing(2, {**first, "status": "terminating"}, second) + b"\n"))
+            idle += [await router.connect_and_send(b"mn\r\n" if n % 2 else b"") for n in range(SOCKETS)]
+            client = await connect(router.listen_port)
+            await client.send(b"mg k v O1 Pc=read,d=5000\r\n")
+            server = await router.servers[1].accept()
             await server.until(b"\r\n")
             await server.send(b"VA 1 O1 h1\r\nx\r\n")
-            assert await asking.until(b"x\r\n") == b"VA 1 O1\r\nx\r\n"
-            operator = await connect(now.calls)
+            assert await client.until(b"x\r\n") == b"VA 1 O1\r\nx\r\n"
+            operator = await connect(router.management_port)
             await operator.send(b"GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n")
             assert b" 200 " in await operator.until(b"\r\n")
-            for peer in (asking, operator, *idle):
+            for peer in (client, operator, *idle):
                 peer.close()
             discovery.close()
-        return now.log
+        return router.log
 
-    assert counted(asyncio.run(play()), "clients.evicted") > 3 * SOCKETS
+    assert final_counter(asyncio.run(play()), "clients.evicted") > 3 * SOCKETS
 
 
 FLOODS = {
@@ -169,24 +173,26 @@
 
 
 @pytest.mark.parametrize("flood", FLOODS)
-def test_floods_from_clients_that_go_at_once_harm_nobody_else(tmp_path: Path, flood: str) -> None:
+def test_floods_from_clients_that_disconnect_at_once_affect_no_other_client(tmp_path: Path, flood: str) -> None:
+    """They leave no open request behind, whether they close or reset the connection."""
+
     async def play() -> str:
-        async with guarded(tmp_path) as now, bystander(now) as served:
+        async with limited_router(tmp_path) as router, well_behaved_client(router) as check_served:
             text = FLOODS[flood]
-            for turn in range(150):
-                peer = await connect(now.listen)
-                with contextlib.suppress(OSError):  # cut off while it sends
-                    await peer.send(text.replace(b"%d", b"%d" % turn))
-                peer.reset() if turn % 2 else peer.close()
-                if turn % 10 == 0:
-                    await served()
-        return now.log
+            for number in range(150):
+                peer = await connect(router.listen_port)
+                with contextlib.suppress(OSError):  # the router may close while it sends
+                    await peer.send(text.replace(b"%d", b"%d" % number))
+                peer.reset() if number % 2 else peer.close()
+                if number % 10 == 0:
+                    await check_served()
+        return router.log
 
     log = asyncio.run(play())
-    assert counted(log, "requests.open") == 0 and counted(log, "clients.accepted") > 150
+    assert final_counter(log, "requests.open") == 0 and final_counter(log, "clients.accepted") > 150
 
 
-ENDLESS = {
+ENDLESS_ANSWERS = {
     "a line without end": b"VA" + b"1" * 65536,
     "a value without end": b"VA 4000000 O%b\r\n" + b"x" * 65536,
     "garbage": b"\xff" * 65536,
@@ -194,33 +200,35 @@
 }
 
 
-@pytest.mark.parametrize("answer", ENDLESS)
-def test_answers_without_end_cost_their_own_request_alone(tmp_path: Path, answer: str) -> None:
+@pytest.mark.parametrize("answer", ENDLESS_ANSWERS)
+def test_endless_answers_fail_only_their_own_request(tmp_path: Path, answer: str) -> None:
+    """The requests end in time, and other clients are served meanwhile."""
+
     async def play() -> None:
-        async with guarded(tmp_path) as now, bystander(now) as served:
+        async with limited_router(tmp_path) as router, well_behaved_client(router) as check_served:
 
-            async def pour(peer: Peer) -> None:
+            async def answer_endlessly(peer: Peer) -> None:
                 with contextlib.suppress(OSError, AssertionError):
                     line = await peer.until(b"\r\n")
-                    text = ENDLESS[answer].replace(b"%b", line.split(b" O")[1].split()[0])
+                    text = ENDLESS_ANSWERS[answer].replace(b"%b", line.split(b" O")[1].split()[0])
                     while True:
                         await peer.send(text)
 
             async def serve(listener: Listener) -> None:
                 while True:
-                    pours.append(asyncio.create_task(pour(await listener.accept())))
+                    answering.append(asyncio.create_task(answer_endlessly(await listener.accept())))
 
-            pours: list[asyncio.Task[None]] = []
-            serving = [asyncio.create_task(serve(listener)) for listener in now.servers]
+            answering: list[asyncio.Task[None]] = []
+            serving = [asyncio.create_task(serve(listener)) for listener in router.servers]
             for number in range(20):
-                asking = await connect(now.listen)
-                await asking.send(b"mg k v O%d Pc=read,d=300\r\n" % number)
-                with contextlib.suppress(OSError, AssertionError):  # a value that breaks off goes with its connection
-                    assert (await asking.until(b"\r\n")).split()[0] in (b"SERVER_ERROR", b"VA")
-                asking.close()
-                await served()
-            for task in (*serving, *pours):
+                client = await connect(router.listen_port)
+                await client.send(b"mg k v O%d Pc=read,d=300\r\n" % number)
+                with contextlib.suppress(OSError, AssertionError):  # a truncated value ends with its connection
+                    assert (await client.until(b"\r\n")).split()[0] in (b"SERVER_ERROR", b"VA")
+                client.close()
+                await check_served()
+            for task in (*serving, *answering):
                 task.cancel()
-            await asyncio.gather(*serving, *pours, return_exceptions=True)
+            await asyncio.gather(*serving, *answering, return_exceptions=True)
 
     asyncio.run(play())
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""The same events call for the same actions as when the streams were written down."""
+"""Replayed streams: the same events result in the same actions as when the streams were recorded."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 @pytest.mark.parametrize("seed", event_stream.SEEDS)
 @pytest.mark.parametrize("name", event_stream.SETTINGS)
-def test_recorded_events_call_for_the_recorded_actions(name: str, seed: int) -> None:
+def test_recorded_events_result_in_the_recorded_actions(name: str, seed: int) -> None:
+    """A refactoring must change no decision."""
     balancer = Balancer(event_stream.SETTINGS[name], seed)
     lines = event_stream.path_of(name, seed).read_text(encoding="utf-8").splitlines()
     assert len(lines) == event_stream.STEPS
@@ -22,12 +23,13 @@
         actions = (
             balancer.start(now)
             if event is None
-            else balancer.handle(now, event_stream.event_of(event, event_stream.SETTINGS[name]))
+            else balancer.handle(now, event_stream.parse_event(event, event_stream.SETTINGS[name]))
         )
-        assert json.loads(json.dumps(event_stream.written(actions))) == expected, (number, event)
+        assert json.loads(json.dumps(event_stream.to_json_value(actions))) == expected, (number, event)
 
 
-def test_the_streams_hold_every_event_and_every_action_that_the_module_takes() -> None:
+def test_the_streams_have_every_kind_of_event_and_action() -> None:
+    """The types appear under their recorded names."""
     kinds: set[str] = set()
     for name in event_stream.SETTINGS:
         for seed in event_stream.SEEDS:
@@ -53,5 +55,8 @@
     }
 
 
-def test_a_drawn_stream_is_the_same_each_time() -> None:
-    assert event_stream.Drawn("through", 5).steps() == event_stream.Drawn("through", 5).steps()
+def test_a_generated_stream_is_the_same_each_time() -> None:
+    """The stream depends on the settings and the seed alone."""
+    assert (
+        event_stream.StreamGenerator("through", 5).generate() == event_stream.StreamGenerator("through", 5).generate()
+    )
