--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -14,11 +14,12 @@
 
 
 class ManualClock(Clock):
-    """A clock that tests set."""
+    """A clock that tests set, in ms."""
 
     time = 1000.0
 
     def now(self) -> float:
+        """Return the time that was set."""
         return self.time
 
 
@@ -26,50 +27,54 @@
     """A router whose clients, cache servers and discovery only record what it does."""
 
     def __init__(self, settings: Settings = THROUGH) -> None:
+        """Create a router that has a cached endpoint list."""
         self.clock = ManualClock()
         self.router = Router(settings, 1, self.clock, Deadlines(), Counters())
         self.router.fleet = self.router.discovery = self.router.peers = self  # type: ignore[assignment]
         self.started: list[Attempt] = []
         self.abandoned: list[Attempt] = []
         self.answers: list[tuple[PendingRequest, Answer]] = []
-        fleet = tuple(m for m in members(4) if m.kind != 3)
-        self.deliver(EndpointsReceived(EndpointList(EndpointListKind.CACHED, 1, fleet), {}))
+        endpoints = tuple(endpoint for endpoint in members(4) if endpoint.kind != 3)
+        self.deliver(EndpointsReceived(EndpointList(EndpointListKind.CACHED, 1, endpoints), {}))
 
     def answer(self, request: PendingRequest, answer: Answer) -> None:
+        """Record an answer, in place of the client."""
         self.answers.append((request, answer))
 
     def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
-        pass
+        """Ignore the list, in place of the actors of cache servers."""
 
     def start(self, attempt: Attempt) -> None:
+        """Record the start of an attempt, in place of the cache server's actor."""
         self.started.append(attempt)
 
     def abandon(self, attempt: Attempt) -> None:
+        """Record that an attempt was abandoned."""
         self.abandoned.append(attempt)
 
     def run_until_idle(self) -> None:
-        """Take turns until the mailbox is empty."""
+        """Run turns of the router until its mailbox is empty."""
         while len(self.router.mailbox):
             self.router.turn()
 
     def deliver(self, message: Message) -> None:
-        """Deliver a message and run what follows from it."""
+        """Deliver a message and handle all that result from it."""
         self.router.mailbox.must_put(message)
         self.run_until_idle()
 
-    def submit_request(self, cls: int = READ, wait: float = 900.0) -> PendingRequest:
-        """Submit a request with a deadline after so many ms."""
+    def submit_request(self, class_index: int = READ, deadline_in: float = 900.0) -> PendingRequest:
+        """Submit a request of a class, by its index, whose deadline is that many ms from now."""
         now = self.clock.time
-        request = PendingRequest(
-            self, self.router.settings.classes[cls], 7, now + wait, b"payload", now, is_write=cls != READ
-        )
+        request_class = self.router.settings.classes[class_index]
+        is_write = class_index != READ
+        request = PendingRequest(self, request_class, 7, now + deadline_in, b"payload", now, is_write=is_write)
         self.router.submit(request)
         self.run_until_idle()
         return request
 
-    def advance_time(self, span: float) -> None:
-        """Advance the clock, in ms, and run each deadline at its time."""
-        until = self.clock.time + span
+    def advance_time(self, duration: float) -> None:
+        """Advance the clock by a duration in ms, and run each deadline at its time."""
+        until = self.clock.time + duration
         while (first := self.router.deadlines.first()) is not None and first <= until:
             self.clock.time = max(self.clock.time, first)
             self.router.turn()
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""Owners of keys: the same at all routers, as many as the load requires, released again, few keys moved."""
+"""Owners of keys: the same at all routers, as many as the load requires, released later, few keys remapped."""
 
 from __future__ import annotations
 
@@ -20,36 +20,38 @@
 def rendezvous(
     router_index: int = 0, servers: int = 60, owner_count: int = 3, removed: int = 0, shuffle: int = 0
 ) -> Rendezvous:
-    result = Rendezvous(router_index, owner_count)
+    """Return the hashing of a router over equal servers, but for a removed one, listed in a shuffled order."""
+    hashing = Rendezvous(router_index, owner_count)
     candidates = [Candidate(mix(n + 1), 1.0, n) for n in range(1, servers + 1) if n != removed]
     Random(shuffle).shuffle(candidates)
-    result.update(candidates, [])
-    return result
+    hashing.update(candidates, [])
+    return hashing
 
 
 def request_key(
-    per_s: float,
+    per_second: float,
     write_share: float = 0.0,
     routers: int = 200,
-    span: float = 60.0,
+    duration_s: float = 60.0,
     popularity: Popularity | None = None,
     begin: float = 0.0,
     seed: int = 1,
 ) -> tuple[Popularity, int]:
-    """Send requests for a key at a rate; return its popularity, and how often its number of owners changed."""
+    """Record requests for a key at a rate, from a time (ms); return its popularity and its owner count's changes."""
     rng = Random(seed)
     demand = FleetDemand()
     demand.set_fleet_size(routers, 60, 1)
     popularity = popularity or Popularity()
     now = begin
     changes = 0
-    while (now := now + rng.expovariate(per_s / 1000.0)) < begin + span * 1000.0:
+    while (now := now + rng.expovariate(per_second / 1000.0)) < begin + duration_s * 1000.0:
         changes += popularity.record(now, rng.random() < write_share, demand)
     return popularity, changes
 
 
 @given(st.integers(1, 2**64 - 1), st.integers(0, 40), st.integers(0, 64))
 def test_equal_lists_give_equal_owners_whatever_their_order(key: int, router: int, owner_count: int) -> None:
+    """Routers differ only in which owner of a hot key they prefer."""
     owners = rendezvous(router).owners(key, owner_count)
     assert owners == rendezvous(router, shuffle=7).owners(key, owner_count)
     assert len({owner.number for owner in owners}) == 3
@@ -58,55 +60,63 @@
 
 
 @given(st.integers(1, 2**64 - 1), st.integers(0, 40), st.sampled_from((0, 8, 16, 32)), st.integers(1, 60))
-def test_the_removal_of_a_server_moves_only_its_own_keys(key: int, router: int, owner_count: int, removed: int) -> None:
+def test_the_removal_of_a_server_remaps_only_its_own_keys(
+    key: int, router: int, owner_count: int, removed: int
+) -> None:
+    """Rendezvous hashing: other keys stay at their owners."""
     before = {owner.number for owner in rendezvous(router).owners(key, owner_count)}
     after = {owner.number for owner in rendezvous(router, removed=removed).owners(key, owner_count)}
-    moved = before - {removed} - after
+    remapped = before - {removed} - after
     # Of a hot key one owner replaces the removed one, and may come before one that this router used.
-    assert len(moved) <= (1 if owner_count > 3 else 0)
+    assert len(remapped) <= (1 if owner_count > 3 else 0)
 
 
 def test_a_hot_key_is_spread_evenly_over_its_owners_and_fewer_owners_are_a_subset_of_more() -> None:
+    """200 routers choose among the owners by their index, and by the weights of the servers."""
     routers = [rendezvous(index) for index in range(200)]
     for key in (mix(k) for k in range(1, 6)):
-        many, few = ({r.owners(key, owner_count)[0].number for r in routers} for owner_count in (32, 8))
+        many, few = ({router.owners(key, owner_count)[0].number for router in routers} for owner_count in (32, 8))
         assert len(many) >= 30 and few <= many and len(few) == 8
-        assert max(Counter(r.owners(key, 8)[0].number for r in routers).values()) < 2 * 200 / 8
+        assert max(Counter(router.owners(key, 8)[0].number for router in routers).values()) < 2 * 200 / 8
     weighted = Rendezvous(0, 3)
     weighted.update([Candidate(mix(n), 3.0 if n < 30 else 1.0, n) for n in range(60)], [])
     assert 0.65 < sum(weighted.owners(mix(k))[0].number < 30 for k in range(400)) / 400 < 0.85
 
 
 def test_a_key_has_owners_by_its_load_and_no_more_for_a_single_request() -> None:
+    """The load of the fleet is extrapolated from the rate at one router."""
     assert (
         request_key(0.01)[0].owner_count == 0
     )  # 2 a second over 200 routers: 20 in the time that a replica stays cached
-    popular, hot = request_key(0.06, span=400.0)[0].owner_count, request_key(1.5)[0].owner_count
+    popular, hot = request_key(0.06, duration_s=400.0)[0].owner_count, request_key(1.5)[0].owner_count
     assert 8 <= popular < hot == 32  # the greatest power of two that 60 servers hold
     assert request_key(1.5, routers=1)[0].owner_count <= 4  # the same at a single router
 
 
 def test_a_written_key_has_as_many_owners_as_are_read_often_between_two_writes() -> None:
-    counts = [request_key(1.5, write_share=share, span=200.0)[0].owner_count for share in (0.0, 0.01, 0.06, 0.3)]
+    """Each write invalidates the replicas, so that more of them would cost more fetches."""
+    counts = [request_key(1.5, write_share=share, duration_s=200.0)[0].owner_count for share in (0.0, 0.01, 0.06, 0.3)]
     assert counts[0] == 32 and 8 <= counts[1] <= 32 and counts[2] <= 4 and counts[3] == 0
     assert counts == sorted(counts, reverse=True)
 
 
 def test_owners_are_released_with_the_load_and_do_not_oscillate_under_a_steady_or_a_pulsed_load() -> None:
-    hot, changes = request_key(1.5, span=120.0)
+    """Hysteresis: each change costs fetches from the origin."""
+    hot, changes = request_key(1.5, duration_s=120.0)
     assert changes <= 6  # up, one power of two at a time
-    _, more = request_key(1.5, span=300.0, popularity=hot, begin=120e3, seed=2)
-    assert more <= 4
-    unpopular, _ = request_key(0.005, span=1200.0, popularity=hot, begin=420e3)
+    _, more_changes = request_key(1.5, duration_s=300.0, popularity=hot, begin=120e3, seed=2)
+    assert more_changes <= 4
+    unpopular, _ = request_key(0.005, duration_s=1200.0, popularity=hot, begin=420e3)
     assert unpopular.owner_count == 0
     pulsed, changes = Popularity(), 0
     for second in range(0, 60, 4):
-        pulsed, more = request_key(20.0, span=2.0, popularity=pulsed, begin=second * 1e3, seed=second + 1)
-        changes += more
+        pulsed, more_changes = request_key(20.0, duration_s=2.0, popularity=pulsed, begin=second * 1e3, seed=second + 1)
+        changes += more_changes
     assert pulsed.owner_count == 32 and changes <= 6
 
 
-def test_times_that_go_back_change_nothing() -> None:
+def test_times_that_go_backwards_are_harmless() -> None:
+    """A clock that is set back causes no error and no absurd number of owners."""
     popularity, demand = Popularity(), FleetDemand()
     demand.set_fleet_size(200, 60, 3)
     for now in (1000.0, 0.0, -5.0, 2000.0):
@@ -114,13 +124,13 @@
     assert 0 <= popularity.owner_count <= 60
 
 
-# the decision module
+# Hot keys in the decision module
 
 
 def servers_used(router: int, hot_keys: bool, requests: int = 60) -> Counter[int]:
-    world = World(
-        THROUGH._replace(hot_keys=hot_keys, router_count=100, router_index=router), members(24), seed=router + 1
-    )
+    """Return how many requests for one key a router sends to each server."""
+    settings = THROUGH._replace(hot_keys=hot_keys, router_count=100, router_index=router)
+    world = World(settings, members(24), seed=router + 1)
     used: Counter[int] = Counter()
     for _ in range(requests):
         send = only_send(world.ask(7, cost=0.0))
@@ -132,7 +142,9 @@
 
 
 def test_routers_spread_a_hot_key_over_its_owners_and_each_uses_the_same_ones_again() -> None:
-    plain, spread = Counter[int](), Counter[int]()
+    """Without the setting nearly all requests go to one server."""
+    plain = Counter[int]()
+    spread = Counter[int]()
     for router in range(30):
         plain += servers_used(router, hot_keys=False)
         used = servers_used(router, hot_keys=True)
@@ -143,20 +155,22 @@
 
 
 def test_the_operators_file_enables_hot_keys_and_a_reload_disables_them() -> None:
+    """The setting is off by default, and must be a boolean."""
     assert not options.parse("", "f").apply_to(THROUGH).hot_keys
-    own = options.parse("[hot_keys]\nenabled = true\n", "f")
-    assert own.apply_to(THROUGH).hot_keys
+    operator_options = options.parse("[hot_keys]\nenabled = true\n", "f")
+    assert operator_options.apply_to(THROUGH).hot_keys
     with pytest.raises(options.OptionsError, match=r"hot_keys\.enabled"):
         options.parse('[hot_keys]\nenabled = "yes"\n', "f")
-    world = World(own.apply_to(THROUGH)._replace(router_count=100, router_index=3), members(24))
-    before = [world.read(7) for _ in range(40)]
+    world = World(operator_options.apply_to(THROUGH)._replace(router_count=100, router_index=3), members(24))
+    servers_before = [world.read(7) for _ in range(40)]
     world.do(SettingsChanged(world.set._replace(hot_keys=False)))
-    away = {world.read(7) for _ in range(60)}
+    servers_after = {world.read(7) for _ in range(60)}
     plain = World(THROUGH._replace(router_count=100, router_index=3), members(24))
-    assert before[0] == plain.read(7) != before[-1] and before[-1] in away
+    assert servers_before[0] == plain.read(7) != servers_before[-1] and servers_before[-1] in servers_after
 
 
 def test_a_fleet_size_changed_by_a_reload_takes_effect_at_once() -> None:
+    """The demand of a key is extrapolated to the new number of routers."""
     world = World(THROUGH._replace(hot_keys=True), members(24, zones=3))
     world.do(SettingsChanged(world.set._replace(router_count=90)))
     demand = world.balancer.fleet.demand
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Lists and watches on real sockets, each crossing forced by a scripted discovery."""
+"""Endpoint lists and watches over real sockets, with each interleaving forced by a scripted discovery."""
 
 from __future__ import annotations
 
@@ -21,12 +21,14 @@
 
 def server_states(harness: RouterHarness) -> dict[str, ServerState]:
     """Return the state that the router has for each server, by name."""
-    known = {harness.program.actors.discovery.parser.ids.assign(e["name"]): e["name"] for e in harness.entries()}
-    return {known[n]: s.endpoint.state for n, s in harness.router.balancer.fleet.servers.items() if n in known}
+    assign_id = harness.program.actors.discovery.parser.ids.assign
+    names = {assign_id(entry["name"]): entry["name"] for entry in harness.entries()}
+    servers = harness.router.balancer.fleet.servers
+    return {names[number]: server.endpoint.state for number, server in servers.items() if number in names}
 
 
 async def accept_watch(harness: RouterHarness) -> Peer:
-    """Accept a watch and answer its head."""
+    """Accept a watch call and send the response's header."""
     peer = await harness.discovery.accept()
     assert (await peer.until(b"\r\n\r\n")).startswith(f"GET {LIST_PATH}?watch=1".encode())
     await peer.send(WATCHED)
@@ -46,11 +48,13 @@
     return watch
 
 
-# pushed lists
+# Pushed lists
 
 
-def test_a_pushed_list_is_watched_without_the_modules_asking_and_before_clients_come(tmp_path: Path) -> None:
-    """Guards the drain: what the agent has counts as notified from the first moment, and nobody ever watched."""
+def test_pushed_lists_are_watched_before_clients_are_accepted_without_the_modules_request(
+    tmp_path: Path,
+) -> None:
+    """The router must learn of a draining server that the agent lists from the start; once, no one watched."""
 
     async def play() -> None:
         async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as harness:
@@ -64,37 +68,37 @@
     asyncio.run(play())
 
 
-def test_a_pushed_watch_that_ends_is_opened_anew_within_the_grace_of_a_drain(tmp_path: Path) -> None:
-    """What the agent has counts as notified, whether or not a watch is open: a drain may begin just as one ends."""
+def test_a_pushed_watch_that_ends_is_reopened_within_the_drain_grace(tmp_path: Path) -> None:
+    """The drain grace runs whether or not a watch is open: a drain may begin just as a watch ends."""
 
     async def play() -> None:
         async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as harness:
             watch = await accept_watch(harness)
             await watch.send(chunk(listing(2, *harness.entries()) + b"\n"))
             await until(lambda: harness.program.is_serving)
-            pauses: list[float] = []
-            later: Callable[[float, Callable[[], None]], Deadline] = harness.router.deadlines.set
+            backoffs: list[float] = []
+            set_deadline: Callable[[float, Callable[[], None]], Deadline] = harness.router.deadlines.set
 
-            def note(at: float, callback: Callable[[], None]) -> Deadline:
+            def record_backoff(at: float, callback: Callable[[], None]) -> Deadline:
                 if callback == harness.program.actors.discovery._retry_watch:
-                    pauses.append(at - harness.router.clock.now())
-                return later(at, callback)
+                    backoffs.append(at - harness.router.clock.now())
+                return set_deadline(at, callback)
 
-            harness.router.deadlines.set = note  # type: ignore[method-assign]
+            harness.router.deadlines.set = record_backoff  # type: ignore[method-assign]
             watch.reset()
-            again = await accept_watch(harness)
+            reopened = await accept_watch(harness)
             one, _ = harness.entries()
-            await again.send(chunk(listing(3, {**one, "status": "terminating"}, full=False) + b"\n"))
+            await reopened.send(chunk(listing(3, {**one, "status": "terminating"}, full=False) + b"\n"))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
-            assert len(pauses) == 1 and pauses[0] < 50.0
+            assert len(backoffs) == 1 and backoffs[0] < 50.0
 
     asyncio.run(play())
 
 
-def test_a_process_whose_agent_is_silent_serves_from_the_list_last_known(
+def test_a_process_whose_agent_is_silent_serves_from_the_cached_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the start while discovery is down: nine in ten must be ready within 10 s."""
+    """The router must start while discovery is down: nine in ten must be ready within 10 s."""
     monkeypatch.setattr("starlingthread.router_process.process.DISCOVERY_TIMEOUT_S", 0.01)
 
     async def play() -> None:
@@ -104,13 +108,13 @@
     asyncio.run(play())
 
 
-# how a list is written
+# Framing of lists
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
 @pytest.mark.parametrize("end", [b"\n", b"\r\n", b""])
-def test_a_list_counts_however_it_is_written_and_cut(tmp_path: Path, indent: int | None, end: bytes) -> None:
-    """It may come on many lines, and nothing says that the last one ends."""
+def test_a_list_takes_effect_however_it_is_formatted_and_split(tmp_path: Path, indent: int | None, end: bytes) -> None:
+    """It may have many lines, and the last one may have no line end."""
 
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
@@ -128,7 +132,9 @@
     asyncio.run(play())
 
 
-def test_changes_before_a_reset_count_and_a_half_list_does_not(tmp_path: Path) -> None:
+def test_complete_lists_before_a_reset_take_effect_and_a_partial_one_does_not(tmp_path: Path) -> None:
+    """A connection that is reset in the middle of a list loses that list alone."""
+
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
@@ -146,25 +152,25 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("spoilt", [b'{"index": "\n', b"nonsense\n", b'{"index": 1}}', b"[1]\n", b'"a"\n', b"{]}"])
-def test_a_list_that_is_spoilt_ends_the_call_and_what_came_before_it_counts(tmp_path: Path, spoilt: bytes) -> None:
-    """Guards against waiting for the end of what never ends, with changes lying behind it."""
+@pytest.mark.parametrize("invalid", [b'{"index": "\n', b"nonsense\n", b'{"index": 1}}', b"[1]\n", b'"a"\n', b"{]}"])
+def test_an_invalid_list_ends_the_call_and_those_before_it_take_effect(tmp_path: Path, invalid: bytes) -> None:
+    """The router must not wait for the end of an object that never ends, with changes queued after it."""
 
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
             watch = await accept_watch(harness)
             one, _ = harness.entries()
-            good = listing(2, {**one, "status": "terminating"}, full=False) + b"\n"
-            await watch.send(chunk(good + spoilt))
+            valid = listing(2, {**one, "status": "terminating"}, full=False) + b"\n"
+            await watch.send(chunk(valid + invalid))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             await until(lambda: harness.counters["discovery.failures"] == 1)
 
     asyncio.run(play())
 
 
-def test_a_list_that_drips_is_given_up(tmp_path: Path) -> None:
-    """It says something all the time, so the clock for silence never ends it."""
+def test_a_list_that_arrives_too_slowly_is_abandoned(tmp_path: Path) -> None:
+    """Bytes keep arriving, so that the silence timeout never ends the call."""
 
     async def play() -> None:
         async with running_router(tmp_path) as harness:
@@ -202,43 +208,46 @@
     ),
     st.integers(1, 40),
 )
-def test_objects_come_out_as_they_went_in_whatever_the_cuts(
-    written: list[tuple[dict[str, object], int | None, bytes]], size: int
+def test_split_objects_are_restored_whatever_the_chunk_boundaries(
+    documents: list[tuple[dict[str, object], int | None, bytes]], size: int
 ) -> None:
-    text = b"".join(json.dumps(o, indent=indent).encode() + end for o, indent, end in written)
-    objects = JsonObjectSplitter()
-    found = [json.loads(o) for at in range(0, len(text), size) for o in objects.feed(text[at : at + size])]
-    assert found == [o for o, _, _ in written] and not objects.has_partial_object() and not len(objects)
+    text = b"".join(json.dumps(document, indent=indent).encode() + end for document, indent, end in documents)
+    splitter = JsonObjectSplitter()
+    chunks = (text[start : start + size] for start in range(0, len(text), size))
+    parsed = [json.loads(raw) for received in chunks for raw in splitter.feed(received)]
+    assert parsed == [document for document, _, _ in documents]
+    assert not splitter.has_partial_object() and not len(splitter)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.lists(st.binary(max_size=12) | st.sampled_from([b"{", b"}", b'"', b"\\", b"\n", b'{"a":1}']), max_size=12))
 def test_no_bytes_raise_anything_but_a_list_error(parts: list[bytes]) -> None:
-    objects = JsonObjectSplitter()
+    """The splitter never buffers more than it was fed."""
+    splitter = JsonObjectSplitter()
     try:
         for part in parts:
-            list(objects.feed(part))
+            list(splitter.feed(part))
     except EndpointListError:
         return
-    assert len(objects) <= len(b"".join(parts))
+    assert len(splitter) <= len(b"".join(parts))
 
 
-# silence
+# Silence on a watch
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_within_the_time_that_is_left(tmp_path: Path) -> None:
-    """What it misses counts as notified 6 s after it fell silent."""
+def test_a_silent_watch_is_reopened_within_the_time_left(tmp_path: Path) -> None:
+    """A change that it missed must be known to the router 6 s after the watch fell silent."""
 
     async def play() -> None:
         async with running_router(tmp_path) as harness:
             _watch = await open_watch(harness)
             await until(lambda: harness.counters["discovery.watches"] == 1)
             await step()
-            harness.router.clock._base += 2400.0  # it says something every 2 s
+            harness.router.clock._base += 2400.0  # a heartbeat is due every 2 s
             harness.router.mailbox.wake()
             await step()
             assert harness.counters["discovery.failures"] == 0
-            for _ in range(200):  # in small steps, as a look that is late by itself does not count
+            for _ in range(200):  # in small steps, as a check that is itself late does not count
                 harness.router.clock._base += 1.0
                 harness.router.mailbox.wake()
                 await step(3)
@@ -247,8 +256,8 @@
     asyncio.run(play())
 
 
-def test_a_silence_that_we_look_at_too_late_is_none(tmp_path: Path) -> None:
-    """After we stood still what came meanwhile lies unread: it is read before the watch is given up."""
+def test_a_silence_that_is_checked_too_late_is_no_failure(tmp_path: Path) -> None:
+    """After a stall of the process unread data is read before the watch is considered silent."""
 
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
@@ -264,8 +273,8 @@
     asyncio.run(play())
 
 
-def test_a_watch_that_is_open_is_not_opened_again(tmp_path: Path) -> None:
-    """A failure of an older call may have the module ask once more, and a new call waits in turn anew."""
+def test_an_open_watch_is_not_opened_again(tmp_path: Path) -> None:
+    """After a failure of an older call the module may request a watch again."""
 
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
@@ -281,13 +290,15 @@
     asyncio.run(play())
 
 
-def test_bytes_of_an_old_watch_after_a_move_are_not_taken(tmp_path: Path) -> None:
+def test_bytes_of_the_old_watch_are_ignored_after_a_change_of_the_address(tmp_path: Path) -> None:
+    """They are already in the socket's buffer when the address changes."""
+
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
             old = await open_watch(harness)
             await step()
             await old.send(chunk(listing(9, entry("s-1", "127.0.0.1:1", "terminating"), full=False)))
-            # Before the loop has read that.
+            # The event loop has not read that yet.
             harness.program.actors.discovery.set_address(("127.0.0.1", harness.discovery.port))
             new = await accept_watch(harness)
             await new.send(chunk(listing(2, *harness.entries())))
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -1,4 +1,4 @@
-"""Discovery: lists, watches and the ids of servers."""
+"""Discovery: parsing of endpoint lists, a change of the address, and the ids of servers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from .router_harness import RouterHarness
 
-LINE = {
+ENTRY = {
     "name": "s-1",
     "address": "127.0.0.1:11211",
     "zone": "b",
@@ -26,14 +26,15 @@
 }
 
 
-def test_a_list_is_read_and_unknown_places_lie_behind_the_known() -> None:
+def test_a_list_is_parsed_and_unknown_zones_and_kinds_come_after_the_known() -> None:
+    """A zone or kind that the settings do not name has the next index."""
     parser = EndpointListParser(("a", "b"), ("m1", "m2"))
-    odd = {**LINE, "name": "s-2", "zone": "x", "type": None, "status": "terminating"}
-    listing = parser.parse({"index": 4, "snapshot": False, "endpoints": [odd, LINE]})
-    one, two = listing.event.endpoints
-    assert one == Endpoint(ServerIds().assign("s-1"), 1, 1, 3, ServerState.READY, 1.5, 17.0)
-    assert (two.zone, two.kind, two.state) == (2, 2, ServerState.DRAINING)
-    assert listing.event.kind == EndpointListKind.DELTA and listing.addresses[one.server] == ("127.0.0.1", 11211)
+    unusual = {**ENTRY, "name": "s-2", "zone": "x", "type": None, "status": "terminating"}
+    listing = parser.parse({"index": 4, "snapshot": False, "endpoints": [unusual, ENTRY]})
+    first, second = listing.event.endpoints
+    assert first == Endpoint(ServerIds().assign("s-1"), 1, 1, 3, ServerState.READY, 1.5, 17.0)
+    assert (second.zone, second.kind, second.state) == (2, 2, ServerState.DRAINING)
+    assert listing.event.kind == EndpointListKind.DELTA and listing.addresses[first.server] == ("127.0.0.1", 11211)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -42,60 +43,64 @@
         st.none() | st.integers() | st.text(max_size=5) | st.floats(),
         lambda inner: (
             st.lists(inner, max_size=3)
-            | st.dictionaries(st.sampled_from([*LINE, "endpoints", "index", "snapshot"]), inner)
+            | st.dictionaries(st.sampled_from([*ENTRY, "endpoints", "index", "snapshot"]), inner)
         ),
     )
 )
-def test_any_json_is_a_list_or_a_list_error(raw: object) -> None:
-    for text in (raw, {"index": 1, "snapshot": True, "endpoints": [raw, {**LINE, "zone": raw}]}):
+def test_any_json_is_parsed_or_raises_a_list_error(raw: object) -> None:
+    """No other exception may come of a list."""
+    for document in (raw, {"index": 1, "snapshot": True, "endpoints": [raw, {**ENTRY, "zone": raw}]}):
         with contextlib.suppress(EndpointListError):
-            assert EndpointListParser(("a",), ("m1",)).parse(text).event.kind in EndpointListKind
+            assert EndpointListParser(("a",), ("m1",)).parse(document).event.kind in EndpointListKind
 
 
-def test_ids_come_from_the_name_and_collisions_are_resolved() -> None:
+def test_ids_are_derived_from_the_name_and_collisions_are_resolved() -> None:
+    """Two routers have the same ids, in whatever order they met the names."""
     names = [f"s-{n}" for n in range(300)]
     one, other = ServerIds(), ServerIds()
-    assert [one.assign(n) for n in names] == [other.assign(n) for n in reversed(names)][::-1]
-    crowded = ServerIds()
-    crowded._assigned.add(ServerIds().assign("s-1"))
-    assert (
-        crowded.assign("s-1") != ServerIds().assign("s-1") and crowded.assign("s-1") == crowded.assign("s-1") < 1 << 32
-    )
+    assert [one.assign(name) for name in names] == [other.assign(name) for name in reversed(names)][::-1]
+    with_collision = ServerIds()
+    with_collision._assigned.add(ServerIds().assign("s-1"))
+    resolved = with_collision.assign("s-1")
+    assert resolved != ServerIds().assign("s-1") and resolved == with_collision.assign("s-1") < 1 << 32
 
 
-def test_discovery_that_moves_is_asked_anew_and_its_old_watch_is_no_failure() -> None:
-    """Guards a reload: what the new address sends counts as notified soon after the signal."""
+def test_a_new_address_of_discovery_is_called_at_once_and_the_ended_watch_is_no_failure() -> None:
+    """On a reload the router must learn soon what the new address sends."""
 
     async def play() -> None:
-        harness, spoken = RouterHarness(), []
-        registry = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
+        harness = RouterHarness()
+        calls = []
+        discovery = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
 
-        async def speak(path: str, is_watch: bool) -> None:
-            spoken.append((registry.address[1], path))
+        async def run_call(path: str, is_watch: bool) -> None:
+            calls.append((discovery.address[1], path))
             await asyncio.Event().wait()
 
-        registry._run_call = speak  # type: ignore[method-assign]
-        registry.watcher.start(registry.run(), "discovery", lambda _: None)
-        registry.watch(True)
-        registry.fetch()
+        discovery._run_call = run_call  # type: ignore[method-assign]
+        discovery.watcher.start(discovery.run(), "discovery", lambda _: None)
+        discovery.watch(True)
+        discovery.fetch()
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
-        old, fetch = registry._watch_task, next(iter(registry._fetch_tasks))
-        registry.set_address(("127.0.0.1", 2))
+        old_watch = discovery._watch_task
+        old_fetch = next(iter(discovery._fetch_tasks))
+        discovery.set_address(("127.0.0.1", 2))
         for _ in range(4):
             await asyncio.sleep(0.0)
         paths = [f"{LIST_PATH}?watch=1&after=0", LIST_PATH]
-        assert spoken == [(port, path) for port in (1, 2) for path in paths]
-        assert old is not None and old.cancelled() and fetch.cancelled()
-        assert registry.counters["discovery.failures"] == 0
+        assert calls == [(port, path) for port in (1, 2) for path in paths]
+        assert old_watch is not None and old_watch.cancelled() and old_fetch.cancelled()
+        assert discovery.counters["discovery.failures"] == 0
         assert not harness.router.mailbox.take()
-        await registry.watcher.stop()
+        await discovery.watcher.stop()
 
     asyncio.run(play())
 
 
-def test_names_that_are_gone_are_forgotten_and_come_back_with_the_same_id() -> None:
+def test_removed_names_are_released_and_have_the_same_id_when_they_return() -> None:
+    """The ids of servers that are no longer listed do not accumulate."""
     ids = ServerIds()
-    one, two = ids.assign("s-1"), ids.assign("s-2")
-    ids.retain({two})
-    assert ids._assigned == {two} and ids.assign("s-1") == one
+    first, second = ids.assign("s-1"), ids.assign("s-2")
+    ids.retain({second})
+    assert ids._assigned == {second} and ids.assign("s-1") == first
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -59,9 +59,10 @@
 
 
 def test_three_routers_keep_all_rules_through_five_faults(tmp_path: Path) -> None:
+    """The bench command also writes its results as JSON and as a report."""
     path = tmp_path / "end-to-end.toml"
     path.write_text(SCENARIO)
-    done = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -78,20 +79,21 @@
         timeout=90,
         check=False,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     run = results.read(tmp_path / "out.json")
     assert run.passed and run.goodput_share > 0.8 and len(run.faults) == 5
     assert run.facts["discovery.calls"] >= 4 and run.facts["servers.runs"] > 2000
-    assert all(r.requests > 300 and r.peak_memory_mb > 10 for r in run.routers)
+    assert all(router.requests > 300 and router.peak_memory_mb > 10 for router in run.routers)
     page = (tmp_path / "out.html").read_text()
     assert page.count("data:image/png") == 8 and "No rule broken" in page
-    assert not done.stderr  # no progress bar where nobody looks
+    assert not completed.stderr  # no progress bar without a terminal
 
 
-@pytest.mark.parametrize("shape", ["json", "logfmt"])
-def test_a_router_writes_structured_lines_and_reloads_its_options(tmp_path: Path, shape: str) -> None:
-    own = tmp_path / "own.toml"
-    own.write_text(f'[log]\nformat = "{shape}"\n')
+@pytest.mark.parametrize("log_format", ["json", "logfmt"])
+def test_a_router_writes_structured_lines_and_reloads_its_options(tmp_path: Path, log_format: str) -> None:
+    """An invalid file leaves the options in effect, and is logged."""
+    options_file = tmp_path / "own.toml"
+    options_file.write_text(f'[log]\nformat = "{log_format}"\n')
     subprocess.run(
         [
             sys.executable,
@@ -115,44 +117,45 @@
         [sys.executable, "-m", "starlingthread"],
         stderr=subprocess.PIPE,
         text=True,
-        env={**os.environ, "LB_CONFIG": str(tmp_path / "r0.json"), "STARLINGTHREAD_OPTIONS": str(own)},
+        env={**os.environ, "LB_CONFIG": str(tmp_path / "r0.json"), "STARLINGTHREAD_OPTIONS": str(options_file)},
     )
     assert router.stderr is not None
-    watchdog = threading.Timer(60, router.kill)  # the log ends with it, and so does the wait for a line
+    watchdog = threading.Timer(60, router.kill)  # ends the log, and so the wait for a line
     watchdog.start()
 
-    def until(event: str) -> str:
+    def read_until(event: str) -> str:
+        """Return the next log line with an event."""
         assert router.stderr is not None
         while event not in (line := router.stderr.readline()):
             assert line, f"the log ended without {event}"
         return line
 
-    started = until("started")
-    if shape == "json":
+    started = read_until("started")
+    if log_format == "json":
         assert json.loads(started)["event"] == "started" and json.loads(started)["servers"] == 9
     else:
         assert " event=started " in started and " servers=9" in started
-    own.write_text('[log]\nformat = "xml"\n')
+    options_file.write_text('[log]\nformat = "xml"\n')
     router.send_signal(signal.SIGHUP)
-    assert "log.format" in until("options-invalid")
-    until("reloaded")  # each reload is over before the next signal: two that wait count as one
-    own.write_text('[log]\nformat = "text"\n')
+    assert "log.format" in read_until("options-invalid")
+    read_until("reloaded")  # each reload must be complete before the next signal: two pending ones are merged
+    options_file.write_text('[log]\nformat = "text"\n')
     router.send_signal(signal.SIGHUP)
-    until("reloaded")
+    read_until("reloaded")
     router.send_signal(signal.SIGHUP)
-    assert " INFO reloaded discovery=" in until("reloaded")
-    # The operator's file counts whatever the platform's is like; this router may tell nobody, and says so.
+    assert " INFO reloaded discovery=" in read_until("reloaded")
+    # The operators' file takes effect though the platform's is invalid; peer messages are not allowed, which is logged.
     config["settings"]["permissions"]["peerMessages"] = False
     (tmp_path / "r0.json").write_text(json.dumps(config))
     router.send_signal(signal.SIGHUP)
-    until("reloaded")
+    read_until("reloaded")
     (tmp_path / "r0.json").write_text("{")
-    own.write_text("[membership]\nenabled = true\n")
+    options_file.write_text("[membership]\nenabled = true\n")
     router.send_signal(signal.SIGHUP)
-    until("reload-failed")
-    assert "not allowed" in until("membership-disabled")
-    began = time.monotonic()
+    read_until("reload-failed")
+    assert "not allowed" in read_until("membership-disabled")
+    stopped_at = time.monotonic()
     router.send_signal(signal.SIGTERM)
-    assert router.wait(10) == 0 and time.monotonic() - began < 5
+    assert router.wait(10) == 0 and time.monotonic() - stopped_at < 5
     watchdog.cancel()
     router.stderr.close()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -22,31 +22,42 @@
 
 from .world import THROUGH, World, members, sends
 
-NOW, KEY = 1e12, b"0123456789abcdef"
+NOW = 1e12  # ms
+KEY = b"0123456789abcdef"
+KEY_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads small key numbers over 64 bits
 
 
 class Fleet:
-    """Routers that exchange votes at once, but for lost datagrams and routers that are cut off."""
+    """Routers that exchange votes without delay, except for lost datagrams and partitioned routers."""
 
     def __init__(self, count: int, sizes: dict[int, int], loss: float = 0.0) -> None:
-        self.now, self.rng, self.loss, self.sent = NOW, Random(5), loss, 0
+        """Create routers and zones of some sizes; loss is the probability that a datagram is lost."""
+        self.now = NOW
+        self.rng = Random(5)
+        self.loss = loss
+        self.sent_datagrams = 0
         self.routers = [ZoneFailover(n, range(count)) for n in range(count)]
-        self.cut: set[int] = set()
+        self.partitioned: set[int] = set()
         for router in self.routers:
-            router.set_servers((zone, zone * 10 + place) for zone, size in sizes.items() for place in range(size))
+            router.set_servers((zone, zone * 10 + number) for zone, size in sizes.items() for number in range(size))
 
     def exchange_votes(self) -> None:
+        """Deliver all outgoing votes until there are no more."""
         while any(router.outgoing_votes for router in self.routers):
             for sender, router in enumerate(self.routers):
                 votes = router.take_outgoing_votes()
-                for other, zones in enumerate(self.routers if votes else []):
-                    self.sent += 1
-                    if other != sender and not {other, sender} & self.cut and self.rng.random() >= self.loss:
+                for receiver, zones in enumerate(self.routers if votes else []):
+                    self.sent_datagrams += 1
+                    connected = receiver != sender and not {receiver, sender} & self.partitioned
+                    if connected and self.rng.random() >= self.loss:
                         zones.receive_votes(self.now, votes)
 
-    def play(self, span: float, lost: dict[int, set[int]]) -> None:
-        """Let each router send requests to each zone for a span of ms; lost: by zone, routers that cannot reach it."""
-        for _ in range(int(span / 100.0)):
+    def play(self, duration: float, unreachable: dict[int, set[int]]) -> None:
+        """Let each router send requests to each open zone for a duration (ms).
+
+        unreachable has, by zone, the routers that get no response from it.
+        """
+        for _ in range(int(duration / 100.0)):
             self.now += 100.0
             for number, router in enumerate(self.routers):
                 for zone in router.server_counts:
@@ -54,12 +65,13 @@
                         continue
                     server = zone * 10 + self.rng.randrange(router.server_counts[zone])
                     router.on_sent(self.now, zone, server)
-                    if number not in lost.get(zone, ()):
+                    if number not in unreachable.get(zone, ()):
                         router.on_response(self.now, zone, server, 1.0)
                 router.tick(self.now)
             self.exchange_votes()
 
-    def lost(self, zone: int) -> int:
+    def count_lost(self, zone: int) -> int:
+        """Return in how many routers' plans a zone is lost."""
         return sum(router.plan.is_lost(zone) for router in self.routers)
 
 
@@ -67,6 +79,7 @@
     st.lists(st.tuples(st.integers(1, 8), st.sampled_from(ZoneStatus), st.integers(1, 4)), max_size=12), st.randoms()
 )
 def test_routers_with_the_same_votes_have_the_same_plan(cast: list[tuple[int, ZoneStatus, int]], rng: Random) -> None:
+    """Neither the order of the votes nor duplicates matter."""
     unique: dict[tuple[int, int], ZoneVote] = {}  # a witness uses each sequence number once
     for witness, status, sequence in cast:
         unique.setdefault((witness, sequence), ZoneVote(witness, 1, status, sequence))
@@ -85,7 +98,7 @@
 
 
 def test_every_order_and_loss_of_the_votes_of_three_witnesses_keeps_the_invariants() -> None:
-    """All states that two votes of each of two honest witnesses and one liar can lead to, one by one."""
+    """All states that two votes of each of two honest witnesses and one faulty one can lead to."""
     votes = [
         ZoneVote(1, 1, ZoneStatus.LOST, 1),
         ZoneVote(1, 1, ZoneStatus.HEALTHY, 2),
@@ -112,36 +125,39 @@
     assert len(states) > 20 and any(lost for _, lost in states)
 
 
-def test_a_lost_zone_is_found_in_common_and_comes_back_in_steps() -> None:
+def test_all_routers_agree_on_a_lost_zone_and_its_recovery_ramp() -> None:
+    """While it is lost, only the witnesses send trial requests to it."""
     fleet = Fleet(40, {0: 4, 1: 4, 2: 4})
     fleet.play(3000.0, {})
-    assert fleet.sent == 0  # no votes while all zones are healthy
+    assert fleet.sent_datagrams == 0  # no votes while all zones are healthy
     fleet.play(500.0, {1: set(range(40))})
-    assert fleet.lost(1) == 40 and fleet.lost(0) == fleet.lost(2) == 0
-    asked = [n for n, router in enumerate(fleet.routers) if router.is_open(fleet.now + MAX_TRIAL_DELAY, 1, 7)]
-    assert sorted(asked) == sorted(choose_witnesses(1, range(40)))
+    assert fleet.count_lost(1) == 40 and fleet.count_lost(0) == fleet.count_lost(2) == 0
+    trial_at = fleet.now + MAX_TRIAL_DELAY
+    trial_routers = [index for index, router in enumerate(fleet.routers) if router.is_open(trial_at, 1, 7)]
+    assert sorted(trial_routers) == sorted(choose_witnesses(1, range(40)))
     fleet.play(4000.0, {1: set(range(40))})
-    assert fleet.lost(1) == 40
+    assert fleet.count_lost(1) == 40
     fleet.play(MAX_TRIAL_DELAY + 500.0, {})
-    assert fleet.lost(1) == 0
+    assert fleet.count_lost(1) == 0
     shares = []
     for _ in range(60):
         fleet.play(100.0, {})
-        shares.append(sum(fleet.routers[3].plan.is_open(fleet.now, 1, key * 0x9E3779B97F4A7C15) for key in range(400)))
+        shares.append(sum(fleet.routers[3].plan.is_open(fleet.now, 1, key * KEY_MULTIPLIER) for key in range(400)))
     assert shares == sorted(shares) and shares[-1] == 400
 
 
-def test_a_faulty_witness_a_cut_router_and_a_minority_close_no_zone_for_the_fleet() -> None:
+def test_a_faulty_witness_a_partitioned_router_and_a_minority_close_no_zone_for_the_fleet() -> None:
+    """They avoid the zone by themselves, but it takes a quorum of witnesses to close it for all."""
     fleet = Fleet(9, {0: 3, 1: 3, 2: 3})
     fleet.play(1000.0, {})
-    fleet.play(3000.0, {1: {4}})  # one router's link, or its lie
+    fleet.play(3000.0, {1: {4}})  # one router's link or evidence is faulty
     assert (
-        fleet.lost(1) == 0
+        fleet.count_lost(1) == 0
         and not fleet.routers[4].is_open(fleet.now, 1, 7)
         and fleet.routers[5].is_open(fleet.now, 1, 7)
     )
-    fleet.play(3000.0, {1: {0, 1, 2, 3}})  # four of nine are cut from the zone: each avoids it by itself
-    assert fleet.lost(1) == 0
+    fleet.play(3000.0, {1: {0, 1, 2, 3}})  # four of nine cannot reach the zone: each avoids it by itself
+    assert fleet.count_lost(1) == 0
     unbeatable = ZoneVote(8, 1, ZoneStatus.LOST, int(fleet.now + 10 * 3600e3))
     for router in fleet.routers:
         router.receive_votes(fleet.now, [unbeatable])
@@ -150,44 +166,48 @@
 
 
 @pytest.mark.parametrize("loss", [0.33, 1.0])
-def test_lost_datagrams_delay_the_plan_and_without_any_each_router_decides_by_itself(loss: float) -> None:
+def test_lost_datagrams_delay_the_plan_and_without_any_votes_each_router_decides_by_itself(loss: float) -> None:
+    """The loss of a third, and of all datagrams."""
     fleet = Fleet(20, {0: 4, 1: 4}, loss)
     fleet.play(1000.0, {})
-    everybody = set(range(20))
-    fleet.play(4000.0, {1: everybody})
-    assert fleet.lost(1) == (20 if loss < 1 else 0)
+    all_routers = set(range(20))
+    fleet.play(4000.0, {1: all_routers})
+    assert fleet.count_lost(1) == (20 if loss < 1 else 0)
     assert sum(router.is_open(fleet.now, 1, 7) for router in fleet.routers) < 8
     assert all(router.is_open(fleet.now, 0, 7) for router in fleet.routers)
 
 
 def test_a_router_that_stalled_does_not_act_on_its_old_plan() -> None:
+    """The votes' lifetime bounds how long a plan holds."""
     fleet = Fleet(9, {0: 3, 1: 3})
     fleet.play(1000.0, {})
     fleet.play(2000.0, {1: set(range(9))})
-    stopped = fleet.routers[2]
-    assert stopped.plan.zones[1].lost
-    fleet.cut = {2}
+    stalled = fleet.routers[2]
+    assert stalled.plan.zones[1].lost
+    fleet.partitioned = {2}
     fleet.now += VOTE_LIFETIME + 1.0
-    stopped.tick(fleet.now)
-    assert not stopped.plan.zones[1].lost  # the votes have expired
+    stalled.tick(fleet.now)
+    assert not stalled.plan.zones[1].lost  # the votes have expired
 
 
 def test_a_flapping_zone_stays_closed_longer_each_time() -> None:
+    """The hold time doubles: an exponential backoff."""
     plan = FailoverPlan(0, range(5))
-    holds = []
+    hold_times = []
     for loss in range(4):
         at = NOW + loss * 10000.0
-        for status, later in ((ZoneStatus.LOST, 0.0), (ZoneStatus.HEALTHY, 1000.0)):
+        for status, delay in ((ZoneStatus.LOST, 0.0), (ZoneStatus.HEALTHY, 1000.0)):
             for witness in (1, 2, 3):
-                plan.receive_vote(at + later, ZoneVote(witness, 1, status, int(at + later)))
-            plan.update_zone(at + later, 1)
-            plan.update_zone(at + later + SETTLE_TIME, 1)
-        holds.append(plan.zones[1].closed_until - at - 1000.0)
-    assert holds == [FIRST_HOLD, 2 * FIRST_HOLD, 4 * FIRST_HOLD, 8 * FIRST_HOLD]
-    assert plan.zones[1].open_share(at + 1000.0 + holds[-1] + RAMP_STEPS * RAMP_STEP_TIME) == 1.0
+                plan.receive_vote(at + delay, ZoneVote(witness, 1, status, int(at + delay)))
+            plan.update_zone(at + delay, 1)
+            plan.update_zone(at + delay + SETTLE_TIME, 1)
+        hold_times.append(plan.zones[1].closed_until - at - 1000.0)
+    assert hold_times == [FIRST_HOLD, 2 * FIRST_HOLD, 4 * FIRST_HOLD, 8 * FIRST_HOLD]
+    assert plan.zones[1].open_share(at + 1000.0 + hold_times[-1] + RAMP_STEPS * RAMP_STEP_TIME) == 1.0
 
 
 def test_if_all_zones_appear_lost_none_is_avoided() -> None:
+    """Fail open, except for zones that operators drained."""
     zones = ZoneFailover(0, range(3))
     zones.set_servers([(0, 1), (0, 2), (1, 11), (1, 12)])
     for zone in (0, 1):
@@ -205,6 +225,7 @@
 
 
 def test_one_silent_server_or_an_old_request_is_no_lost_zone() -> None:
+    """Evidence must come from several servers, after the last response of the zone."""
     evidence = ZoneEvidence()
     for _ in range(9):
         evidence.on_no_response(1, 5.0)
@@ -214,7 +235,7 @@
     evidence.on_no_response(3, 9.0)
     assert not evidence.is_lost(4) and not evidence.is_lost(0)
     evidence.on_no_response(7, 15.0)
-    evidence.retain_servers({1, 2, 8})  # a server that is no longer listed says nothing of its zone
+    evidence.retain_servers({1, 2, 8})  # a server that is no longer listed is no evidence
     assert not evidence.unanswered_since
     for server in (1, 2):
         evidence.on_sent(20.0, server)
@@ -231,25 +252,31 @@
 def test_datagrams_are_short_and_invalid_ones_rejected(
     cast: list[tuple[int, ZoneStatus, int]], data: st.DataObject
 ) -> None:
+    """Corrupt, truncated or unauthenticated datagrams, a wrong sender or an unknown zone raise an error."""
     votes = [ZoneVote(3, *fields) for fields in cast]
-    sent = encode(3, votes, KEY)
-    assert len(sent) <= MAX_DATAGRAM_BYTES and decode(sent, (b"another-key-here", KEY), 3, 6) == votes[:MAX_VOTES]
-    position = data.draw(st.integers(0, len(sent) - 1))
-    corrupt = sent[:position] + bytes([sent[position] ^ data.draw(st.integers(1, 255))]) + sent[position + 1 :]
+    datagram = encode(3, votes, KEY)
+    assert (
+        len(datagram) <= MAX_DATAGRAM_BYTES and decode(datagram, (b"another-key-here", KEY), 3, 6) == votes[:MAX_VOTES]
+    )
+    position = data.draw(st.integers(0, len(datagram) - 1))
+    corrupt = (
+        datagram[:position] + bytes([datagram[position] ^ data.draw(st.integers(1, 255))]) + datagram[position + 1 :]
+    )
     for invalid, sender, zones in (
         (corrupt, 3, 6),
-        (sent[:position], 3, 6),
-        (sent, 4, 6),
+        (datagram[:position], 3, 6),
+        (datagram, 4, 6),
         (encode(3, votes, b"x"), 3, 6),
     ):
         with pytest.raises(DatagramError):
             decode(invalid, (KEY,), sender, zones)
     if max(vote.zone for vote in votes[:MAX_VOTES]) > 0:
         with pytest.raises(DatagramError):
-            decode(sent, (KEY,), 3, max(vote.zone for vote in votes[:MAX_VOTES]))
+            decode(datagram, (KEY,), 3, max(vote.zone for vote in votes[:MAX_VOTES]))
 
 
 def test_regions_are_checked_and_unknown_zones_are_reported() -> None:
+    """A zone of two regions and a negative round-trip time are errors."""
     topology = Topology(("a", "b", "c"), {"east": ["a", "b", "z"]})
     assert [topology.distance(0, zone) for zone in (0, 1, 2, 9)] == [0, 1, 2, 2] and topology.unknown_zones == ["z"]
     with pytest.raises(TopologyError, match="'a' is in the regions 'east' and 'west'"):
@@ -275,19 +302,22 @@
         ),
     ],
 )
-def test_an_older_key_of_the_operators_file_is_an_error_that_names_the_new_one(text: str, error: str) -> None:
+def test_a_renamed_key_of_the_operators_file_is_an_error_with_the_new_name(text: str, error: str) -> None:
+    """Operators who upgrade see at once what to change."""
     with pytest.raises(options.OptionsError) as raised:
         options.parse(text, "own.toml")
     assert str(raised.value) == error
 
 
-def test_the_balancer_avoids_a_lost_zone_but_for_trial_requests() -> None:
-    def asked(on: bool) -> int:
+def test_the_balancer_avoids_a_lost_zone_except_for_trial_requests() -> None:
+    """Fewer than half as many attempts go to the zone as without failover."""
+
+    def attempts_in_lost_zone(failover: bool) -> int:
         world = World(THROUGH, members(6, zones=2))
-        if on:
+        if failover:
             world.balancer.fleet.zones = ZoneFailover(0, range(4))
             world.balancer.fleet.zones.set_servers(
-                (s.endpoint.zone, s.endpoint.server) for s in world.balancer.fleet.ready
+                (server.endpoint.zone, server.endpoint.server) for server in world.balancer.fleet.ready
             )
         count = 0
         for key in range(1, 200):
@@ -300,4 +330,4 @@
                     world.end(send, AttemptResult.OK)
         return count
 
-    assert asked(True) < 0.5 * asked(False)
+    assert attempts_in_lost_zone(failover=True) < 0.5 * attempts_in_lost_zone(failover=False)
--- a/tests/test_failover_process.py
+++ b/tests/test_failover_process.py
@@ -1,4 +1,4 @@
-"""A lost zone, found in common: real processes of the program, a zone dark, a cut that some see only. Loopback only."""
+"""Zone failover of real router processes: a lost zone, and a partition that few routers see. Loopback only."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 keys = 300
 warmup_s = 2.0
 """
-DARK = """
+ZONE_OUTAGES = """
 [[faults]]
 kind = "zone-dark"
 zone = "bloco-b"
@@ -42,8 +42,8 @@
 length_s = 0.5
 routers = [1]
 """
-# One way, and for the routers of one zone only: the others hear the servers of bloco-b well.
-CUT = """
+# One way, and for the routers of one zone only: the others get the responses of bloco-b's servers.
+PARTIAL_PARTITION = """
 [[faults]]
 kind = "link-cut"
 way = "from-server"
@@ -52,26 +52,30 @@
 servers = [1, 4, 7]
 from_zone = "bloco-a"
 """
-LINE = re.compile(r"(zone-lost|zone-recovered).*?\bzone=(\S+)")
+ZONE_EVENT = re.compile(r"(zone-lost|zone-recovered).*?\bzone=(\S+)")
 
 
-def said(folder: Path, faults: str, *settings: str) -> list[list[tuple[str, str]]]:
+def play_zone_events(folder: Path, faults: str, *settings: str) -> list[list[tuple[str, str]]]:
+    """Play the scenario with faults; return the zone events that each router logged, with the zones' names."""
     spec = scenario_file.parse(SCENARIO + faults, "failover", settings)
     outcome = play(spec, folder=folder)
     assert not judge(spec, outcome.ledger).counts
-    return [LINE.findall((folder / f"r{me}.log").read_text()) for me in range(9)]
+    return [ZONE_EVENT.findall((folder / f"r{router}.log").read_text()) for router in range(9)]
 
 
-def test_all_routers_leave_a_dark_zone_and_take_it_back_and_a_restarted_one_takes_up_the_plan(tmp_path: Path) -> None:
-    for me, own in enumerate(said(tmp_path, DARK)):
-        # It flaps: lost and back twice, the same at all; the one that is killed while it is lost takes that up anew.
+def test_all_routers_close_and_reopen_a_lost_zone_and_a_restarted_one_adopts_the_plan(tmp_path: Path) -> None:
+    """The zone is lost twice; a router is killed and restarted during the first outage."""
+    for router, events in enumerate(play_zone_events(tmp_path, ZONE_OUTAGES)):
+        # All routers log the same; the one that was killed during the outage logs the loss once more after its start.
         expected = [("zone-lost", "bloco-b"), ("zone-recovered", "bloco-b")] * 2
-        assert own == ([("zone-lost", "bloco-b")] if me == 1 else []) + expected, (me, own)
+        assert events == ([("zone-lost", "bloco-b")] if router == 1 else []) + expected, (router, events)
 
 
-def test_a_cut_that_the_routers_of_one_zone_see_closes_nothing_for_the_fleet(tmp_path: Path) -> None:
-    assert said(tmp_path, CUT) == [[]] * 9
+def test_a_partition_that_only_the_routers_of_one_zone_see_closes_no_zone_for_the_fleet(tmp_path: Path) -> None:
+    """They are a minority of the witnesses."""
+    assert play_zone_events(tmp_path, PARTIAL_PARTITION) == [[]] * 9
 
 
-def test_without_the_setting_nobody_says_anything(tmp_path: Path) -> None:
-    assert said(tmp_path, DARK, "routers.options.failover.enabled=false") == [[]] * 9
+def test_without_the_setting_no_router_logs_a_zone_event(tmp_path: Path) -> None:
+    """Failover is off if the operators' file disables it."""
+    assert play_zone_events(tmp_path, ZONE_OUTAGES, "routers.options.failover.enabled=false") == [[]] * 9
--- a/tests/test_members_process.py
+++ b/tests/test_members_process.py
@@ -1,9 +1,8 @@
-"""Routers that probe one another: real processes, one killed, one stopped, some cut off. Loopback only."""
+"""Membership among real router processes: one killed, one stopped, one partitioned. Loopback only."""
 
 from __future__ import annotations
 
 import re
-from collections import defaultdict
 from pathlib import Path
 
 from starlingthread.analysis.judge import judge
@@ -39,21 +38,29 @@
 length_s = 0.3
 routers = [0]
 """
-LINE = re.compile(r"(member-\w+).*?\brouter=(\d+)")
+MEMBER_EVENT = re.compile(r"(member-\w+).*?\brouter=(\d+)")
 
 
-def test_routers_find_the_dead_and_the_stopped_take_them_back_and_believe_nobody_else_dead(tmp_path: Path) -> None:
+def members_down(events: list[tuple[str, int]]) -> set[int]:
+    """Return the members that were logged as down."""
+    return {member for event, member in events if event == "member-down"}
+
+
+def test_dead_and_stopped_routers_are_detected_and_rejoin_and_no_others_are_declared_dead(tmp_path: Path) -> None:
+    """The other routers log member-down and then member-up for just these two."""
     spec = scenario_file.parse(SCENARIO, "members")
     outcome = play(spec, folder=tmp_path)
     assert not judge(spec, outcome.ledger).counts
-    said: dict[int, list[tuple[str, int]]] = defaultdict(list)
-    for me in range(6):
-        before, _, _ = (tmp_path / f"r{me}.log").read_text().rpartition("stopping")  # who goes tells so
-        said[me] = [(what, int(who)) for what, who in LINE.findall(before)]
-    for me in (0, 1, 3, 5):
-        assert {who for what, who in said[me] if what == "member-down"} == {2, 4}, said[me]
-        for who in (2, 4):
-            assert ("member-up", who) in said[me][said[me].index(("member-down", who)) :], said[me]
-    # The one that stood still held nobody dead by itself when it went on, nor did the one that came anew: they may hear
-    # from others who was.
-    assert {who for me in (2, 4) for what, who in said[me] if what == "member-down"} <= {2, 4}, (said[2], said[4])
+    events: dict[int, list[tuple[str, int]]] = {}
+    for router in range(6):
+        log = (tmp_path / f"r{router}.log").read_text()
+        before_shutdown, _, _ = log.rpartition("stopping")  # routers that leave announce it
+        events[router] = [(event, int(member)) for event, member in MEMBER_EVENT.findall(before_shutdown)]
+    for router in (0, 1, 3, 5):
+        assert members_down(events[router]) == {2, 4}, events[router]
+        for member in (2, 4):
+            after_down = events[router][events[router].index(("member-down", member)) :]
+            assert ("member-up", member) in after_down, events[router]
+    # The stopped router declared no member dead by itself when it went on, nor did the restarted one: they may learn
+    # by gossip which members were.
+    assert members_down(events[2] + events[4]) <= {2, 4}, (events[2], events[4])
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -88,7 +88,7 @@
 def test_a_request_that_the_module_forgets_is_answered_as_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = RouterHarness()
     monkeypatch.setattr(harness.router.balancer, "handle", lambda *_: [])
-    request = harness.submit_request(wait=300.0)
+    request = harness.submit_request(deadline_in=300.0)
     harness.advance_time(400.0)
     assert harness.answers == [(request, Failed())]
 
