--- a/tests/event_stream.py
+++ b/tests/event_stream.py
@@ -89,7 +89,7 @@
         self.version = 1
 
     def generate(self) -> list[Step]:
-        """Return the whole stream."""
+        """Return all steps of the stream."""
         steps = [self._record_step(None, self.balancer.start(self.now))]
         steps.append(self._handle(EndpointList(EndpointListKind.FULL, 1, tuple(self.endpoints.values()))))
         while len(steps) < STEPS:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -60,8 +60,8 @@
         async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as harness:
             watch = await accept_watch(harness)
             assert not harness.program.is_serving
-            one, two = harness.entries()
-            await watch.send(chunk(listing(2, {**one, "status": "terminating"}, two) + b"\n"))
+            first, second = harness.entries()
+            await watch.send(chunk(listing(2, {**first, "status": "terminating"}, second) + b"\n"))
             await until(lambda: harness.program.is_serving)
             assert server_states(harness) == {"s-1": ServerState.DRAINING, "s-2": ServerState.READY}
 
@@ -87,8 +87,8 @@
             harness.router.deadlines.set = record_backoff  # type: ignore[method-assign]
             watch.reset()
             reopened = await accept_watch(harness)
-            one, _ = harness.entries()
-            await reopened.send(chunk(listing(3, {**one, "status": "terminating"}, full=False) + b"\n"))
+            first, _ = harness.entries()
+            await reopened.send(chunk(listing(3, {**first, "status": "terminating"}, full=False) + b"\n"))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             assert len(backoffs) == 1 and backoffs[0] < 50.0
 
@@ -120,12 +120,12 @@
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
             watch = await accept_watch(harness)
-            one, two = harness.entries()
-            text = listing(2, {**one, "status": "terminating"}, two, indent=indent) + end
+            first, second = harness.entries()
+            text = listing(2, {**first, "status": "terminating"}, second, indent=indent) + end
             for at in range(0, len(text), 7):
                 await watch.send(chunk(text[at : at + 7]))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
-            await watch.send(chunk(b"\n\n" + listing(3, one, full=False, indent=indent)))
+            await watch.send(chunk(b"\n\n" + listing(3, first, full=False, indent=indent)))
             await until(lambda: server_states(harness)["s-1"] == ServerState.READY)
             assert harness.counters["discovery.failures"] == 0
 
@@ -140,9 +140,9 @@
             start_watch(harness)
             watch = await harness.discovery.accept()
             await watch.until(b"\r\n\r\n")
-            one, two = ({**e, "status": "terminating"} for e in harness.entries())
+            first, second = ({**e, "status": "terminating"} for e in harness.entries())
             await watch.send(b"HTTP/1.1 200 OK\r\n\r\n")  # no length: it ends with the connection
-            await watch.send(listing(2, one, full=False) + listing(3, two, full=False)[:-9])
+            await watch.send(listing(2, first, full=False) + listing(3, second, full=False)[:-9])
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             watch.reset()
             await until(lambda: harness.counters["discovery.failures"] == 1)
@@ -160,8 +160,8 @@
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
             watch = await accept_watch(harness)
-            one, _ = harness.entries()
-            valid = listing(2, {**one, "status": "terminating"}, full=False) + b"\n"
+            first, _ = harness.entries()
+            valid = listing(2, {**first, "status": "terminating"}, full=False) + b"\n"
             await watch.send(chunk(valid + invalid))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             await until(lambda: harness.counters["discovery.failures"] == 1)
@@ -263,9 +263,9 @@
         async with running_router(tmp_path, 2) as harness:
             watch = await open_watch(harness)
             await step()
-            one, _ = harness.entries()
+            first, _ = harness.entries()
             harness.router.clock._base += 5000.0
-            await watch.send(chunk(listing(2, {**one, "status": "terminating"}, full=False)))
+            await watch.send(chunk(listing(2, {**first, "status": "terminating"}, full=False)))
             harness.router.deadlines.sweep(harness.router.clock.now())
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             assert harness.counters["discovery.failures"] == 0
@@ -282,8 +282,8 @@
             watch = await accept_watch(harness)
             start_watch(harness)
             await step()
-            one, _ = harness.entries()
-            await watch.send(chunk(listing(2, {**one, "status": "terminating"}, full=False)))
+            first, _ = harness.entries()
+            await watch.send(chunk(listing(2, {**first, "status": "terminating"}, full=False)))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             assert harness.counters["discovery.watches"] == 1
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -78,10 +78,12 @@
 @given(
     st.lists(st.tuples(st.integers(1, 8), st.sampled_from(ZoneStatus), st.integers(1, 4)), max_size=12), st.randoms()
 )
-def test_routers_with_the_same_votes_have_the_same_plan(cast: list[tuple[int, ZoneStatus, int]], rng: Random) -> None:
+def test_routers_with_the_same_votes_have_the_same_plan(
+    vote_fields: list[tuple[int, ZoneStatus, int]], rng: Random
+) -> None:
     """Neither the order of the votes nor duplicates matter."""
     unique: dict[tuple[int, int], ZoneVote] = {}  # a witness uses each sequence number once
-    for witness, status, sequence in cast:
+    for witness, status, sequence in vote_fields:
         unique.setdefault((witness, sequence), ZoneVote(witness, 1, status, sequence))
     plans = []
     for _ in range(2):
@@ -250,10 +252,10 @@
     st.data(),
 )
 def test_datagrams_are_short_and_invalid_ones_rejected(
-    cast: list[tuple[int, ZoneStatus, int]], data: st.DataObject
+    vote_fields: list[tuple[int, ZoneStatus, int]], data: st.DataObject
 ) -> None:
     """Corrupt, truncated or unauthenticated datagrams, a wrong sender or an unknown zone raise an error."""
-    votes = [ZoneVote(3, *fields) for fields in cast]
+    votes = [ZoneVote(3, *fields) for fields in vote_fields]
     datagram = encode(3, votes, KEY)
     assert (
         len(datagram) <= MAX_DATAGRAM_BYTES and decode(datagram, (b"another-key-here", KEY), 3, 6) == votes[:MAX_VOTES]
--- a/tests/test_maintenance_and_reload.py
+++ b/tests/test_maintenance_and_reload.py
@@ -188,7 +188,7 @@
     ],
 )
 def test_an_invalid_maintenance_file_changes_nothing_and_is_replaced(text: str, tmp_path: Path) -> None:
-    """A truncated file, or one of another format, does not end a maintenance."""
+    """A truncated file, or one in another format, does not end a maintenance."""
     process = RouterProcess(tmp_path)
     process.maintenance.set_maintenance("a", True)
     (tmp_path / FILE_NAME).write_text(text)
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -126,7 +126,7 @@
 
 
 class RequestResult(NamedTuple):
-    """How a client's request ended: served, late or refused."""
+    """How a client's request ended: served, late or rejected."""
 
     at: float
     status: str
@@ -178,7 +178,7 @@
             self._process(item)
         self.now = until
         statuses = [result.status for result in self.results[results_before:]]
-        return {status: statuses.count(status) for status in ("served", "late", "refused")}
+        return {status: statuses.count(status) for status in ("served", "late", "rejected")}
 
     def _schedule(self, at: float, item: object) -> None:
         heappush(self.scheduled, (at, next(self.ids), item))
@@ -213,7 +213,7 @@
             if isinstance(action, Send):
                 self._send(router, action)
             elif isinstance(action, Reject):
-                self._finish(action.id, "refused", action.retry_after)
+                self._finish(action.id, "rejected", action.retry_after)
             elif isinstance(action, SetTimer):
                 self._schedule(action.at, ScheduledTimer(router, action.label))
 
