--- a/starlingthread/core/watcher.py
+++ b/starlingthread/core/task_supervisor.py
@@ -1,4 +1,4 @@
-"""The watcher of the actors' tasks: none dies unnoticed."""
+"""The supervisor of the actors' tasks: no task ends by an exception unnoticed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ..logs import log
 
 
-class Watcher:
+class TaskSupervisor:
     """Runs the tasks of all actors, and logs and reports each that dies of an exception."""
 
     def __init__(self) -> None:
--- a/starlingthread/handover/actor.py
+++ b/starlingthread/handover/actor.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..core.counters import Counters
-from ..core.watcher import Watcher
+from ..core.task_supervisor import TaskSupervisor
 from ..logs import log
 from .channel import MAX_LINE, HandoverListener, HandoverStatus, InheritedSockets, send_offer
 
@@ -41,13 +41,13 @@
     def __init__(
         self,
         process: ServingProcess,
-        watcher: Watcher,
+        supervisor: TaskSupervisor,
         counters: Counters,
         folder: Path | None,
         inherited: InheritedSockets | None,
     ) -> None:
         self.process = process
-        self.watcher = watcher
+        self.supervisor = supervisor
         self.counters = counters
         self.folder = folder  # None: no handover to a successor
         self.inherited = inherited
@@ -64,7 +64,7 @@
         """Watch the predecessor, if there is one, for its end."""
         if self.inherited is not None:
             reader, self._predecessor = await asyncio.open_connection(sock=self.inherited.channel, limit=MAX_LINE)
-            self.watcher.start(
+            self.supervisor.start(
                 self._await_predecessor_end(reader), "handover-predecessor", lambda _: self._on_predecessor_gone()
             )
 
@@ -134,7 +134,9 @@
         self.resource_share /= 2
         log.info("successor-connected", share=self.resource_share)
         self.process.apply_resource_share(self.resource_share)
-        self.watcher.start(self._follow_successor(channel), "handover-successor", lambda _: self._on_successor_gone())
+        self.supervisor.start(
+            self._follow_successor(channel), "handover-successor", lambda _: self._on_successor_gone()
+        )
 
     async def _follow_successor(self, channel: socket.socket) -> None:
         """Read the successor's status lines until it ends."""
--- a/starlingthread/net/clients/connection.py
+++ b/starlingthread/net/clients/connection.py
@@ -39,7 +39,7 @@
 
     async def run(self) -> None:
         """Write responses in order until the client has closed, or until we are closing and nothing is owed."""
-        reading = self.listener.watcher.start(
+        reading = self.listener.supervisor.start(
             self._command_reader.run(), "client-reader", lambda _: self.on_disconnect()
         )
         try:
--- a/starlingthread/net/clients/context.py
+++ b/starlingthread/net/clients/context.py
@@ -10,7 +10,7 @@
 from ...core.deadlines import Deadlines
 from ...core.pipe import ByteBudget
 from ...core.router import Router
-from ...core.watcher import Watcher
+from ...core.task_supervisor import TaskSupervisor
 from ...settings import RequestClass
 
 
@@ -25,7 +25,7 @@
     """The listener, as its connections see it."""
 
     router: Router
-    watcher: Watcher
+    supervisor: TaskSupervisor
     clock: Clock
     counters: Counters
     deadlines: Deadlines
--- a/starlingthread/net/clients/listener.py
+++ b/starlingthread/net/clients/listener.py
@@ -11,7 +11,7 @@
 
 from ...core.pipe import ByteBudget
 from ...core.router import Router
-from ...core.watcher import Watcher
+from ...core.task_supervisor import TaskSupervisor
 from ...settings import Settings
 from ..streams import DisconnectAwareProtocol, disable_nagle, limit_read_size
 from .connection import ClientConnectionActor
@@ -46,14 +46,14 @@
         self,
         settings: Settings,
         router: Router,
-        watcher: Watcher,
+        supervisor: TaskSupervisor,
         max_clients: int,
         idle_client_threshold: int,
         max_buffered: int,
         is_ready: Callable[[], bool],
     ) -> None:
         self.router = router
-        self.watcher = watcher
+        self.supervisor = supervisor
         self.clock = router.clock
         self.counters = router.counters
         self.deadlines = router.deadlines
@@ -119,7 +119,7 @@
         protocol = writer.transport.get_protocol()
         if isinstance(protocol, DisconnectAwareProtocol):
             protocol.on_disconnect = actor.on_disconnect
-        self.watcher.start(actor.run(), "client", lambda _: actor.close())
+        self.supervisor.start(actor.run(), "client", lambda _: actor.close())
 
     # disconnects
 
--- a/starlingthread/net/discovery/actor.py
+++ b/starlingthread/net/discovery/actor.py
@@ -12,7 +12,7 @@
 from ...core.mailbox import Mailbox
 from ...core.messages import EndpointsReceived
 from ...core.router import Router
-from ...core.watcher import Watcher
+from ...core.task_supervisor import TaskSupervisor
 from ...events import EndpointList, EndpointListKind, ServerState
 from ...logs import log
 from .call import DiscoveryCall, PollResponse, WatchResponse
@@ -57,13 +57,13 @@
         router: Router,
         parser: EndpointListParser,
         address: tuple[str, int],
-        watcher: Watcher,
+        supervisor: TaskSupervisor,
         pushed: bool = False,
     ) -> None:
         self.router = router
         self.parser = parser
         self.address = address
-        self.watcher = watcher
+        self.supervisor = supervisor
         self.pushed = pushed  # lists are pushed: the router never asks, and this actor keeps a watch open by itself
         self.clock = router.clock
         self.counters = router.counters
@@ -183,7 +183,7 @@
     def _start_call(self, path: str, is_watch: bool) -> asyncio.Task[None]:
         self.counters.increment("discovery.watches" if is_watch else "discovery.fetches")
         work = self._run_call(path, is_watch)
-        return self.watcher.start(work, "discovery-call", lambda error: self.report_failure(repr(error)))
+        return self.supervisor.start(work, "discovery-call", lambda error: self.report_failure(repr(error)))
 
     async def _run_call(self, path: str, is_watch: bool) -> None:
         """Make one call. A poll reports one list or one failure; a watch any number of lists, then one failure."""
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -8,7 +8,7 @@
 from ..core.router import Router
 from ..logs import log
 from ..options import FailoverOptions, MembershipOptions
-from .members import MemberActor
+from .members import MembershipActor
 from .peer_keys import PeerKeyError, read_peer_keys
 from .peers import PeerActor
 from .timer import Timer
@@ -25,7 +25,7 @@
 class FailoverActor:
     """Owns the zone failover of the decision module while it is enabled in the operator's file."""
 
-    def __init__(self, router: Router, peers: PeerActor, members: MemberActor, router_index: int) -> None:
+    def __init__(self, router: Router, peers: PeerActor, members: MembershipActor, router_index: int) -> None:
         self.router = router
         self.peers = peers
         self.members = members
--- a/starlingthread/net/management.py
+++ b/starlingthread/net/management.py
@@ -18,7 +18,7 @@
 from ..core.clock import Clock
 from ..core.counters import Counters
 from ..core.deadlines import Deadlines
-from ..core.watcher import Watcher
+from ..core.task_supervisor import TaskSupervisor
 
 READ_SIZE = 4096  # bytes
 MAX_HEAD = 8192  # bytes of a request's head
@@ -184,14 +184,14 @@
     def __init__(
         self,
         control: RouterControl,
-        watcher: Watcher,
+        supervisor: TaskSupervisor,
         clock: Clock,
         counters: Counters,
         deadlines: Deadlines,
         max_connections: int,
     ) -> None:
         self.control = control
-        self.watcher = watcher
+        self.supervisor = supervisor
         self.clock = clock
         self.counters = counters
         self.deadlines = deadlines
@@ -216,7 +216,7 @@
             oldest.abort()
         connection = ManagementConnection(self, reader, writer)
         self.connections[connection] = None
-        self.watcher.start(connection.run(), "management-call", lambda _: writer.transport.abort())
+        self.supervisor.start(connection.run(), "management-call", lambda _: writer.transport.abort())
 
     def close(self) -> None:
         """Stop accepting and close all connections."""
--- a/starlingthread/net/members.py
+++ b/starlingthread/net/members.py
@@ -19,7 +19,7 @@
 LOG_EVENTS = ("member-up", "member-suspected", "member-down")  # by membership.messages.MemberState
 
 
-class MemberActor:
+class MembershipActor:
     """Owns the membership while it is enabled in the operator's file."""
 
     def __init__(self, router: Router, peers: PeerActor, router_index: int) -> None:
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -139,7 +139,7 @@
             return
         self._context.counters.increment("connections.opened")
         work = self.reader.run(connection)
-        self._context.watcher.start(work, "server-reader", lambda _: self.post(ConnectionLost(connection)))
+        self._context.supervisor.start(work, "server-reader", lambda _: self.post(ConnectionLost(connection)))
         if not self._may_write(exchange):
             self.reporter.report(exchange, AttemptResult.NOT_SENT)
             self.pool.release(connection)
--- a/starlingthread/net/upstreams/context.py
+++ b/starlingthread/net/upstreams/context.py
@@ -11,7 +11,7 @@
 from ...core.deadlines import Deadlines
 from ...core.pipe import ByteBudget
 from ...core.router import Router
-from ...core.watcher import Watcher
+from ...core.task_supervisor import TaskSupervisor
 from ...settings import Settings
 from .idle_failures import IdleFailureRates
 
@@ -43,7 +43,7 @@
     """Shared dependencies of pools, openers, readers, writers and actors; the fleet owns it."""
 
     router: Router
-    watcher: Watcher
+    supervisor: TaskSupervisor
     clock: Clock
     counters: Counters
     deadlines: Deadlines
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -7,7 +7,7 @@
 from ...core.messages import Attempt, AttemptEnded, EndpointsReceived
 from ...core.pipe import ByteBudget
 from ...core.router import Router
-from ...core.watcher import Watcher
+from ...core.task_supervisor import TaskSupervisor
 from ...events import AttemptResult, EndpointList, EndpointListKind, HealthCheckResult, ServerState
 from ...settings import Settings
 from .actor import ServerActor
@@ -24,11 +24,11 @@
     """Owns the actors of all cache servers that lists have named, and enforces the limit on their connections."""
 
     def __init__(
-        self, settings: Settings, router: Router, watcher: Watcher, max_connections: int, idle_timeout: float
+        self, settings: Settings, router: Router, supervisor: TaskSupervisor, max_connections: int, idle_timeout: float
     ) -> None:
         self.context = UpstreamContext(
             router=router,
-            watcher=watcher,
+            supervisor=supervisor,
             clock=router.clock,
             counters=router.counters,
             deadlines=router.deadlines,
@@ -144,7 +144,7 @@
             if self.actors.get(actor.number) is actor:
                 self._run_actor(actor)
 
-        self._tasks[actor.number] = self.context.watcher.start(actor.run(), "server", on_death)
+        self._tasks[actor.number] = self.context.supervisor.start(actor.run(), "server", on_death)
 
     def _end_actor(self, number: int) -> None:
         self.actors.pop(number).close()
--- a/starlingthread/net/upstreams/opener.py
+++ b/starlingthread/net/upstreams/opener.py
@@ -39,7 +39,7 @@
         """Connect for an exchange: ConnectCompleted follows, or ConnectTimedOut after the connect time-out."""
         self._pool.open_count += 1
         work = self._connect(exchange)
-        task = self._context.watcher.start(work, "open", lambda _: self.post(ConnectCompleted(exchange, None)))
+        task = self._context.supervisor.start(work, "open", lambda _: self.post(ConnectCompleted(exchange, None)))
         self.pending[exchange] = PendingConnect(task, self._set_timeout(exchange))
 
     def extend(self, exchange: Exchange) -> None:
--- a/starlingthread/net/upstreams/writer.py
+++ b/starlingthread/net/upstreams/writer.py
@@ -44,7 +44,7 @@
             return
         connection.request_body = body
         work = self._stream_body(connection, body)
-        self._context.watcher.start(work, "body", lambda _: self._post(ConnectionLost(connection)))
+        self._context.supervisor.start(work, "body", lambda _: self._post(ConnectionLost(connection)))
 
     async def _stream_body(self, connection: Connection, body: Pipe) -> None:
         """Write a streamed value as its chunks arrive, no faster than the server reads them."""
--- a/starlingthread/router_process/actors.py
+++ b/starlingthread/router_process/actors.py
@@ -7,12 +7,12 @@
 from ..core.counters import Counters
 from ..core.deadlines import Deadlines
 from ..core.router import Router
-from ..core.watcher import Watcher
+from ..core.task_supervisor import TaskSupervisor
 from ..limits.budgets import ResourceBudgets
 from ..net.clients import ClientListener
 from ..net.discovery import DiscoveryActor, EndpointListParser
 from ..net.failover import FailoverActor
-from ..net.members import MemberActor
+from ..net.members import MembershipActor
 from ..net.peers import PeerActor
 from ..net.upstreams import ServerFleet
 from ..options import Options
@@ -21,18 +21,20 @@
 class RouterActors:
     """Creates the actors and connects them; all limits are 0 until :meth:`apply_budgets` sets them."""
 
-    def __init__(self, config: Config, watcher: Watcher, counters: Counters) -> None:
+    def __init__(self, config: Config, supervisor: TaskSupervisor, counters: Counters) -> None:
         settings = config.settings
         router_index = settings.router_index
         self.router = Router(settings, config.seed, Clock(), Deadlines(), counters)
         self.router.cores = config.cores
-        self.fleet = ServerFleet(settings, self.router, watcher, 0, config.idle_timeout)
+        self.fleet = ServerFleet(settings, self.router, supervisor, 0, config.idle_timeout)
         parser = EndpointListParser(config.zones, config.server_kinds)
-        self.discovery = DiscoveryActor(self.router, parser, config.discovery, watcher, pushed=not settings.must_poll)
+        self.discovery = DiscoveryActor(
+            self.router, parser, config.discovery, supervisor, pushed=not settings.must_poll
+        )
         self.peers = PeerActor(self.router, config.peers, config.peers_all, router_index)
-        self.members = MemberActor(self.router, self.peers, router_index)
+        self.members = MembershipActor(self.router, self.peers, router_index)
         self.failover = FailoverActor(self.router, self.peers, self.members, router_index)
-        self.clients = ClientListener(settings, self.router, watcher, 0, 0, 0, self.has_endpoints)
+        self.clients = ClientListener(settings, self.router, supervisor, 0, 0, 0, self.has_endpoints)
         self.fleet.set_value_budget(self.clients.budget)
         self.router.fleet = self.fleet
         self.router.discovery = self.discovery
--- a/starlingthread/router_process/process.py
+++ b/starlingthread/router_process/process.py
@@ -10,7 +10,7 @@
 
 from ..config import Config
 from ..core.counters import Counters
-from ..core.watcher import Watcher
+from ..core.task_supervisor import TaskSupervisor
 from ..handover.actor import Handover
 from ..handover.channel import InheritedSockets
 from ..logs import LogWriter, log
@@ -50,23 +50,23 @@
         config = config._replace(settings=options.apply_to(config.settings))
         folder = shared_folder(config)
         self.counters = Counters()
-        self.watcher = Watcher()
+        self.supervisor = TaskSupervisor()
         self.stop_requested = asyncio.Event()
         self.is_serving = False  # the client listener is bound
         self.exit_code = 0
-        self.actors = RouterActors(config, self.watcher, self.counters)
+        self.actors = RouterActors(config, self.supervisor, self.counters)
         self.configuration = ActiveConfiguration(config, options, self.actors, self.counters, log_writer)
         self.control = OperatorControl(self.actors, folder, self._accepts_clients)
         router = self.actors.router
         self._early_signals = early_signals if early_signals is not None else []
         self._garbage_collector = GarbageCollector(router.clock, router.deadlines, self.counters)
         self._management = ManagementServer(
-            self.control, self.watcher, router.clock, self.counters, router.deadlines, max_connections=0
+            self.control, self.supervisor, router.clock, self.counters, router.deadlines, max_connections=0
         )
         resources = SharedResources(
-            self.actors, self._management, self.configuration, self.watcher, self.stop_requested, self._on_failure
+            self.actors, self._management, self.configuration, self.supervisor, self.stop_requested, self._on_failure
         )
-        self._handover = Handover(resources, self.watcher, self.counters, folder, inherited)
+        self._handover = Handover(resources, self.supervisor, self.counters, folder, inherited)
         resources.apply_resource_share(self._handover.resource_share)
 
     async def run(self) -> int:
@@ -80,7 +80,7 @@
         self._handover.close()
         self._management.close()
         self.actors.close()
-        await self.watcher.stop()
+        await self.supervisor.stop()
         self._log_counters()
         return self.exit_code
 
@@ -103,7 +103,7 @@
         self.control.poll_maintenance()
         self.actors.router.begin()
         self._run_discovery()
-        self.watcher.start(self.actors.router.run(), "router", self._on_failure)
+        self.supervisor.start(self.actors.router.run(), "router", self._on_failure)
         if config.management is not None:
             await self._management.listen(*config.management)
         await self._handover.start()
@@ -142,7 +142,7 @@
                 unused.close()
 
     def _run_discovery(self) -> None:
-        self.watcher.start(self.actors.discovery.run(), "discovery", self._restart_discovery)
+        self.supervisor.start(self.actors.discovery.run(), "discovery", self._restart_discovery)
 
     def _restart_discovery(self, error: BaseException) -> None:
         self.actors.discovery.report_failure(repr(error))
--- a/starlingthread/router_process/resources.py
+++ b/starlingthread/router_process/resources.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ..core.watcher import Watcher
+from ..core.task_supervisor import TaskSupervisor
 from ..handover.channel import InheritedSockets
 from ..limits.budgets import split_budgets
 from ..net.management import ManagementServer
@@ -41,14 +41,14 @@
         actors: RouterActors,
         management: ManagementServer,
         configuration: ActiveConfiguration,
-        watcher: Watcher,
+        supervisor: TaskSupervisor,
         stop_requested: asyncio.Event,
         on_failure: Callable[[BaseException], None],
     ) -> None:
         self._actors = actors
         self._management = management
         self._configuration = configuration
-        self._watcher = watcher
+        self._supervisor = supervisor
         self._stop_requested = stop_requested
         self._on_failure = on_failure
         self._idle_mb = resident_mb()  # before any connection is open
@@ -76,7 +76,7 @@
     def resume_accepting(self) -> None:
         """Accept again after the new process has ended, unless this one is shutting down."""
         if not self._stop_requested.is_set():
-            self._watcher.start(self._resume(), "resume", self._on_failure)
+            self._supervisor.start(self._resume(), "resume", self._on_failure)
 
     async def _resume(self) -> None:
         await self._actors.clients.resume_accepting()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from starlingthread.core.messages import Attempt, PendingRequest
-from starlingthread.core.watcher import Watcher
+from starlingthread.core.task_supervisor import TaskSupervisor
 from starlingthread.net import meta
 from starlingthread.net.clients import ClientConnectionActor, ClientListener
 from starlingthread.net.upstreams import ServerFleet, messages
@@ -89,9 +89,9 @@
 
     def __init__(self) -> None:
         harness = RouterHarness()
-        self.router, self.watcher = harness.router, Watcher()
+        self.router, self.supervisor = harness.router, TaskSupervisor()
         self.listener = ClientListener(
-            THROUGH, self.router, self.watcher, 10, 8, 1 << 20, lambda: harness.router.listed
+            THROUGH, self.router, self.supervisor, 10, 8, 1 << 20, lambda: harness.router.listed
         )
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.writer.on_eof = self.reader.feed_eof  # the peer closes in turn
@@ -102,7 +102,7 @@
             self.listener.connections.discard,
         )
         self.listener.connections.add(self.actor)
-        self.watcher.start(self.actor.run(), "client", lambda _: None)
+        self.supervisor.start(self.actor.run(), "client", lambda _: None)
 
     async def settle(self) -> list[Any]:
         """Let all tasks proceed; return the messages to the router."""
@@ -117,7 +117,7 @@
         harness = ClientHarness()
         await script(harness)
         await harness.settle()
-        await harness.watcher.stop()
+        await harness.supervisor.stop()
         assert harness.listener.buffered == 0
         return bytes(harness.writer.transport.sent)
 
@@ -134,7 +134,7 @@
         with contextlib.suppress(RuntimeError):  # streams want a loop, though none is run here
             asyncio.set_event_loop(asyncio.new_event_loop())
         self.router_harness = RouterHarness()
-        self.fleet = ServerFleet(THROUGH, self.router_harness.router, Watcher(), 10, 15000.0)
+        self.fleet = ServerFleet(THROUGH, self.router_harness.router, TaskSupervisor(), 10, 15000.0)
         self.actor = ServerActor(self.fleet.context, 1, ("127.0.0.1", 1))
         self.reader, self.writer = asyncio.StreamReader(), Writer()
         self.connection = Connection(self.reader, self.writer, self.actor.pool.address)  # type: ignore[arg-type]
--- a/tests/test_chunked_writes.py
+++ b/tests/test_chunked_writes.py
@@ -117,7 +117,7 @@
         self.body.put(VALUE[:7])
 
     async def begin(self) -> None:
-        self.fleet.context.watcher = type(self.fleet.context.watcher)()
+        self.fleet.context.supervisor = type(self.fleet.context.supervisor)()
         self.deliver(messages.StartExchange(self.job))
         await settle()
         assert self.writer.transport.sent == PUT.replace(b"d=500", b"d=400") + VALUE[:7]
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from starlingthread.core.watcher import Watcher
+from starlingthread.core.task_supervisor import TaskSupervisor
 from starlingthread.events import Endpoint, EndpointListKind, ServerState
 from starlingthread.net.discovery import LIST_PATH, DiscoveryActor, EndpointListError, EndpointListParser, ServerIds
 
@@ -71,14 +71,14 @@
     async def play() -> None:
         harness = RouterHarness()
         calls = []
-        discovery = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), Watcher())
+        discovery = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), TaskSupervisor())
 
         async def run_call(path: str, is_watch: bool) -> None:
             calls.append((discovery.address[1], path))
             await asyncio.Event().wait()
 
         discovery._run_call = run_call  # type: ignore[method-assign]
-        discovery.watcher.start(discovery.run(), "discovery", lambda _: None)
+        discovery.supervisor.start(discovery.run(), "discovery", lambda _: None)
         discovery.watch(True)
         discovery.fetch()
         await asyncio.sleep(0.0)
@@ -93,7 +93,7 @@
         assert old_watch is not None and old_watch.cancelled() and old_fetch.cancelled()
         assert discovery.counters["discovery.failures"] == 0
         assert not harness.router.mailbox.take()
-        await discovery.watcher.stop()
+        await discovery.supervisor.stop()
 
     asyncio.run(play())
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 from starlingthread.core.counters import Counters
 from starlingthread.core.messages import Rejected
-from starlingthread.core.watcher import Watcher
+from starlingthread.core.task_supervisor import TaskSupervisor
 from starlingthread.handover.actor import Handover
 from starlingthread.handover.channel import SOCKET_NAME, HandoverListener, request_handover, send_offer
 from starlingthread.net import meta
@@ -33,8 +33,8 @@
     def __init__(self, folder: Path, inherited: Any = None) -> None:
         self.calls: list[object] = []
         self.listening = socket.create_server(("127.0.0.1", 0))
-        self.watcher = Watcher()
-        self.handover = Handover(self, self.watcher, Counters(), folder, inherited)
+        self.supervisor = TaskSupervisor()
+        self.handover = Handover(self, self.supervisor, Counters(), folder, inherited)
 
     def sockets(self) -> dict[str, socket.socket]:
         return {"clients": self.listening}
@@ -51,7 +51,7 @@
     async def close(self) -> None:
         self.handover.close()
         self.listening.close()
-        await self.watcher.stop()
+        await self.supervisor.stop()
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -241,7 +241,7 @@
 def test_a_paused_listener_accepts_again_once_resumed() -> None:
     async def play() -> None:
         harness = RouterHarness()
-        front = ClientListener(THROUGH, harness.router, Watcher(), 4, 4, 1 << 20, lambda: True)
+        front = ClientListener(THROUGH, harness.router, TaskSupervisor(), 4, 4, 1 << 20, lambda: True)
         await front.listen("127.0.0.1", 0)
         assert front.socket is not None
         address = front.socket.getsockname()
@@ -255,7 +255,7 @@
         actor: ClientConnectionActor = next(iter(front.connections))
         actor.close()
         await front.drain()
-        await front.watcher.stop()
+        await front.supervisor.stop()
 
     asyncio.run(play())
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from starlingthread.core.messages import AttemptEnded, ClientDisconnected, PendingRequest, RequestReceived
+from starlingthread.core.task_supervisor import TaskSupervisor
 from starlingthread.core.telemetry import FinalStatus
-from starlingthread.core.watcher import Watcher
 from starlingthread.events import AttemptResult
 from starlingthread.net.management import MAX_HEAD, REQUEST_TIMEOUT_MS, ManagementServer
 
@@ -62,10 +62,10 @@
     """A management server whose connections are hand-fed."""
 
     def __init__(self, max_connections: int = 4) -> None:
-        self.router_harness, self.control, self.watcher = RouterHarness(), FakeRouter(), Watcher()
+        self.router_harness, self.control, self.supervisor = RouterHarness(), FakeRouter(), TaskSupervisor()
         router = self.router_harness.router
         self.management = ManagementServer(
-            self.control, self.watcher, self.router_harness.clock, router.counters, router.deadlines, max_connections
+            self.control, self.supervisor, self.router_harness.clock, router.counters, router.deadlines, max_connections
         )
 
     def connect(self, request: bytes) -> Caller:
@@ -88,7 +88,7 @@
         caller = fixture.connect(request)
         await fixture.settle()
         assert caller.transport.closed and not fixture.management.connections
-        await fixture.watcher.stop()
+        await fixture.supervisor.stop()
         return bytes(caller.transport.sent)
 
     head, _, body = asyncio.run(play()).partition(b"\r\n\r\n")
@@ -142,7 +142,7 @@
         assert incomplete[0].transport.closed and not incomplete[1].transport.closed
         fixture.router_harness.advance_time(REQUEST_TIMEOUT_MS + 1.0)
         assert incomplete[1].transport.closed
-        await fixture.watcher.stop()
+        await fixture.supervisor.stop()
 
     asyncio.run(play())
 
