--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -54,7 +54,7 @@
         self.ledger = self.platform.ledger
         self._progress = progress
 
-    async def play(self) -> Outcome:
+    async def execute(self) -> Outcome:
         """Play the whole run. Raise a RunError if something of the testbed's own fails."""
         self._report(0.0, "starting servers and clients")
         async with self.platform.running():
@@ -200,7 +200,7 @@
         router.record_event("bad-exit", exit_code)
 
 
-def play(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> Outcome:
+def run_scenario(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> Outcome:
     """Play a scenario on an event loop of its own.
 
     Args:
@@ -214,7 +214,7 @@
     check_machine(scenario)
 
     async def run(place: Path) -> Outcome:
-        return await Run(scenario, place, progress).play()
+        return await Run(scenario, place, progress).execute()
 
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -228,7 +228,7 @@
 ) -> None:
     """Bring up the platform without clients and hold it until the time is over or a KeyboardInterrupt comes.
 
-    Raise a RunError as ``play`` does.
+    Raise a RunError as ``run_scenario`` does.
     """
     check_machine(scenario)
     folder.mkdir(parents=True, exist_ok=True)
--- a/tests/test_failover_process.py
+++ b/tests/test_failover_process.py
@@ -7,7 +7,7 @@
 
 from starlingthread.analysis.judge import judge
 from starlingthread.experiment import scenario_file
-from starlingthread.testbed.run import play
+from starlingthread.testbed.run import run_scenario
 
 SCENARIO = """
 name = "failover"
@@ -58,7 +58,7 @@
 def play_zone_events(folder: Path, faults: str, *settings: str) -> list[list[tuple[str, str]]]:
     """Play the scenario with faults; return the zone events that each router logged, with the zones' names."""
     spec = scenario_file.parse(SCENARIO + faults, "failover", settings)
-    outcome = play(spec, folder=folder)
+    outcome = run_scenario(spec, folder=folder)
     assert not judge(spec, outcome.ledger).counts
     return [ZONE_EVENT.findall((folder / f"r{router}.log").read_text()) for router in range(9)]
 
--- a/tests/test_load_evenness_process.py
+++ b/tests/test_load_evenness_process.py
@@ -11,7 +11,7 @@
 from starlingthread.analysis.reduction import reduce
 from starlingthread.analysis.results import Results
 from starlingthread.experiment import scenario_file
-from starlingthread.testbed.run import play
+from starlingthread.testbed.run import run_scenario
 
 SCENARIO = """
 name = "herd"
@@ -72,7 +72,7 @@
 def play_with_load_shares(folder: Path, *settings: str, faults: str = "") -> tuple[Results, list[float]]:
     """Play the scenario; return the results, and each server's load relative to the mean in the last three seconds."""
     spec = scenario_file.parse(SCENARIO + faults, "herd", settings)
-    outcome = play(spec, folder=folder)
+    outcome = run_scenario(spec, folder=folder)
     end = outcome.ledger.started_at + spec.length_s * 1000.0
     servers = [delivery.server for delivery in outcome.ledger.deliveries if end - 3000.0 <= delivery.first_at < end]
     load_shares = [servers.count(server) * spec.fleet.servers / len(servers) for server in range(spec.fleet.servers)]
@@ -128,6 +128,6 @@
         routers=msgspec.structs.replace(short.routers, count=3),
         traffic=msgspec.structs.replace(short.traffic, warmup_s=1.0),
     )
-    outcome = play(short, folder=tmp_path)
+    outcome = run_scenario(short, folder=tmp_path)
     results = reduce(short, outcome.ledger, outcome.facts, judge(short, outcome.ledger))
     assert not results.verdict.counts and results.goodput_share > 0.9
--- a/tests/test_members_process.py
+++ b/tests/test_members_process.py
@@ -7,7 +7,7 @@
 
 from starlingthread.analysis.judge import judge
 from starlingthread.experiment import scenario_file
-from starlingthread.testbed.run import play
+from starlingthread.testbed.run import run_scenario
 
 SCENARIO = """
 name = "members"
@@ -49,7 +49,7 @@
 def test_dead_and_stopped_routers_are_detected_and_rejoin_and_no_others_are_declared_dead(tmp_path: Path) -> None:
     """The other routers log member-down and then member-up for just these two."""
     spec = scenario_file.parse(SCENARIO, "members")
-    outcome = play(spec, folder=tmp_path)
+    outcome = run_scenario(spec, folder=tmp_path)
     assert not judge(spec, outcome.ledger).counts
     events: dict[int, list[tuple[str, int]]] = {}
     for router in range(6):
