--- a/starlingthread/baselines/__init__.py
+++ b/starlingthread/baselines/__init__.py
@@ -1,1 +1,1 @@
-"""Baselines for the router: other ways to choose a server, for comparisons. The router itself never imports them."""
+"""Baseline policies for the choice of a server, used in comparisons only. The router never imports this package."""
--- a/starlingthread/baselines/router.py
+++ b/starlingthread/baselines/router.py
@@ -1,4 +1,4 @@
-"""The router with a baseline policy: ``python -m starlingthread.baselines.router POLICY``, for comparisons."""
+"""Runs the router with a baseline policy, for comparisons: ``python -m starlingthread.baselines.router POLICY``."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def main() -> int:
-    """Run the router with the policy that the command line names."""
+    """Run the router with the policy named on the command line."""
     if len(sys.argv) != 2 or sys.argv[1] not in POLICIES:
         print(f"expected one of {', '.join(POLICIES)}", file=sys.stderr)
         return 2
-    setattr(router, "Balancer", POLICIES[sys.argv[1]])  # noqa: B010 - mypy knows no such name to assign to
+    setattr(router, "Balancer", POLICIES[sys.argv[1]])  # noqa: B010 - mypy rejects a direct assignment
     return program.main()
 
 
--- a/starlingthread/cli/__main__.py
+++ b/starlingthread/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m starlingthread.cli``: the command line where the console script is not installed."""
+"""Runs the command line as ``python -m starlingthread.cli``, for use where the console script is not installed."""
 
 from .main import main
 
--- a/starlingthread/cli/bench.py
+++ b/starlingthread/cli/bench.py
@@ -1,4 +1,4 @@
-"""``starlingthread bench``: a scenario against real routers, with one or several seeds."""
+"""The command ``starlingthread bench``: runs a scenario against real routers, with one or several seeds."""
 
 from __future__ import annotations
 
@@ -8,25 +8,27 @@
 import click
 
 from .common import EXISTING_FILE, OUTPUT_FILE, OUTPUT_FOLDER, read_scenario, require_lab, scenario_settings_option
-from .playing import finish, play
 from .results_output import print_results, print_spread
+from .scenario_run import run_with_progress, write_files_and_exit_if_failed
 
 
 @click.command()
 @click.argument("scenario", type=EXISTING_FILE)
-@click.option("--seed", type=click.IntRange(min=0), help="Another seed than the scenario's own.")
+@click.option("--seed", type=click.IntRange(min=0), help="Use this seed instead of the scenario's.")
 @click.option(
     "--seeds",
     type=click.IntRange(min=1, max=100),
     default=1,
     show_default=True,
-    help="Play so many seeds one after another and print the spread.",
+    help="Run this number of seeds one after another and print the spread.",
+)
+@click.option("--json", "json_file", type=OUTPUT_FILE, help="Write the results to this JSON file.")
+@click.option(
+    "--report", "report_file", type=OUTPUT_FILE, help="Write an HTML report to this file, and the data next to it."
 )
-@click.option("--json", "json_file", type=OUTPUT_FILE, help="Keep the results here.")
-@click.option("--report", "report_file", type=OUTPUT_FILE, help="Write an HTML report here, with the data beside it.")
 @scenario_settings_option
-@click.option("--processes", type=click.IntRange(1, 64), help="Processes for servers, and as many for clients.")
-@click.option("--logs", "log_folder", type=OUTPUT_FOLDER, help="Keep the routers' logs here.")
+@click.option("--processes", type=click.IntRange(1, 64), help="Number of server processes, and of client processes.")
+@click.option("--logs", "log_folder", type=OUTPUT_FOLDER, help="Write the routers' logs to this folder.")
 def bench(
     scenario: Path,
     seed: int | None,
@@ -37,9 +39,9 @@
     processes: int | None,
     log_folder: Path | None,
 ) -> None:
-    """Play a SCENARIO against real routers and judge what happened.
+    """Run a SCENARIO against real routers and check the outcome against the rules.
 
-    Ends with 1 if a rule was broken or the run is void.
+    Exits with 1 if a rule was broken or the run is void.
 
     \b
     Examples:
@@ -52,13 +54,13 @@
         settings = (*settings, f"machine.server_processes={processes}", f"machine.load_processes={processes}")
     runs = []
     for offset in range(seeds):
-        played = read_scenario(scenario, settings, seed)
+        seeded_scenario = read_scenario(scenario, settings, seed)
         if offset:
-            played = read_scenario(scenario, settings, played.seed + offset)
-        runs.append(play(played, log_folder))
+            seeded_scenario = read_scenario(scenario, settings, seeded_scenario.seed + offset)
+        runs.append(run_with_progress(seeded_scenario, log_folder))
         print_results(runs[-1])
     if seeds > 1:
         print_spread(runs)
-    finish(runs[-1], json_file, report_file)
+    write_files_and_exit_if_failed(runs[-1], json_file, report_file)
     if not all(run.passed for run in runs):
         sys.exit(1)
--- a/starlingthread/cli/check_config.py
+++ b/starlingthread/cli/check_config.py
@@ -1,4 +1,4 @@
-"""``starlingthread check-config``: the validation of a configuration, options or scenario file."""
+"""The command ``starlingthread check-config``: validates a configuration, options or scenario file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @click.command("check-config")
 @click.argument("file", type=EXISTING_FILE)
 def check_config(file: Path) -> None:
-    """Tell whether a FILE is good: a router's JSON, the operator's TOML or a scenario's TOML.
+    """Check whether a FILE is valid: a router's JSON, the operator's TOML or a scenario's TOML.
 
     \b
     Examples:
@@ -44,7 +44,7 @@
 
 
 def _is_scenario(file: Path) -> bool:
-    """Return whether a TOML file is a scenario: these have a name at the top level, options files have none."""
+    """Return whether a TOML file is a scenario, which unlike an options file has a ``name`` at the top level."""
     try:
         return "name" in tomllib.loads(file.read_text(encoding="utf-8", errors="replace"))
     except tomllib.TOMLDecodeError as error:
--- a/starlingthread/cli/common.py
+++ b/starlingthread/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: parameter types, errors and the reading of scenarios."""
+"""Shared parts of the commands: parameter types, errors and the reading of scenarios."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 OUTPUT_FILE = click.Path(dir_okay=False, path_type=Path)
 OUTPUT_FOLDER = click.Path(file_okay=False, path_type=Path)
-OUTPUT_WIDTH = 110  # columns, where standard output is no terminal
+OUTPUT_WIDTH_COLUMNS = 110  # width where standard output is not a terminal
 
 scenario_settings_option = click.option(
     "--set", "settings", multiple=True, metavar="KEY=VALUE", help="Change a key of the scenario."
@@ -24,7 +24,7 @@
 
 
 def fail(message: str) -> NoReturn:
-    """Print the message as one line on standard error and exit with 1."""
+    """Print an error message as one line on standard error and exit with 1."""
     click.echo(f"starlingthread: {message}", err=True)
     sys.exit(1)
 
@@ -43,7 +43,7 @@
 
 
 def read_scenario(file: Path, settings: tuple[str, ...] = (), seed: int | None = None) -> Scenario:
-    """Return a scenario with changed settings ('KEY=VALUE') and seed; exit with 1 if it is invalid."""
+    """Return a scenario with some settings ('KEY=VALUE') and the seed overridden; exit with 1 if it is invalid."""
     from ..experiment import scenario_file
     from ..experiment.validation import ScenarioError
 
@@ -55,7 +55,7 @@
 
 
 def output_console() -> Console:
-    """Return a console on standard output, of a fixed width if that is no terminal."""
+    """Return a console on standard output, with a fixed width if standard output is not a terminal."""
     from rich.console import Console
 
-    return Console(width=None if sys.stdout.isatty() else OUTPUT_WIDTH)
+    return Console(width=None if sys.stdout.isatty() else OUTPUT_WIDTH_COLUMNS)
--- a/starlingthread/cli/compare.py
+++ b/starlingthread/cli/compare.py
@@ -1,4 +1,4 @@
-"""``starlingthread compare``: the results of two runs beside each other."""
+"""The command ``starlingthread compare``: prints the results of two runs side by side."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 @click.argument("before", type=EXISTING_FILE)
 @click.argument("after", type=EXISTING_FILE)
 def compare(before: Path, after: Path) -> None:
-    """Put the results of two runs beside each other.
+    """Print the results of two runs side by side.
 
-    One run each tells no difference from noise: play several seeds before believing one.
+    One run each cannot tell a difference from noise: run several seeds before drawing a conclusion.
 
     \b
     Example:
--- a/starlingthread/cli/demo.py
+++ b/starlingthread/cli/demo.py
@@ -1,4 +1,4 @@
-"""``starlingthread demo``: a short run of a small emulated fleet, with a report."""
+"""The command ``starlingthread demo``: runs a small emulated fleet for a short time and writes a report."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import click
 
 from .common import OUTPUT_FILE, require_lab
-from .playing import finish, play
 from .results_output import print_results
+from .scenario_run import run_with_progress, write_files_and_exit_if_failed
 
 if TYPE_CHECKING:
     from ..experiment.scenario import Scenario
@@ -33,17 +33,19 @@
 
 @click.command()
 @click.option("--report", "report_file", type=OUTPUT_FILE, default=Path("demo.html"), show_default=True)
-@click.option("--seconds", type=click.FloatRange(min=4.0, max=600.0), help="Another length; the fault moves with it.")
+@click.option(
+    "--seconds", type=click.FloatRange(min=4.0, max=600.0), help="Length of the run; the fault scales with it."
+)
 def demo(report_file: Path, seconds: float | None) -> None:
-    """Start a small emulated fleet, three routers and half a minute of traffic with one fault in it."""
+    """Run a small emulated fleet with three routers, half a minute of traffic and one fault."""
     require_lab()
-    results = play(_demo_scenario(seconds), None)
+    results = run_with_progress(_demo_scenario(seconds), None)
     print_results(results)
-    finish(results, None, report_file)
+    write_files_and_exit_if_failed(results, None, report_file)
 
 
 def _demo_scenario(seconds: float | None) -> Scenario:
-    """Return the demo's scenario; of another length, the fault is in the middle third."""
+    """Return the demo's scenario; if a length is given, the fault takes up the middle third of the run."""
     import msgspec
 
     from ..experiment.scenario import Scenario
--- a/starlingthread/cli/emulate.py
+++ b/starlingthread/cli/emulate.py
@@ -1,4 +1,4 @@
-"""``starlingthread emulate``: the emulated platform without clients."""
+"""The command ``starlingthread emulate``: runs the emulated platform without clients."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
     type=OUTPUT_FOLDER,
     default=Path("emulated"),
     show_default=True,
-    help="Where the routers' configurations go.",
+    help="Write the routers' configurations to this folder.",
+)
+@click.option("--routers/--no-routers", default=False, show_default=True, help="Also start the routers.")
+@click.option(
+    "--for", "seconds", type=click.FloatRange(min=0.1), help="Stop after this number of seconds; otherwise on Ctrl-C."
 )
-@click.option("--routers/--no-routers", default=False, show_default=True, help="Start the routers as well.")
-@click.option("--for", "seconds", type=click.FloatRange(min=0.1), help="End after so many seconds; else on Ctrl-C.")
 def emulate(scenario: Path, settings: tuple[str, ...], folder: Path, routers: bool, seconds: float | None) -> None:
-    """Bring up the platform of a SCENARIO on loopback, without clients, and play its faults.
+    """Start the platform of a SCENARIO on loopback, without clients, and inject its faults.
 
-    Prints where everything listens, and writes a configuration for each router, to be started by hand.
+    Prints the addresses of all parts, and writes a configuration for each router, to be started manually.
 
     \b
     Example:
@@ -33,10 +35,10 @@
     """
     require_lab()
     from ..testbed.errors import RunError
-    from ..testbed.run import emulate as hold_platform
+    from ..testbed.run import emulate as emulate_platform
 
     try:
-        hold_platform(read_scenario(scenario, settings), folder, routers, seconds, click.echo)
+        emulate_platform(read_scenario(scenario, settings), folder, routers, seconds, click.echo)
     except RunError as error:
         fail(str(error))
     except KeyboardInterrupt:
--- a/starlingthread/cli/main.py
+++ b/starlingthread/cli/main.py
@@ -17,7 +17,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(__version__, prog_name="starlingthread")
 def main() -> None:
-    """A router for fleets of cache servers, and the tools to try it.
+    """A router for fleets of cache servers, and tools to test it.
 
     \b
     Examples:
--- a/starlingthread/cli/results_output.py
+++ b/starlingthread/cli/results_output.py
@@ -1,4 +1,4 @@
-"""The results of runs as text on standard output."""
+"""Prints the results of runs on standard output."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
     from ..analysis.results import Results
 
-MAX_ROUTERS = 10  # of more, the busiest are printed
-MAX_VIOLATIONS = 20
+MAX_PRINTED_ROUTERS = 10  # if a run has more routers, the busiest are printed
+MAX_PRINTED_VIOLATIONS = 20
 CLASS_COLUMNS = ("class", "requests", "in time", "late", "rejected", "failed", "goodput", "p50 ms", "p99", "p99.9")
 PERCENTILES = ("50", "99", "99.9")
 
@@ -34,7 +34,7 @@
 
 
 def print_spread(runs: list[Results]) -> None:
-    """Print the spread over runs of one scenario with several seeds."""
+    """Print the spread of the goodput over runs of one scenario with several seeds."""
     import numpy as np
 
     shares = [run.goodput_share for run in runs]
@@ -54,10 +54,16 @@
     )
     for name in CLASS_COLUMNS:
         table.add_column(name, justify="left" if name == "class" else "right")
-    for cls in results.classes:
-        latencies = [f"{cls.percentiles[p]:.1f}" if p in cls.percentiles else "-" for p in PERCENTILES]
-        counts = map(str, (cls.offered, cls.in_time, cls.late, cls.rejected, cls.failed))
-        table.add_row(cls.name, *counts, f"{cls.goodput_share:.3f}", *latencies)
+    for class_result in results.classes:
+        latencies = [
+            f"{class_result.percentiles[percentile]:.1f}" if percentile in class_result.percentiles else "-"
+            for percentile in PERCENTILES
+        ]
+        counts = map(
+            str,
+            (class_result.offered, class_result.in_time, class_result.late, class_result.rejected, class_result.failed),
+        )
+        table.add_row(class_result.name, *counts, f"{class_result.goodput_share:.3f}", *latencies)
     return table
 
 
@@ -75,7 +81,7 @@
 
 
 def _print_routers(console: Console, results: Results) -> None:
-    busiest = sorted(results.routers, key=lambda router: -router.requests)[:MAX_ROUTERS]
+    busiest = sorted(results.routers, key=lambda router: -router.requests)[:MAX_PRINTED_ROUTERS]
     if len(busiest) < len(results.routers):
         console.print(f"the {len(busiest)} busiest of {len(results.routers)} routers:", highlight=False)
     for router in busiest:
@@ -91,7 +97,7 @@
     verdict = results.verdict
     for reason in verdict.void:
         console.print(f"VOID: {reason}", style="bold red", highlight=False)
-    for violation in verdict.violations[:MAX_VIOLATIONS]:
+    for violation in verdict.violations[:MAX_PRINTED_VIOLATIONS]:
         console.print(
             f"BROKEN {violation.rule} at {violation.at_s} s, router {violation.router}, request "
             f"{violation.request or '-'}: {violation.text}",
--- a/starlingthread/cli/playing.py
+++ b/starlingthread/cli/scenario_run.py
@@ -1,4 +1,4 @@
-"""The run of a scenario with a progress bar, and the end of a command by its results."""
+"""Runs a scenario with a progress bar, and ends a command with the output files and the exit code of a run."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from ..experiment.scenario import Scenario
 
 
-def play(scenario: Scenario, log_folder: Path | None) -> Results:
-    """Play a scenario and return its results; exit with 1 if it can't be played.
+def run_with_progress(scenario: Scenario, log_folder: Path | None) -> Results:
+    """Run a scenario and return its results; exit with 1 if it cannot be run.
 
-    A progress bar is shown where standard error is a terminal.
+    A progress bar is shown if standard error is a terminal.
     """
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
@@ -48,8 +48,8 @@
             fail(str(error))
 
 
-def finish(results: Results, json_file: Path | None, report_file: Path | None) -> None:
-    """Write the files that were asked for, and exit with 1 unless the run passed."""
+def write_files_and_exit_if_failed(results: Results, json_file: Path | None, report_file: Path | None) -> None:
+    """Write the requested output files, and exit with 1 unless the run passed."""
     from ..analysis import report
     from ..analysis import results as results_file
 
--- a/starlingthread/cli/serve.py
+++ b/starlingthread/cli/serve.py
@@ -1,4 +1,4 @@
-"""``starlingthread serve``: one router in the foreground."""
+"""The command ``starlingthread serve``: runs one router in the foreground."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @click.command()
-@click.option("--config", type=EXISTING_FILE, help="The platform's JSON file; LB_CONFIG names it otherwise.")
+@click.option("--config", type=EXISTING_FILE, help="The platform's JSON file; default: the path in LB_CONFIG.")
 @click.option("--options", "options_file", type=EXISTING_FILE, help="The operator's own TOML file.")
 def serve(config: Path | None, options_file: Path | None) -> None:
     """Run one router in the foreground.
--- a/starlingthread/cli/soak.py
+++ b/starlingthread/cli/soak.py
@@ -1,4 +1,4 @@
-"""``starlingthread soak``: many seeds of drawn scenarios against real routers."""
+"""The command ``starlingthread soak``: runs scenarios drawn from many seeds against real routers."""
 
 from __future__ import annotations
 
@@ -18,21 +18,23 @@
 
 @click.command()
 @click.option("--first-seed", type=click.IntRange(min=0), default=1, show_default=True)
-@click.option("--seeds", type=click.IntRange(1, 10000), default=50, show_default=True, help="Play so many seeds.")
+@click.option("--seeds", type=click.IntRange(1, 10000), default=50, show_default=True, help="Run this number of seeds.")
 @click.option(
     "--length",
     "length_s",
     type=click.FloatRange(12.0, 600.0),
     default=DEFAULT_LENGTH_S,
     show_default=True,
-    help="Seconds of each play.",
+    help="Length of each run in seconds.",
+)
+@click.option("--json", "json_file", type=OUTPUT_FILE, help="Write the summary to this JSON file.")
+@click.option(
+    "--logs", "log_folder", type=OUTPUT_FOLDER, help="Write the routers' logs of failed seeds to this folder."
 )
-@click.option("--json", "json_file", type=OUTPUT_FILE, help="Keep the summary here.")
-@click.option("--logs", "log_folder", type=OUTPUT_FOLDER, help="Keep the routers' logs of failed seeds here.")
 def soak(first_seed: int, seeds: int, length_s: float, json_file: Path | None, log_folder: Path | None) -> None:
-    """Play scenarios drawn from seeds: restarts, signals, drains, faults and bad clients together.
+    """Run scenarios drawn from seeds, which combine restarts, signals, drains, faults and bad clients.
 
-    Ends with 1 if a rule was broken, a router grew, or a run is void.
+    Exits with 1 if a rule was broken, a router's use of resources grew, or a run is void.
 
     \b
     Examples:
@@ -44,11 +46,11 @@
 
     outcomes = []
     for seed in range(first_seed, first_seed + seeds):
-        outcome = _play_seed(seed, length_s, log_folder)
+        outcome = _run_seed(seed, length_s, log_folder)
         outcomes.append(outcome)
         click.echo(f"{len(outcomes)} of {seeds}: {outcome.summary()}")
         if not outcome.passed:
-            _explain(outcome)
+            _print_findings(outcome)
     _print_table(outcomes)
     if json_file is not None:
         soak_result.write(outcomes, json_file)
@@ -56,7 +58,7 @@
         sys.exit(1)
 
 
-def _play_seed(seed: int, length_s: float, log_folder: Path | None) -> SoakResult:
+def _run_seed(seed: int, length_s: float, log_folder: Path | None) -> SoakResult:
     import shutil
     import tempfile
 
@@ -77,7 +79,7 @@
     return outcome
 
 
-def _explain(outcome: SoakResult) -> None:
+def _print_findings(outcome: SoakResult) -> None:
     for text in outcome.findings:
         click.echo(f"  {text}")
     click.echo(f"  again: {outcome.replay_command}")
--- a/starlingthread/load/__init__.py
+++ b/starlingthread/load/__init__.py
@@ -1,1 +1,1 @@
-"""An open-loop load tool: clients that send each request when it is due. Needs the extra ``lab``."""
+"""An open-loop load tool: clients send each request at its scheduled time. Requires the extra ``lab``."""
--- a/starlingthread/load/front.py
+++ b/starlingthread/load/front.py
@@ -1,28 +1,31 @@
-"""The load balancer in front of the routers, as clients see it."""
+"""The load balancer in front of the routers, which chooses the router for each connection of a client."""
 
 from __future__ import annotations
 
 NO_ROUTER = -1
 
 
-class Front:
-    """Hands out the routers that are alive in turn."""
+class FrontendBalancer:
+    """Selects the routers that are alive by round robin."""
 
-    def __init__(self, routers: int, first: int) -> None:
-        self._alive = [True] * routers
-        self._last = first
+    def __init__(self, routers: int, last_router: int) -> None:
+        self._is_alive = [True] * routers
+        self._last_router = last_router
 
     def set_alive(self, router: int, is_alive: bool) -> None:
-        """Take a router out of rotation, or back into it."""
-        self._alive[router] = is_alive
+        """Add a router to the rotation or remove it."""
+        self._is_alive[router] = is_alive
 
     def next_router(self, excluded: int = NO_ROUTER) -> int:
-        """Return the next router, another than the excluded one if there is any; NO_ROUTER if none is alive."""
-        count = len(self._alive)
+        """Return the next router that is alive, or NO_ROUTER if there is none.
+
+        The excluded router is returned only if no other one is alive.
+        """
+        count = len(self._is_alive)
         for _ in range(count):
-            self._last = (self._last + 1) % count
-            if self._alive[self._last] and (self._last != excluded or count == 1):
-                return self._last
-        if excluded != NO_ROUTER and self._alive[excluded]:
+            self._last_router = (self._last_router + 1) % count
+            if self._is_alive[self._last_router] and (self._last_router != excluded or count == 1):
+                return self._last_router
+        if excluded != NO_ROUTER and self._is_alive[excluded]:
             return excluded
         return NO_ROUTER
--- a/starlingthread/load/generator.py
+++ b/starlingthread/load/generator.py
@@ -1,4 +1,4 @@
-"""The load generator of one process: begins operations by an open-loop schedule, or in a closed loop."""
+"""The load generator of one process: starts operations by an open-loop schedule or in a closed loop."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from ..experiment.records import Ledger, Operation
 from ..experiment.scenario import Scenario
 from .bad_clients import BadClients
-from .front import Front
+from .front import FrontendBalancer
 from .idle_clients import IdleClients
 from .operations import OperationRunner, PendingOperation, now_ms
 from .traffic import Arrivals
 
-TICK_S = 0.001  # between looks at what is due
-CONNECT_BATCH = 50  # connections that are opened at once before the run
+SCHEDULE_POLL_PERIOD_S = 0.001  # interval between checks for operations that are due
+CONNECT_BATCH_SIZE = 50  # number of connections opened concurrently before the run
 
 
 class LoadGenerator:
     """The clients of one process.
 
-    In the open loop an operation begins when it is due, whatever became of those before it; with
-    ``traffic.in_flight`` above 0 a closed loop keeps so many operations in flight.
+    In the open loop an operation starts when it is due, whether or not earlier operations have ended. If
+    ``traffic.in_flight`` is above 0, a closed loop keeps that number of operations in flight.
     """
 
     def __init__(
@@ -35,90 +35,90 @@
         rng: np.random.Generator,
         ledger: Ledger,
     ) -> None:
-        self.front = Front(len(routers), worker)
-        chances = UniformDraws(rng)
-        self.runner = OperationRunner(scenario, routers, self.front, chances, ledger, self._operation_ended)
-        self.bad_clients = BadClients(self.front, self.runner.pool, chances)
-        self.idle_clients = IdleClients(routers, chances)
+        self.frontend = FrontendBalancer(len(routers), worker)
+        random_draws = UniformDraws(rng)
+        self.runner = OperationRunner(scenario, routers, self.frontend, random_draws, ledger, self._on_operation_ended)
+        self.bad_clients = BadClients(self.frontend, self.runner.pool, random_draws)
+        self.idle_clients = IdleClients(routers, random_draws)
         self.done = asyncio.Event()
         self._scenario = scenario
         self._worker = worker
         self._processes = scenario.machine.load_processes
         share = slice(worker, None, self._processes)
-        self._due: list[float] = arrivals.due_ms[share].tolist()
-        self._classes: list[int] = arrivals.class_index[share].tolist()
-        self._keys: list[int] = arrivals.key[share].tolist()
+        self._due_ms: list[float] = arrivals.due_ms[share].tolist()
+        self._class_indexes: list[int] = arrivals.class_index[share].tolist()
+        self._operation_keys: list[int] = arrivals.key[share].tolist()
         self._ledger = ledger
         self._loop = asyncio.get_running_loop()
-        self._started_at = 0.0
-        self._begun = 0
+        self._started_at_ms = 0.0
+        self._started_count = 0
         self._in_flight = 0
-        self._is_over = False
+        self._is_run_over = False
 
-    async def connect_ahead(self) -> None:
-        """Open the connections that clients keep, a few at a time."""
+    async def open_initial_connections(self) -> None:
+        """Open the connections that clients keep open, in batches."""
         routers = len(self.runner.pool.addresses)
         count = self._scenario.traffic.connections // self._processes
-        for first in range(0, count, CONNECT_BATCH):
-            batch = range(first, min(first + CONNECT_BATCH, count))
-            for connection in await asyncio.gather(*(self.runner.pool.connect(n % routers) for n in batch)):
+        for first in range(0, count, CONNECT_BATCH_SIZE):
+            batch = range(first, min(first + CONNECT_BATCH_SIZE, count))
+            for connection in await asyncio.gather(*(self.runner.pool.connect(number % routers) for number in batch)):
                 if connection is not None:
                     self.runner.pool.release(connection)
 
-    def begin(self, started_at: float) -> None:
-        """Start the schedule at a time of the monotonic clock (ms)."""
-        self._started_at = started_at
+    def begin(self, started_at_ms: float) -> None:
+        """Start the schedule at a time of the monotonic clock, in ms."""
+        self._started_at_ms = started_at_ms
         concurrency = self._scenario.traffic.in_flight
         if not concurrency:
-            self._begin_due()
+            self._start_due_operations()
             return
-        delay = max(0.0, (started_at - now_ms()) / 1000.0)
+        delay = max(0.0, (started_at_ms - now_ms()) / 1000.0)
         for _ in range(max(1, concurrency // self._processes)):
-            self._loop.call_later(delay, self._begin_next)
+            self._loop.call_later(delay, self._start_next_operation)
 
     def stop(self) -> None:
-        """Cancel what is in progress and close the connections."""
+        """Cancel the tasks in progress and close the connections."""
         self.runner.stop()
         self.bad_clients.stop()
         self.idle_clients.stop()
 
     @property
     def _is_exhausted(self) -> bool:
-        return self._begun >= len(self._due)
+        return self._started_count >= len(self._due_ms)
 
-    def _begin_due(self) -> None:
-        """In the open loop: begin what is due, and look again a tick later."""
+    def _start_due_operations(self) -> None:
+        """Start the operations that are due in the open loop, and schedule the next check."""
         now = now_ms()
-        while not self._is_exhausted and self._started_at + self._due[self._begun] <= now:
-            self._begin_operation(self._begun, self._started_at + self._due[self._begun], now)
+        while not self._is_exhausted and self._started_at_ms + self._due_ms[self._started_count] <= now:
+            self._start_operation(self._started_count, self._started_at_ms + self._due_ms[self._started_count], now)
         if not self._is_exhausted:
-            self._loop.call_later(TICK_S, self._begin_due)
+            self._loop.call_later(SCHEDULE_POLL_PERIOD_S, self._start_due_operations)
         elif not self._in_flight:
             self.done.set()
 
-    def _begin_next(self) -> None:
-        """In the closed loop: begin the next operation, unless the run is over."""
+    def _start_next_operation(self) -> None:
+        """Start the next operation of the closed loop, unless the run is over."""
         now = now_ms()
-        if now >= self._started_at + self._scenario.length_s * 1000.0 or self._is_over:
-            self._is_over = True
+        if now >= self._started_at_ms + self._scenario.length_s * 1000.0 or self._is_run_over:
+            self._is_run_over = True
             if not self._in_flight:
                 self.done.set()
             return
-        self._begin_operation(self._begun % len(self._due), now, now)
+        self._start_operation(self._started_count % len(self._due_ms), now, now)
 
-    def _begin_operation(self, arrival: int, due_at: float, now: float) -> None:
-        number = self._begun * self._processes + self._worker
-        self._begun += 1
-        class_index = self._classes[arrival]
+    def _start_operation(self, arrival_index: int, due_at: float, now: float) -> None:
+        number = self._started_count * self._processes + self._worker
+        self._started_count += 1
+        class_index = self._class_indexes[arrival_index]
         record = Operation(number, class_index, due_at, now - due_at)
         self._ledger.operations.append(record)
         self._in_flight += 1
-        spec = self._scenario.traffic.classes[class_index]
-        self.runner.start(PendingOperation(record, spec, self._keys[arrival]))
+        request_class = self._scenario.traffic.classes[class_index]
+        self.runner.start(PendingOperation(record, request_class, self._operation_keys[arrival_index]))
 
-    def _operation_ended(self) -> None:
+    def _on_operation_ended(self) -> None:
         self._in_flight -= 1
         if self._scenario.traffic.in_flight:
-            self._loop.call_soon(self._begin_next)
+            self._loop.call_soon(self._start_next_operation)
         elif self._is_exhausted and not self._in_flight:
             self.done.set()
--- a/starlingthread/load/operations.py
+++ b/starlingthread/load/operations.py
@@ -1,4 +1,4 @@
-"""Operations of clients: each is attempted once and, where its class allows, retried with backoff."""
+"""Operations of clients: each is attempted once and, if its request class allows, retried with backoff."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ..experiment.records import ClientAttempt, Ledger, Operation
 from ..experiment.scenario import CLIENT_DESCRIPTOR_SHARE, RequestClass, Scenario
 from .connection import CONNECT_TIMEOUT_S, Answer, ClientConnection, ConnectionPool
-from .front import NO_ROUTER, Front
-from .requests import MAX_QUOTED, encode_request, record_answer, request_id
+from .front import NO_ROUTER, FrontendBalancer
+from .requests import MAX_QUOTED_BYTES, encode_request, record_answer, request_id
 from .tasks import TaskSet
 
-LISTEN_PAST_DEADLINE_MS = 150.0  # for which a client still listens, so that a late answer is seen
-MIN_BUDGET_MS = 10.0  # with less left a client does not retry
-MIN_SEND_BUDGET_MS = 1.0  # with less left when the connection is open, nothing is sent
+LISTEN_PAST_DEADLINE_MS = 150.0  # clients listen this long after the deadline, so that late answers are recorded
+MIN_BUDGET_MS = 10.0  # no attempt is started with less time left before the deadline
+MIN_SEND_BUDGET_MS = 1.0  # no request is sent on an open connection with less time left
 NO_OPERATION = -1
 
 
@@ -29,23 +29,23 @@
 class PendingOperation:
     """An operation that has not ended, with the state of its attempts."""
 
-    __slots__ = ("attempts", "connection", "is_resent", "key", "record", "spec", "timer")
+    __slots__ = ("attempts", "connection", "is_resent", "key", "record", "request_class", "timer")
 
-    def __init__(self, record: Operation, spec: RequestClass, key: int) -> None:
+    def __init__(self, record: Operation, request_class: RequestClass, key: int) -> None:
         self.record = record
-        self.spec = spec
+        self.request_class = request_class
         self.key = key
         self.attempts: list[ClientAttempt] = []
         self.connection: ClientConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.is_resent = False  # the last attempt, once more on a new connection
+        self.is_resent = False  # whether the last attempt was sent a second time, on a new connection
 
     def may_retry(self, outcome: str) -> bool:
-        """Return whether a retry after an attempt's outcome can do no harm."""
-        if self.spec.effect == "repeatable" or outcome in ("busy", "refused"):
+        """Return whether a retry is safe: the operation is repeatable, was not executed, or is deduplicated by key."""
+        if self.request_class.effect == "repeatable" or outcome in ("busy", "refused"):
             return True
-        is_key_remembered = now_ms() - self.attempts[0].sent_at < self.spec.memory_span_ms
-        return self.spec.effect == "by_key" and is_key_remembered
+        is_key_remembered = now_ms() - self.attempts[0].sent_at < self.request_class.memory_span_ms
+        return self.request_class.effect == "by_key" and is_key_remembered
 
 
 class WaitingAttempt:
@@ -60,32 +60,32 @@
 
 
 def _max_connections(scenario: Scenario) -> int:
-    """Return how many connections the clients of one process may have to one router."""
+    """Return the limit of connections from the clients of one process to one router."""
     limit = scenario.traffic.max_connections or int(scenario.routers.sockets * CLIENT_DESCRIPTOR_SHARE)
     return max(1, limit // scenario.machine.load_processes)
 
 
 class OperationRunner:
-    """Carries out operations on connections to the routers."""
+    """Executes operations on connections to the routers."""
 
     def __init__(
         self,
         scenario: Scenario,
         addresses: list[tuple[str, int]],
-        front: Front,
-        chances: UniformDraws,
+        frontend: FrontendBalancer,
+        random_draws: UniformDraws,
         ledger: Ledger,
         on_ended: Callable[[], None],
     ) -> None:
         self.pool = ConnectionPool(addresses, self, _max_connections(scenario))
         self._waiting: list[deque[WaitingAttempt]] = [deque() for _ in addresses]
-        self.leave_share = scenario.traffic.leave  # share of requests whose client leaves before the answer
-        self.exhausted_count = 0  # attempts for which no connection could be opened any more
+        self.disconnect_share = scenario.traffic.leave  # share of requests whose client disconnects before the answer
+        self.out_of_connections_count = 0  # attempts that failed because the connection pool was full
         self._seed = scenario.seed
         self._traffic = scenario.traffic
-        self._value = b"s" * scenario.traffic.write_bytes
-        self._front = front
-        self._chances = chances
+        self._write_value = b"s" * scenario.traffic.write_bytes
+        self._frontend = frontend
+        self._random_draws = random_draws
         self._ledger = ledger
         self._on_ended = on_ended
         self._in_flight: dict[ClientConnection, PendingOperation] = {}
@@ -93,28 +93,28 @@
         self._loop = asyncio.get_running_loop()
 
     def start(self, operation: PendingOperation) -> None:
-        """Begin an operation with its first attempt."""
-        self._attempt(operation, NO_ROUTER)
+        """Start an operation with its first attempt."""
+        self._start_attempt(operation, NO_ROUTER)
 
     def stop(self) -> None:
-        """Give up what is being opened and close the idle connections."""
+        """Cancel the connections that are being opened and close the idle ones."""
         self._tasks.cancel()
         self.pool.close_idle()
 
     # sending
 
-    def _attempt(self, operation: PendingOperation, last_router: int) -> None:
-        """Send the next attempt to another router than the last one, or end the operation if its time is over."""
+    def _start_attempt(self, operation: PendingOperation, last_router: int) -> None:
+        """Send the next attempt, to another router than the last; end the operation if too little time is left."""
         now = now_ms()
         record = operation.record
-        remaining = record.due_at + operation.spec.deadline_ms - now
-        router = self._front.next_router(last_router)
+        remaining = record.due_at + operation.request_class.deadline_ms - now
+        router = self._frontend.next_router(last_router)
         if remaining < MIN_BUDGET_MS or router == NO_ROUTER:
-            self._end(operation)
+            self._end_operation(operation)
             return
         retry_index = len(operation.attempts)
-        keeps_reserve = retry_index < self._traffic.retries and operation.spec.effect != "once"
-        budget = remaining * self._traffic.try_share if keeps_reserve else remaining
+        reserves_retry_time = retry_index < self._traffic.retries and operation.request_class.effect != "once"
+        budget = remaining * self._traffic.try_share if reserves_retry_time else remaining
         attempt = ClientAttempt(
             request_id(record.number, retry_index, self._seed),
             record.number,
@@ -135,7 +135,7 @@
         if connection is not None:
             self._write(connection, operation, attempt)
         elif self.pool.is_full:
-            self.exhausted_count += 1
+            self.out_of_connections_count += 1
             self._finish_attempt(operation, attempt, "refused")
         elif self.pool.may_connect(attempt.router):
             self._tasks.start(self._connect_and_write(operation, attempt))
@@ -143,20 +143,20 @@
             self._wait_for_connection(operation, attempt)
 
     def _wait_for_connection(self, operation: PendingOperation, attempt: ClientAttempt) -> None:
-        """Queue an attempt until another one gives a connection back, for no longer than for one to open."""
+        """Queue an attempt until a connection is released, for at most the connect time-out."""
         delay = min(CONNECT_TIMEOUT_S, (attempt.sent_at + attempt.budget_ms - now_ms()) / 1000.0)
         waiting = WaitingAttempt(operation, attempt)
-        waiting.timer = self._loop.call_later(max(0.0, delay), self._stop_waiting, waiting)
+        waiting.timer = self._loop.call_later(max(0.0, delay), self._on_wait_timeout, waiting)
         self._waiting[attempt.router].append(waiting)
 
-    def _stop_waiting(self, waiting: WaitingAttempt) -> None:
+    def _on_wait_timeout(self, waiting: WaitingAttempt) -> None:
         self._waiting[waiting.attempt.router].remove(waiting)
         self._finish_attempt(waiting.operation, waiting.attempt, "refused")
 
-    def _continue_waiting(self, router: int) -> None:
-        """Send the attempts that have waited longest for a connection, as far as there are some.
+    def _send_waiting_attempts(self, router: int) -> None:
+        """Send queued attempts, the longest waiting first, while there are connections for them.
 
-        One whose time is over leaves its connection idle, for the next one in the queue.
+        An attempt that has expired leaves its connection idle, for the next attempt in the queue.
         """
         queue = self._waiting[router]
         while queue and (self.pool.has_idle(router) or self.pool.may_connect(router)):
@@ -165,19 +165,19 @@
                 waiting.timer.cancel()
             self._send(waiting.operation, waiting.attempt)
             if not self.pool.has_idle(router):
-                return  # a connection that is being opened counts as open a turn later only
+                return  # a connection being opened is only counted in the next iteration of the event loop
 
     async def _connect_and_write(self, operation: PendingOperation, attempt: ClientAttempt) -> None:
         connection = await self.pool.connect(attempt.router)
         if connection is None or connection.is_closed:
-            self._loop.call_soon(self._continue_waiting, attempt.router)
-            # Sent once before: then the router died with it, and it may have run.
+            self._loop.call_soon(self._send_waiting_attempts, attempt.router)
+            # If the request was sent before, the router ended with it in flight and may have executed it.
             self._finish_attempt(operation, attempt, "eof" if operation.is_resent else "refused")
         elif not self._write(connection, operation, attempt):
-            self._continue_waiting(attempt.router)
+            self._send_waiting_attempts(attempt.router)
 
     def _write(self, connection: ClientConnection, operation: PendingOperation, attempt: ClientAttempt) -> bool:
-        """Send an attempt and return True; if its time is over, put the connection back and return False."""
+        """Send an attempt and return True; if it has expired, release the connection and return False."""
         now = now_ms()
         remaining = attempt.sent_at + attempt.budget_ms - now
         if remaining < MIN_SEND_BUDGET_MS:
@@ -185,7 +185,9 @@
             self._finish_attempt(operation, attempt, "refused")
             return False
         budget = int(remaining)
-        request = encode_request(operation.spec, operation.record, operation.key, attempt, budget, self._value)
+        request = encode_request(
+            operation.request_class, operation.record, operation.key, attempt, budget, self._write_value
+        )
         operation.connection = connection
         self._in_flight[connection] = operation
         connection.send(request)
@@ -195,17 +197,17 @@
         return True
 
     def _start_timer(self, operation: PendingOperation, attempt: ClientAttempt) -> None:
-        """Limit how long the client listens: until the deadline and a bit longer, or until it leaves early."""
+        """Limit how long the client listens: until shortly after the deadline, or until an early disconnect."""
         listen_ms = attempt.budget_ms + LISTEN_PAST_DEADLINE_MS
         outcome = "none"
-        if self.leave_share > 0 and self._chances.next() < self.leave_share:
-            listen_ms = self._chances.next() * min(operation.spec.latency_objective_ms, attempt.budget_ms)
+        if self.disconnect_share > 0 and self._random_draws.next() < self.disconnect_share:
+            listen_ms = self._random_draws.next() * min(operation.request_class.latency_objective_ms, attempt.budget_ms)
             outcome = "left"
-        operation.timer = self._loop.call_later(listen_ms / 1000.0, self._give_up, operation, attempt, outcome)
+        operation.timer = self._loop.call_later(listen_ms / 1000.0, self._stop_listening, operation, attempt, outcome)
 
     def _release(self, connection: ClientConnection) -> None:
         self.pool.release(connection)
-        self._continue_waiting(connection.router)
+        self._send_waiting_attempts(connection.router)
 
     # events of connections
 
@@ -215,42 +217,43 @@
         attempt = operation.attempts[-1]
         attempt.answered_at = now_ms()
         record_answer(attempt, answer)
-        if answer.surplus:
+        if answer.trailing_data:
             connection.abort()
         elif not connection.is_closed:
             self._release(connection)
         self._finish_attempt(operation, attempt, attempt.outcome)
 
     def on_unsolicited(self, connection: ClientConnection, data: bytes) -> None:
-        """Record bytes that came where nothing was asked."""
+        """Record bytes received while no request was in flight."""
         now = now_ms()
         attempt = ClientAttempt("", NO_OPERATION, 0, 0, connection.router, now, 0.0, outcome="other", answered_at=now)
-        attempt.protocol_error = f"unasked: {data[:MAX_QUOTED]!r}"
+        attempt.protocol_error = f"unasked: {data[:MAX_QUOTED_BYTES]!r}"
         self._ledger.attempts.append(attempt)
         connection.abort()
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Resend a request that crossed the router's close, else record the end of its connection."""
+        """Resend the request in flight once if no answer has begun; otherwise record the end of its connection."""
         self.pool.on_closed(connection)
         if connection not in self._in_flight:
-            self._continue_waiting(connection.router)
+            self._send_waiting_attempts(connection.router)
             return
         operation = self._take_in_flight(connection)
         attempt = operation.attempts[-1]
         if connection.has_partial_answer:
             attempt.protocol_error = "stopped in the middle of an answer"
             self._finish_attempt(operation, attempt, "eof")
-            self._continue_waiting(connection.router)
+            self._send_waiting_attempts(connection.router)
         elif operation.is_resent:
             self._finish_attempt(operation, attempt, "eof")
-            self._continue_waiting(connection.router)
+            self._send_waiting_attempts(connection.router)
         else:
-            # Our request crossed its close between requests: as nobody read it, it is sent once more, on a new one.
+            # The router closed the idle connection while the request was on its way. As the router did not read
+            # the request, it is sent once more on a new connection.
             operation.is_resent = True
             self._tasks.start(self._connect_and_write(operation, attempt))
 
-    def _give_up(self, operation: PendingOperation, attempt: ClientAttempt, outcome: str) -> None:
-        """Close the connection of an attempt whose client listens no longer."""
+    def _stop_listening(self, operation: PendingOperation, attempt: ClientAttempt, outcome: str) -> None:
+        """Close the connection of an attempt whose client stops listening, and record the outcome."""
         connection = operation.connection
         operation.connection = None
         if connection is not None:
@@ -259,7 +262,7 @@
         self._finish_attempt(operation, attempt, outcome)
 
     def _take_in_flight(self, connection: ClientConnection) -> PendingOperation:
-        """Return the operation in flight on a connection, which waits for nothing any more."""
+        """Remove and return the operation in flight on a connection, and cancel its timer."""
         operation = self._in_flight.pop(connection)
         operation.connection = None
         if operation.timer is not None:
@@ -269,7 +272,7 @@
     # outcomes
 
     def _finish_attempt(self, operation: PendingOperation, attempt: ClientAttempt, outcome: str) -> None:
-        """Record an attempt's outcome; then retry, if its class allows it, or end the operation."""
+        """Record an attempt's outcome; then retry if the request class allows it, or end the operation."""
         attempt.outcome = outcome
         record = operation.record
         record.attempts = len(operation.attempts)
@@ -282,19 +285,19 @@
             record.result = "refused" if outcome == "busy" else "failed"
             if operation.may_retry(outcome) and len(operation.attempts) <= self._traffic.retries:
                 delay = self._backoff_ms(operation, attempt)
-                self._loop.call_later(delay / 1000.0, self._attempt, operation, attempt.router)
+                self._loop.call_later(delay / 1000.0, self._start_attempt, operation, attempt.router)
                 return
-        self._end(operation)
+        self._end_operation(operation)
 
     def _backoff_ms(self, operation: PendingOperation, attempt: ClientAttempt) -> float:
-        """Return the exponential backoff with jitter, or the router's Retry-After where the client honours it."""
-        jitter = 0.5 + self._chances.next()
+        """Return the exponential backoff with jitter, or a longer Retry-After if the client honours it."""
+        jitter = 0.5 + self._random_draws.next()
         backoff = self._traffic.backoff_ms * 2.0 ** (len(operation.attempts) - 1) * jitter
-        if attempt.retry_after_ms and self._chances.next() < self._traffic.honour:
+        if attempt.retry_after_ms and self._random_draws.next() < self._traffic.honour:
             return max(backoff, attempt.retry_after_ms)
         return backoff
 
-    def _end(self, operation: PendingOperation) -> None:
+    def _end_operation(self, operation: PendingOperation) -> None:
         record = operation.record
         if record.result == "none":
             record.result = "failed"
--- a/starlingthread/testbed/__init__.py
+++ b/starlingthread/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""Runs of scenarios: starts the emulated platform, the routers under test and the load tool, and evaluates the outcome.
+"""Runs scenarios: starts the emulated platform, the routers under test and the load tool, and evaluates the outcome.
 
-Needs the extra ``lab``; the router never imports anything from here.
+Requires the extra ``lab``; the router never imports this package.
 """
--- a/starlingthread/testbed/bench.py
+++ b/starlingthread/testbed/bench.py
@@ -1,4 +1,4 @@
-"""A run from scenario to results: played, judged, reduced."""
+"""A complete run from scenario to results: executes it, checks it against the rules and reduces its records."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 
 def bench(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> Results:
-    """Play a scenario and return its results. Raise a RunError if it can't be played."""
+    """Run a scenario and return its results. Raise a RunError if it cannot be run."""
     outcome = run_scenario(scenario, progress, folder)
     return reduce(scenario, outcome.ledger, outcome.facts, judge(scenario, outcome.ledger))
--- a/starlingthread/testbed/client_worker.py
+++ b/starlingthread/testbed/client_worker.py
@@ -1,4 +1,4 @@
-"""The worker process that plays some of the clients."""
+"""The worker process that runs some of the clients."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from ..experiment.randomness import streams
 from ..experiment.scenario import Scenario
 from ..load.generator import LoadGenerator
-from ..load.traffic import draw
+from ..load.traffic import draw_arrivals
 from .worker_base import Worker
 
-_SEED_OFFSET = 9_000_003  # apart from the seeds of other parts of the run
+_SEED_OFFSET = 9_000_003  # keeps the seeds distinct from those of other parts of the run
 
 
 class ClientWorker(Worker):
-    """Some of the clients."""
+    """Runs one process's share of the clients."""
 
     role = "clients"
 
     def __init__(self, number: int) -> None:
         super().__init__(number)
-        self.load: LoadGenerator
+        self.load_generator: LoadGenerator
         self.commands |= {
             "setup": self.set_up,
             "begin": self.begin,
             "finish": self.finish,
             "front": self.set_router_alive,
-            "leave": self.set_leave_share,
+            "leave": self.set_disconnect_share,
             "bad_clients": self.start_bad_clients,
             "idle_clients": self.start_idle_clients,
         }
@@ -38,39 +38,39 @@
         self.scenario = msgspec.convert(scenario, Scenario)
         rng = streams(self.scenario.seed + _SEED_OFFSET, self.scenario.machine.load_processes)[self.number]
         addresses = [(host, port) for host, port in routers]
-        arrivals = draw(self.scenario)
-        self.load = LoadGenerator(self.scenario, self.number, arrivals, addresses, rng, self.ledger)
-        await self.load.connect_ahead()
+        arrivals = draw_arrivals(self.scenario)
+        self.load_generator = LoadGenerator(self.scenario, self.number, arrivals, addresses, rng, self.ledger)
+        await self.load_generator.open_initial_connections()
 
     async def begin(self, started_at: float) -> None:
-        """Send requests from a time (ms) on."""
-        self.load.begin(started_at)
+        """Send requests from a time of the monotonic clock (ms) on."""
+        self.load_generator.begin(started_at)
 
     async def finish(self) -> None:
         """Wait until every operation has ended."""
-        await self.load.done.wait()
+        await self.load_generator.done.wait()
 
     async def set_router_alive(self, router: int, is_alive: bool) -> None:
-        """Let the load balancer in front of the routers notice that one has stopped responding, or responds again."""
-        self.load.front.set_alive(router, is_alive)
+        """Notify the load balancer in front of the routers that a router has stopped or resumed responding."""
+        self.load_generator.frontend.set_alive(router, is_alive)
 
-    async def set_leave_share(self, share: float) -> None:
-        """Set the share of requests whose client leaves before the answer."""
-        self.load.runner.leave_share = share
+    async def set_disconnect_share(self, share: float) -> None:
+        """Set the share of requests whose client disconnects before the answer."""
+        self.load_generator.runner.disconnect_share = share
 
-    async def start_bad_clients(self, per_second: float, seconds: float, half: bool) -> None:
-        """Start clients that send garbage, or half commands, for a while."""
-        self.load.bad_clients.start(per_second, seconds, half)
+    async def start_bad_clients(self, connections_per_s: float, duration_s: float, is_partial: bool) -> None:
+        """Start clients that send invalid input, or incomplete commands, for a duration."""
+        self.load_generator.bad_clients.start(connections_per_s, duration_s, is_partial)
 
-    async def start_idle_clients(self, connections: int, seconds: float) -> None:
-        """Start this process's part of a crowd that holds so many connections to each router."""
+    async def start_idle_clients(self, connections: int, duration_s: float) -> None:
+        """Start this process's share of idle clients, which together hold a number of connections to each router."""
         processes = self.scenario.machine.load_processes
-        self.load.idle_clients.start(-(-connections // processes), seconds)
+        self.load_generator.idle_clients.start(-(-connections // processes), duration_s)
 
     async def collect(self) -> bytes:
-        """Return the encoded ledger; the clients stop."""
-        self.ledger.bad_client_outcomes = dict(self.load.bad_clients.outcomes)
-        if self.load.runner.exhausted_count:
-            self.ledger.bad_client_outcomes["out-of-connections"] = self.load.runner.exhausted_count
-        self.load.stop()
+        """Stop the clients and return the encoded ledger."""
+        self.ledger.bad_client_outcomes = dict(self.load_generator.bad_clients.outcomes)
+        if self.load_generator.runner.out_of_connections_count:
+            self.ledger.bad_client_outcomes["out-of-connections"] = self.load_generator.runner.out_of_connections_count
+        self.load_generator.stop()
         return await super().collect()
--- a/starlingthread/testbed/errors.py
+++ b/starlingthread/testbed/errors.py
@@ -4,4 +4,4 @@
 
 
 class RunError(Exception):
-    """The run could not be played; the text says why and what to do."""
+    """The run could not be executed; the text states the cause and, where known, the remedy."""
--- a/starlingthread/testbed/machine.py
+++ b/starlingthread/testbed/machine.py
@@ -1,4 +1,4 @@
-"""Limits of the machine that a run must fit into."""
+"""Checks that a run fits the limits of the machine."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from ..experiment.scenario import Scenario
 from .errors import RunError
 
-CONNECTIONS_PER_ROUTER = 40  # of one router to one server, at most
-ROUTER_DESCRIPTORS = 6  # of the coordinator, for each router
+MAX_CONNECTIONS_PER_ROUTER_AND_SERVER = 40  # connections that one router opens to one server
+DESCRIPTORS_PER_ROUTER = 6  # descriptors that the coordinator opens for each router
 SPARE_DESCRIPTORS = 200
 
 
 def check_machine(scenario: Scenario) -> None:
-    """Raise the soft limit of descriptors as needed. Raise a RunError if the machine can't hold the scenario."""
+    """Raise the soft limit of file descriptors as needed. Raise a RunError if the hard limit is too low."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = descriptors_needed(scenario)
     if needed <= soft:
@@ -28,9 +28,9 @@
 
 
 def descriptors_needed(scenario: Scenario) -> int:
-    """Return about how many descriptors the largest process of a run has open."""
-    per_server = 2 + min(scenario.fleet.connections, CONNECTIONS_PER_ROUTER * scenario.routers.count)
-    servers = scenario.fleet.servers / scenario.machine.server_processes * per_server
-    load = 2 * scenario.traffic.connections / scenario.machine.load_processes + SPARE_DESCRIPTORS
-    coordinator = ROUTER_DESCRIPTORS * scenario.routers.count + SPARE_DESCRIPTORS
-    return int(max(servers, load, coordinator))
+    """Return an estimate of the file descriptors that the largest process of a run has open."""
+    per_server = 2 + min(scenario.fleet.connections, MAX_CONNECTIONS_PER_ROUTER_AND_SERVER * scenario.routers.count)
+    server_process = scenario.fleet.servers / scenario.machine.server_processes * per_server
+    load_process = 2 * scenario.traffic.connections / scenario.machine.load_processes + SPARE_DESCRIPTORS
+    coordinator = DESCRIPTORS_PER_ROUTER * scenario.routers.count + SPARE_DESCRIPTORS
+    return int(max(server_process, load_process, coordinator))
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: starts the platform and the clients, injects the faults, samples the routers, collects."""
+"""One run of a scenario: starts platform and clients, injects faults, samples the routers and collects the records."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 from .machine import check_machine
 from .platform import ROUTER_STOP_TIMEOUT_S, Platform
 
-SEED_OFFSET = 1_000_003  # apart from the seeds of other parts of the run
-SAMPLE_PERIOD_S = 0.25  # between two samples of all routers
-MAX_ROUTERS_SAMPLED_AT_ONCE = 30  # with more the period is longer, as a sample costs 0.1 ms
-START_MARGIN_S = 0.5  # between the last set-up and the first request
-END_MARGIN_S = 2.0  # past the longest deadline, in which every operation must have ended
-FOREVER_S = 1e9
+SEED_OFFSET = 1_000_003  # keeps the seeds distinct from those of other parts of the run
+SAMPLE_PERIOD_S = 0.25  # time between two samples of all routers
+MAX_ROUTERS_PER_SAMPLE_PERIOD = 30  # with more routers the period is longer, as sampling one takes 0.1 ms
+START_MARGIN_S = 0.5  # time between the end of the set-up and the first request
+END_MARGIN_S = 2.0  # time past the deadlines, including a retry's, within which every operation must end
+UNLIMITED_HOLD_S = 1e9
 
-Progress = Callable[[float, float, str], None]  # seconds done, seconds in all, phase
+Progress = Callable[[float, float, str], None]  # arguments: elapsed seconds, total seconds, phase
 
 
-class Outcome(NamedTuple):
-    """What a run leaves."""
+class RunOutcome(NamedTuple):
+    """The records and counters of a run."""
 
     ledger: Ledger
-    facts: dict[str, float]  # counts of the origin, discovery and the relay
+    facts: dict[str, float]  # counters of the origin, discovery and the relay
 
 
 class Run:
-    """One run of a scenario, to be played once."""
+    """One run of a scenario, to be executed once."""
 
     def __init__(
         self, scenario: Scenario, folder: Path, progress: Progress | None = None, has_clients: bool = True
@@ -54,8 +54,8 @@
         self.ledger = self.platform.ledger
         self._progress = progress
 
-    async def execute(self) -> Outcome:
-        """Play the whole run. Raise a RunError if something of the testbed's own fails."""
+    async def execute(self) -> RunOutcome:
+        """Execute the whole run. Raise a RunError if a part of the testbed itself fails."""
         self._report(0.0, "starting servers and clients")
         async with self.platform.running():
             await self._start_routers()
@@ -63,33 +63,35 @@
             await self._run_traffic()
             return await self._collect()
 
-    async def hold(self, routers: bool, seconds: float | None, echo: Callable[[str], None]) -> None:
-        """Bring the platform up without clients, print where it listens, inject the faults.
+    async def hold(self, routers: bool, seconds: float | None, print_line: Callable[[str], None]) -> None:
+        """Start the platform without clients, print the addresses that it listens on and inject the faults.
 
         Args:
             routers: Whether to start the routers, or only to write their configurations.
-            seconds: How long to hold it; None: until cancelled.
-            echo: Prints a line.
+            seconds: How long to keep the platform running; None: until cancelled.
+            print_line: Prints one line.
         """
         async with self.platform.running():
             for server in self.platform.discovery.entries.values():
-                echo(f"server {server.number} {server.name} {server.zone} {server.addresses[0]}")
+                print_line(f"server {server.number} {server.name} {server.zone} {server.addresses[0]}")
             for router in self.platform.routers:
-                await self._announce_router(router, routers, echo)
+                await self._start_or_configure_router(router, routers, print_line)
             self.ledger.started_at = self.platform.schedule.now()
             injecting = asyncio.create_task(self.faults.run(self.ledger.started_at))
             try:
-                await asyncio.sleep(seconds if seconds is not None else FOREVER_S)
+                await asyncio.sleep(seconds if seconds is not None else UNLIMITED_HOLD_S)
             finally:
                 injecting.cancel()
 
-    async def _announce_router(self, router: RouterProcess, start: bool, echo: Callable[[str], None]) -> None:
+    async def _start_or_configure_router(
+        self, router: RouterProcess, start: bool, print_line: Callable[[str], None]
+    ) -> None:
         if start:
             await self.platform.start_router(router.number)
-            echo(f"router {router.name} listens at {router.listen[0]}:{router.listen[1]}")
+            print_line(f"router {router.name} listens at {router.listen[0]}:{router.listen[1]}")
         else:
-            path = router.configure(*self.platform.surroundings(router.number))
-            echo(f"router {router.name}: LB_CONFIG={path} python -m starlingthread")
+            path = router.configure(*self.platform.platform_info(router.number))
+            print_line(f"router {router.name}: LB_CONFIG={path} python -m starlingthread")
 
     def _report(self, done_s: float, phase: str) -> None:
         if self._progress is not None:
@@ -98,7 +100,7 @@
     # start
 
     async def _start_routers(self) -> None:
-        """Start all routers, some at a time: all at once they would be late to get ready."""
+        """Start all routers, a limited number at a time: started all at once, they would become ready too late."""
         self._report(0.0, "starting routers")
         starting = asyncio.Semaphore(2 * (os.cpu_count() or 1))
 
@@ -106,7 +108,7 @@
             async with starting:
                 await self.platform.start_router(number)
 
-        async with asyncio.TaskGroup() as group:  # the first that fails ends the others
+        async with asyncio.TaskGroup() as group:  # the first failure cancels the other starts
             for router in self.platform.routers:
                 group.create_task(start(router.number))
 
@@ -116,20 +118,20 @@
             addresses = self.platform.server_addresses()
         workers = self.platform.workers
         scenario = msgspec.to_builtins(self.scenario)
-        await asyncio.gather(*(channel.call("setup", scenario, addresses) for channel in workers.clients))
-        for channel in workers.all:
+        await asyncio.gather(*(channel.call("setup", scenario, addresses) for channel in workers.client_channels))
+        for channel in workers.all_channels:
             await channel.call("reset_lag")
 
     # traffic
 
     async def _run_traffic(self) -> None:
-        """Let the clients send and the faults happen until every operation has ended."""
+        """Run the clients and inject the faults until every operation has ended."""
         started_at = self.platform.schedule.now() + START_MARGIN_S * 1000.0
         self.ledger.started_at = started_at
         await self.platform.call_clients("begin", started_at)
         injecting = asyncio.create_task(self.faults.run(started_at))
         sampling = asyncio.create_task(self._sample_routers(started_at))
-        finishing = asyncio.gather(*(channel.call("finish") for channel in self.platform.workers.clients))
+        finishing = asyncio.gather(*(channel.call("finish") for channel in self.platform.workers.client_channels))
         try:
             await self._wait_for_operations(injecting, finishing)
         finally:
@@ -140,29 +142,29 @@
         self.ledger.ended_at = self.platform.schedule.now()
 
     async def _wait_for_operations(self, injecting: asyncio.Future[Any], finishing: asyncio.Future[Any]) -> None:
-        """Wait until clients and faults are done. Raise a RunError if the clients are not in time, or a worker ends."""
+        """Wait until clients and faults have finished. Raise a RunError if the clients time out or a worker ends."""
         max_deadline_s = self.scenario.traffic.max_deadline_ms() / 1000.0
-        latest = time.monotonic() + START_MARGIN_S + self.scenario.length_s + max_deadline_s * 2 + END_MARGIN_S
+        wait_until_s = time.monotonic() + START_MARGIN_S + self.scenario.length_s + max_deadline_s * 2 + END_MARGIN_S
         pending = {injecting, finishing}
         while pending:
             done, _ = await asyncio.wait(
                 {*pending, self.platform.workers.failed},
-                timeout=max(0.0, latest - time.monotonic()),
+                timeout=max(0.0, wait_until_s - time.monotonic()),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if not done:
                 if finishing in pending:
-                    raise RunError("operations did not end in their time: the load tool stands still")
-                return  # a fault that ends after the run
+                    raise RunError("operations did not end before the run's time-out: the load tool does not respond")
+                return  # a fault may last longer than the run
             for task in done:
                 task.result()
             pending -= done
 
     async def _sample_routers(self, started_at: float) -> None:
-        """Sample the routers' resources, and notice those that have crashed."""
+        """Periodically sample the resources of the routers, and record crashes."""
         routers = self.platform.routers
         length_s = self.scenario.length_s
-        period_s = SAMPLE_PERIOD_S * max(1.0, len(routers) / MAX_ROUTERS_SAMPLED_AT_ONCE)
+        period_s = SAMPLE_PERIOD_S * max(1.0, len(routers) / MAX_ROUTERS_PER_SAMPLE_PERIOD)
         while True:
             for router in routers:
                 router.sample()
@@ -178,13 +180,13 @@
 
     # end
 
-    async def _collect(self) -> Outcome:
+    async def _collect(self) -> RunOutcome:
         """Stop the routers and merge the ledgers of all workers."""
         self._report(self.scenario.length_s, "collecting")
         await asyncio.gather(*(_stop_router(router) for router in self.platform.routers if router.pid))
-        for channel in self.platform.workers.all:
+        for channel in self.platform.workers.all_channels:
             self.ledger.merge(msgspec.msgpack.decode(await channel.call("collect"), type=Ledger))
-        return Outcome(self.ledger, self.platform.counters())
+        return RunOutcome(self.ledger, self.platform.counters())
 
 
 def _record_crash(router: RouterProcess) -> None:
@@ -200,21 +202,21 @@
         router.record_event("bad-exit", exit_code)
 
 
-def run_scenario(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> Outcome:
-    """Play a scenario on an event loop of its own.
+def run_scenario(scenario: Scenario, progress: Progress | None = None, folder: Path | None = None) -> RunOutcome:
+    """Run a scenario on an event loop of its own.
 
     Args:
-        scenario: What to play.
-        progress: Called as the run goes on.
-        folder: Where the routers' logs and configurations go; None: a temporary folder.
+        scenario: The scenario to run.
+        progress: Called periodically during the run.
+        folder: The folder for the routers' logs and configurations; None: a temporary folder.
 
     Raises:
-        RunError: The machine is too small, or a part of the testbed itself failed.
+        RunError: The machine's limits are too low, or a part of the testbed itself failed.
     """
     check_machine(scenario)
 
-    async def run(place: Path) -> Outcome:
-        return await Run(scenario, place, progress).execute()
+    async def run(run_folder: Path) -> RunOutcome:
+        return await Run(scenario, run_folder, progress).execute()
 
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -224,9 +226,9 @@
 
 
 def emulate(
-    scenario: Scenario, folder: Path, routers: bool, seconds: float | None, echo: Callable[[str], None]
+    scenario: Scenario, folder: Path, routers: bool, seconds: float | None, print_line: Callable[[str], None]
 ) -> None:
-    """Bring up the platform without clients and hold it until the time is over or a KeyboardInterrupt comes.
+    """Start the platform without clients and keep it running for a time or until a KeyboardInterrupt.
 
     Raise a RunError as ``run_scenario`` does.
     """
@@ -234,6 +236,6 @@
     folder.mkdir(parents=True, exist_ok=True)
 
     async def run() -> None:
-        await Run(scenario, folder, has_clients=False).hold(routers, seconds, echo)
+        await Run(scenario, folder, has_clients=False).hold(routers, seconds, print_line)
 
     uvloop.run(run())
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -1,4 +1,4 @@
-"""The worker process that plays some of the servers."""
+"""The worker process that runs some of the emulated servers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from ..load.traffic import key_name, keys_by_popularity
 from .worker_base import Worker
 
-_SEED_OFFSET = 7_000_003  # apart from the seeds of other parts of the run
+_SEED_OFFSET = 7_000_003  # keeps the seeds distinct from those of other parts of the run
 _SAMPLE_PERIOD_S = 1.0
 
 _SERVER_METHODS: dict[str, Callable[[CacheServer], Awaitable[None] | None]] = {
@@ -41,33 +41,33 @@
 
 
 class RemoteOrigin:
-    """The origin, which the coordinator plays."""
+    """A proxy for the origin, which the coordinator process emulates."""
 
     def __init__(self, channel: RpcChannel) -> None:
         self._channel = channel
         self._in_flight: dict[int, VersionCallback] = {}
-        self._last_request = 0
+        self._last_request_number = 0
 
-    def fetch(self, key: str, then: VersionCallback) -> None:
-        """Read a key."""
-        self._channel.send_message(OriginFetch(self._register(then), key))
+    def fetch(self, key: str, on_version: VersionCallback) -> None:
+        """Read a key; the callback receives its version."""
+        self._channel.send_message(OriginFetch(self._register(on_version), key))
 
-    def write(self, key: str, idempotency_key: str, then: VersionCallback) -> None:
-        """Write a key."""
-        self._channel.send_message(OriginWrite(self._register(then), key, idempotency_key))
+    def write(self, key: str, idempotency_key: str, on_version: VersionCallback) -> None:
+        """Write a key; the callback receives its new version."""
+        self._channel.send_message(OriginWrite(self._register(on_version), key, idempotency_key))
 
-    def _register(self, then: VersionCallback) -> int:
-        self._last_request += 1
-        self._in_flight[self._last_request] = then
-        return self._last_request
+    def _register(self, on_version: VersionCallback) -> int:
+        self._last_request_number += 1
+        self._in_flight[self._last_request_number] = on_version
+        return self._last_request_number
 
     def on_answer(self, answer: OriginAnswer) -> None:
-        """Hand an answer to the server that waits for it."""
+        """Pass an answer to the callback of its request."""
         self._in_flight.pop(answer.number)(answer.version)
 
 
 class ServerWorker(Worker):
-    """Some of the servers."""
+    """Runs one process's share of the servers."""
 
     role = "servers"
 
@@ -83,9 +83,9 @@
         }
 
     async def set_up(self, scenario: dict[str, Any], oracle_file: str) -> dict[int, list[int]]:
-        """Start the servers of this process; return the ports of each, one for each group of routers.
+        """Start the servers of this process; return the ports of each server, one for each group of routers.
 
-        Their true load is written to the ``oracle_file``, unless its path is empty.
+        The servers' true load is written to ``oracle_file``, unless this path is empty.
         """
         self.scenario = msgspec.convert(scenario, Scenario)
         self.origin = RemoteOrigin(self.channel)
@@ -100,7 +100,7 @@
         if fleet.warm_keys:
             self._warm_caches()
         self._start_cold_servers()
-        self._sample()
+        self._sample_servers()
         if oracle_file:
             self._write_true_loads(LoadOracleWriter(Path(oracle_file)))
         return {number: [link.port for link in server.links] for number, server in self.servers.items()}
@@ -122,16 +122,16 @@
         return server
 
     def _warm_caches(self) -> None:
-        """Fill the caches with the hottest keys, as after a day's work."""
+        """Fill the caches with the most popular keys, as in a fleet that has been in service for a day."""
         memory_keys = self.scenario.fleet.memory_keys
         servers = list(self.servers.values())
-        hottest = keys_by_popularity(self.scenario)
-        if self.scenario.traffic.direct:  # any server may get any key
-            for key in hottest[:memory_keys]:
+        popular_keys = keys_by_popularity(self.scenario)
+        if self.scenario.traffic.direct:  # without routers, any server may receive requests for any key
+            for key in popular_keys[:memory_keys]:
                 for server in servers:
                     server.model.store(key_name(key), 0)
             return
-        for rank, key in enumerate(hottest[: memory_keys * len(servers) // 2]):
+        for rank, key in enumerate(popular_keys[: memory_keys * len(servers) // 2]):
             servers[rank % len(servers)].model.store(key_name(key), 0)
 
     def _start_cold_servers(self) -> None:
@@ -140,7 +140,7 @@
                 self.servers[number].model.boot(is_warm=False)
                 self.servers[number].record_event("cold")
 
-    def _sample(self) -> None:
+    def _sample_servers(self) -> None:
         for server in self.servers.values():
             model = server.model
             utilization = round(model.utilization(), 4)
@@ -148,7 +148,7 @@
                 ServerSample(server.number, self.schedule.now(), utilization, model.commands, len(server.connections))
             )
             model.commands = 0
-        self.loop.call_later(_SAMPLE_PERIOD_S, self._sample)
+        self.loop.call_later(_SAMPLE_PERIOD_S, self._sample_servers)
 
     def _write_true_loads(self, oracle: LoadOracleWriter) -> None:
         for server in self.servers.values():
@@ -156,7 +156,7 @@
         self.loop.call_later(WRITE_PERIOD_S, self._write_true_loads, oracle)
 
     def on_event(self, event: CoordinatorMessage) -> None:
-        """Handle an answer of the origin, or a write that makes cached values stale."""
+        """Handle an answer from the origin, or a write that makes cached values stale."""
         if isinstance(event, OriginAnswer):
             self.origin.on_answer(event)
         elif isinstance(event, KeyWritten):
@@ -166,21 +166,21 @@
     # commands
 
     async def call_server(self, number: int, method: str, arguments: list[Any]) -> None:
-        """Call a method of a server; there are none with arguments."""
+        """Call a method of a server by name; no method in the table takes arguments."""
         result = _SERVER_METHODS[method](self.servers[number], *arguments)
         if asyncio.iscoroutine(result):
             await result
 
     async def set_link_conditions(self, number: int, groups: list[int], conditions: dict[str, float]) -> None:
-        """Change a server's links to some groups of routers."""
+        """Change a server's links to the given groups of routers."""
         await self.servers[number].set_link_conditions(groups, conditions)
 
     async def set_server_attribute(self, number: int, name: str, value: float) -> None:
-        """Set an attribute by which a fault acts on a server. Raise a ValueError if there is none of that name."""
+        """Set an attribute of a server that faults may change. Raise a ValueError for any other name."""
         server = self.servers[number]
         if name in _MODEL_ATTRIBUTES:
             setattr(server.model, name, value)
         elif name in _ANSWER_FAULT_ATTRIBUTES:
             setattr(server.answer_faults, name, value)
         else:
-            raise ValueError(f"a server has no attribute {name!r} for faults")
+            raise ValueError(f"server {number}: {name!r} is not an attribute that faults may set")
--- a/starlingthread/testbed/worker.py
+++ b/starlingthread/testbed/worker.py
@@ -1,6 +1,6 @@
-"""A process of a run that plays some of the servers or some of the clients, as the coordinator tells it.
+"""A worker process of a run, which runs some of the servers or some of the clients under the coordinator's control.
 
-Run as ``python -m starlingthread.testbed.worker PORT ROLE NUMBER``; it ends with its connection.
+Started as ``python -m starlingthread.testbed.worker PORT ROLE NUMBER``; it ends when its connection is closed.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from .server_worker import ServerWorker
 from .worker_base import Worker
 
-_GC_THRESHOLDS = (50000, 50, 1000)  # rare collections, as each one stalls the process
+_GC_THRESHOLDS = (50000, 50, 1000)  # makes collections rare, as each one stalls the process
 
 
 def make_worker(role: str, number: int) -> Worker:
-    """Return the worker of a role, ``servers`` or ``clients``."""
+    """Return a worker for a role, ``servers`` or ``clients``."""
     if role == ServerWorker.role:
         return ServerWorker(number)
     return ClientWorker(number)
 
 
-async def work(port: int, role: str, number: int) -> None:
-    """Serve the coordinator until its connection ends."""
+async def serve_coordinator(port: int, role: str, number: int) -> None:
+    """Execute the coordinator's calls until the connection to it ends."""
     worker = make_worker(role, number)
     loop = asyncio.get_running_loop()
     _, worker.channel = await loop.create_connection(
@@ -37,9 +37,9 @@
     worker.channel.name = "coordinator"
     worker.channel.send_message(Hello(role, number))
     gc.set_threshold(*_GC_THRESHOLDS)
-    worker.watch_lag()
+    worker.monitor_lag()
     await worker.ended.wait()
 
 
 if __name__ == "__main__":
-    uvloop.run(work(int(sys.argv[1]), sys.argv[2], int(sys.argv[3])))
+    uvloop.run(serve_coordinator(int(sys.argv[1]), sys.argv[2], int(sys.argv[3])))
--- a/starlingthread/testbed/worker_base.py
+++ b/starlingthread/testbed/worker_base.py
@@ -1,4 +1,4 @@
-"""What all worker processes of a run have in common: calls of the coordinator, a ledger, and a watch on stalls."""
+"""The base class of all worker processes of a run: calls from the coordinator, a ledger, and event loop lag."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ..experiment.records import Ledger
 from ..experiment.scenario import Scenario
 
-_LAG_PERIOD_S = 0.005
+_LAG_CHECK_PERIOD_S = 0.005
 
 Command = Callable[..., Awaitable[Any]]
 
@@ -34,18 +34,18 @@
         self.scenario: Scenario
         self.ended = asyncio.Event()
         self.commands: dict[str, Command] = {"reset_lag": self.reset_lag, "collect": self.collect}
-        self._longest_lag = 0.0  # ms
-        self._lag_checked_at = self.loop.time()
+        self._max_lag_ms = 0.0
+        self._lag_checked_at_s = self.loop.time()
 
-    def watch_lag(self) -> None:
-        """Measure periodically by how much this process runs late, and record the maximum."""
+    def monitor_lag(self) -> None:
+        """Periodically measure the lag of this process's event loop, and record the maximum."""
         now = self.loop.time()
-        self._longest_lag = max(self._longest_lag, (now - self._lag_checked_at - _LAG_PERIOD_S) * 1000.0)
-        self._lag_checked_at = now
-        self.loop.call_later(_LAG_PERIOD_S, self.watch_lag)
+        self._max_lag_ms = max(self._max_lag_ms, (now - self._lag_checked_at_s - _LAG_CHECK_PERIOD_S) * 1000.0)
+        self._lag_checked_at_s = now
+        self.loop.call_later(_LAG_CHECK_PERIOD_S, self.monitor_lag)
 
     def on_message(self, channel: RpcChannel, fields: list[Any]) -> None:
-        """Handle a message of the coordinator."""
+        """Handle a message from the coordinator."""
         message: CoordinatorMessage = msgspec.convert(fields, CoordinatorMessage)
         if isinstance(message, Call):
             self.loop.create_task(self._execute(message))
@@ -53,23 +53,23 @@
             self.on_event(message)
 
     def on_event(self, event: CoordinatorMessage) -> None:
-        """Handle a message that is no call."""
+        """Handle a message that is not a call."""
 
     async def _execute(self, call: Call) -> None:
         try:
             result = await self.commands[call.method](*call.arguments)
             self.channel.reply(call, True, result)
-        except Exception as error:  # the coordinator gets the text and ends the run
+        except Exception as error:  # the coordinator receives the text and ends the run
             self.channel.reply(call, False, f"{call.method}: {error!r}")
 
     async def reset_lag(self) -> None:
-        """Measure the lag anew, now that all is set up."""
+        """Restart the measurement of lag after the set-up, and exempt the objects created so far from collection."""
         gc.collect()
         gc.freeze()
-        self._lag_checked_at = self.loop.time()
-        self._longest_lag = 0.0
+        self._lag_checked_at_s = self.loop.time()
+        self._max_lag_ms = 0.0
 
     async def collect(self) -> bytes:
         """Return the encoded ledger."""
-        self.ledger.lags[f"{self.role}-{self.number}"] = round(self._longest_lag, 2)
+        self.ledger.lags[f"{self.role}-{self.number}"] = round(self._max_lag_ms, 2)
         return msgspec.msgpack.encode(self.ledger)
--- a/starlingthread/testbed/worker_processes.py
+++ b/starlingthread/testbed/worker_processes.py
@@ -1,4 +1,4 @@
-"""The worker processes of a run, which play the servers and the clients, as the coordinator sees them."""
+"""The coordinator's side of the worker processes of a run, which run the servers and the clients."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from .errors import RunError
 from .server_worker import ServerWorker
 
-START_TIMEOUT_S = 30.0  # for all workers to introduce themselves
-STOP_TIMEOUT_S = 3.0  # for a worker to end after its channel was closed
+START_TIMEOUT_S = 30.0  # time for all workers to connect and send their hello message
+STOP_TIMEOUT_S = 3.0  # time for a worker to end after its channel was closed
 HELLO_TAG = "hello"
 
 
 class WorkerId(NamedTuple):
-    """A worker: its role, and its number among those of the role."""
+    """A worker's role, and its number among the workers of that role."""
 
     role: str
     number: int
 
 
 class WorkerProcesses:
-    """Starts the workers, keeps a channel to each, and notices when one ends early."""
+    """Starts the workers, holds a channel to each, and detects when one ends early."""
 
     def __init__(
         self, scenario: Scenario, has_clients: bool, on_message: Callable[[RpcChannel, WorkerMessage], None]
@@ -44,52 +44,60 @@
         self._channels: dict[WorkerId, RpcChannel] = {}
         self._processes: list[asyncio.subprocess.Process] = []
         self._listener: asyncio.Server | None = None
-        self._all_joined = asyncio.Event()
+        self._all_connected = asyncio.Event()
         self._is_stopping = False
-        self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # when a worker ends early
+        # Gets a RunError as its exception when a worker ends early.
+        self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     # channels
 
     @property
-    def all(self) -> list[RpcChannel]:
+    def all_channels(self) -> list[RpcChannel]:
         """The channels to all workers."""
         return list(self._channels.values())
 
     @property
-    def servers(self) -> list[RpcChannel]:
-        """The channels to the workers that play servers."""
-        return self._of_role(ServerWorker.role)
+    def server_channels(self) -> list[RpcChannel]:
+        """The channels to the workers that run servers."""
+        return self._channels_of_role(ServerWorker.role)
 
     @property
-    def clients(self) -> list[RpcChannel]:
-        """The channels to the workers that play clients."""
-        return self._of_role(ClientWorker.role)
+    def client_channels(self) -> list[RpcChannel]:
+        """The channels to the workers that run clients."""
+        return self._channels_of_role(ClientWorker.role)
 
-    def _of_role(self, role: str) -> list[RpcChannel]:
+    def _channels_of_role(self, role: str) -> list[RpcChannel]:
         return [self._channels[worker] for worker in self._ids if worker.role == role and worker in self._channels]
 
-    def server_worker(self, server: int) -> RpcChannel:
-        """Return the channel to the worker that plays a server."""
+    def server_channel(self, server: int) -> RpcChannel:
+        """Return the channel to the worker that runs a server."""
         return self._channels[WorkerId(ServerWorker.role, server % self._server_processes)]
 
     # start and stop
 
     async def start(self) -> None:
-        """Start all workers and wait until they are connected. Raise a RunError if one is not."""
+        """Start all workers and wait until they are connected. Raise a RunError if one ends or does not connect."""
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(lambda: RpcChannel(self._handle, self._ended), "127.0.0.1", 0)
+        self._listener = await loop.create_server(
+            lambda: RpcChannel(self._on_fields, self._on_channel_closed), "127.0.0.1", 0
+        )
         port = self._listener.sockets[0].getsockname()[1]
         for worker in self._ids:
             self._processes.append(await self._spawn(worker, port))
-        joined = asyncio.create_task(self._all_joined.wait())
-        ends = [asyncio.create_task(process.wait()) for process in self._processes]
-        done, _ = await asyncio.wait({joined, *ends}, timeout=START_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-        for task in (joined, *ends):
+        all_connected = asyncio.create_task(self._all_connected.wait())
+        process_ends = [asyncio.create_task(process.wait()) for process in self._processes]
+        done, _ = await asyncio.wait(
+            {all_connected, *process_ends}, timeout=START_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+        )
+        for task in (all_connected, *process_ends):
             task.cancel()
-        if done & set(ends):
-            raise RunError("a process of the emulator ended at its start; see its trace above")
+        if done & set(process_ends):
+            raise RunError("a worker process ended during start-up; see its traceback above")
         if not done:
-            raise RunError("the emulator's processes did not come up in time; is the machine overloaded?")
+            raise RunError(
+                f"only {len(self._channels)} of {len(self._ids)} worker processes connected within "
+                f"{START_TIMEOUT_S:g} s; the machine may be overloaded"
+            )
 
     async def _spawn(self, worker: WorkerId, port: int) -> asyncio.subprocess.Process:
         command = [sys.executable, "-m", "starlingthread.testbed.worker", str(port), worker.role, str(worker.number)]
@@ -98,13 +106,13 @@
         )
 
     def expect_end(self) -> None:
-        """From now on no end of a worker is a failure."""
+        """Treat the end of a worker as expected from now on."""
         self._is_stopping = True
 
     async def stop(self) -> None:
-        """Close the channels, upon which the workers end; kill those that do not."""
+        """Close the channels, which makes the workers end; kill workers that do not end in time."""
         self.expect_end()
-        for channel in self.all:
+        for channel in self.all_channels:
             channel.transport.close()
         for process in self._processes:
             if process.returncode is None:
@@ -118,23 +126,23 @@
 
     # messages
 
-    def _handle(self, channel: RpcChannel, parts: list[Any]) -> None:
-        if not channel.name and parts[0] != HELLO_TAG:
-            channel.transport.abort()  # no worker of this run
+    def _on_fields(self, channel: RpcChannel, fields: list[Any]) -> None:
+        if not channel.name and fields[0] != HELLO_TAG:
+            channel.transport.abort()  # the peer is not a worker of this run
             return
-        message: WorkerMessage = msgspec.convert(parts, WorkerMessage)
+        message: WorkerMessage = msgspec.convert(fields, WorkerMessage)
         if isinstance(message, Hello):
-            self._join(channel, message)
+            self._register_worker(channel, message)
         else:
             self._on_message(channel, message)
 
-    def _join(self, channel: RpcChannel, hello: Hello) -> None:
+    def _register_worker(self, channel: RpcChannel, hello: Hello) -> None:
         channel.name = f"{hello.role}-{hello.number}"
         self._channels[WorkerId(hello.role, hello.number)] = channel
         if len(self._channels) == len(self._ids):
-            self._all_joined.set()
+            self._all_connected.set()
 
-    def _ended(self, channel: RpcChannel) -> None:
+    def _on_channel_closed(self, channel: RpcChannel) -> None:
         if channel.name and not self._is_stopping and not self.failed.done():
-            error = RunError(f"process {channel.name} of the emulator has ended; see its trace above")
+            error = RunError(f"worker process {channel.name} ended early; see its traceback above")
             self.failed.set_exception(error)
--- a/tests/test_baselines.py
+++ b/tests/test_baselines.py
@@ -1,4 +1,4 @@
-"""The baselines' choice of servers."""
+"""Tests of the baseline policies' choice of servers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 def test_hashing_with_bounded_loads_keeps_its_bound_and_always_finds_a_server() -> None:
     driver = BalancerDriver(THROUGH, members(6))
-    bounded = POLICIES["bounded-hash"](driver.set, 1)
-    bounded.handle(0.0, EndpointList(EndpointListKind.FULL, 1, members(6)[:6]))
-    for requests in range(1, 61):
-        assert sends(bounded.handle(1.0, Request(requests, 0, 1000.0, key=7)))
-        highest = max(server.attempts_in_flight for server in bounded.fleet.ready)
-        assert highest <= math.ceil(1.25 * requests / 6)
+    balancer = POLICIES["bounded-hash"](driver.set, 1)
+    balancer.handle(0.0, EndpointList(EndpointListKind.FULL, 1, members(6)[:6]))
+    for request_count in range(1, 61):
+        assert sends(balancer.handle(1.0, Request(request_count, 0, 1000.0, key=7)))
+        max_in_flight = max(server.attempts_in_flight for server in balancer.fleet.ready)
+        assert max_in_flight <= math.ceil(1.25 * request_count / 6)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line, and what the router's own program imports."""
+"""Exit codes and output of the command line, and the imports of the router's own program."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "says"),
+    ("arguments", "exit_code", "expected_text"),
     [
         (["bench", "nowhere.toml"], 2, "nowhere.toml"),
         (["bench"], 2, "SCENARIO"),
@@ -32,16 +32,18 @@
         (["--help"], 0, "demo"),
     ],
 )
-def test_the_command_line_distinguishes_misuse_from_failure(arguments: list[str], code: int, says: str) -> None:
-    done = CliRunner().invoke(main, arguments)
-    assert (done.exit_code, says in done.output) == (code, True), done.output
+def test_the_command_line_distinguishes_misuse_from_failure(
+    arguments: list[str], exit_code: int, expected_text: str
+) -> None:
+    result = CliRunner().invoke(main, arguments)
+    assert (result.exit_code, expected_text in result.output) == (exit_code, True), result.output
 
 
 def test_the_error_for_an_invalid_operators_file_names_the_key(tmp_path: Path) -> None:
     path = tmp_path / "own.toml"
     path.write_text('[log]\nformat = "xml"\n')
-    done = CliRunner().invoke(main, ["check-config", str(path)])
-    assert done.exit_code == 1 and "log.format" in done.stderr and "xml" in done.stderr
+    result = CliRunner().invoke(main, ["check-config", str(path)])
+    assert result.exit_code == 1 and "log.format" in result.stderr and "xml" in result.stderr
     with pytest.raises(options.OptionsError, match="unknown field"):
         options.parse("[logs]\n", "own.toml")
 
@@ -49,5 +51,5 @@
 def test_a_router_imports_no_lab_packages() -> None:
     lab = "{'numpy', 'aiohttp', 'rich', 'uvloop', 'matplotlib', 'psutil', 'click', 'jinja2', 'hdrh'}"
     code = f"import sys, starlingthread.__main__; print(sorted({lab} & set(sys.modules)))"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, timeout=60)
-    assert done.stdout == "[]\n"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, timeout=60)
+    assert result.stdout == "[]\n"
--- a/tests/test_killed_testbed.py
+++ b/tests/test_killed_testbed.py
@@ -1,4 +1,4 @@
-"""A testbed that is killed leaves nothing running."""
+"""Tests that a killed testbed leaves no processes running."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def is_alive(process: psutil.Process) -> bool:
-    """Return whether a process runs; one that has ended may wait long for being reaped."""
+    """Return whether a process runs; a zombie counts as ended, as it may take long to be reaped."""
     try:
         return process.is_running() and process.status() != psutil.STATUS_ZOMBIE
     except psutil.NoSuchProcess:
@@ -25,7 +25,7 @@
 
 
 def test_routers_and_servers_end_with_a_bench_that_is_killed(tmp_path: Path) -> None:
-    """Guards against routers of killed soaks that idle beside later plays and take their CPU."""
+    """Guards against orphaned routers of killed soak runs, which would take CPU time from later runs."""
     command = [sys.executable, "-m", "starlingthread.cli", "bench", CALM, "--set", "routers.count=2"]
     bench = subprocess.Popen(command, cwd=tmp_path, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     children: list[psutil.Process] = []
