--- a/starlingthread/load/front.py
+++ b/starlingthread/load/front.py
@@ -1,4 +1,4 @@
-"""The load balancer in front of the routers, which chooses the router for each connection of a client."""
+"""The load balancer in front of the routers, which selects a router for each attempt of a client."""
 
 from __future__ import annotations
 
--- a/starlingthread/load/generator.py
+++ b/starlingthread/load/generator.py
@@ -72,9 +72,9 @@
         if not concurrency:
             self._start_due_operations()
             return
-        delay = max(0.0, (started_at_ms - now_ms()) / 1000.0)
+        delay_s = max(0.0, (started_at_ms - now_ms()) / 1000.0)
         for _ in range(max(1, concurrency // self._processes)):
-            self._loop.call_later(delay, self._start_next_operation)
+            self._loop.call_later(delay_s, self._start_next_operation)
 
     def stop(self) -> None:
         """Cancel the tasks in progress and close the connections."""
--- a/starlingthread/load/operations.py
+++ b/starlingthread/load/operations.py
@@ -107,14 +107,14 @@
         """Send the next attempt, to another router than the last; end the operation if too little time is left."""
         now = now_ms()
         record = operation.record
-        remaining = record.due_at + operation.request_class.deadline_ms - now
+        remaining_ms = record.due_at + operation.request_class.deadline_ms - now
         router = self._frontend.next_router(last_router)
-        if remaining < MIN_BUDGET_MS or router == NO_ROUTER:
+        if remaining_ms < MIN_BUDGET_MS or router == NO_ROUTER:
             self._end_operation(operation)
             return
         retry_index = len(operation.attempts)
         reserves_retry_time = retry_index < self._traffic.retries and operation.request_class.effect != "once"
-        budget = remaining * self._traffic.try_share if reserves_retry_time else remaining
+        budget_ms = remaining_ms * self._traffic.try_share if reserves_retry_time else remaining_ms
         attempt = ClientAttempt(
             request_id(record.number, retry_index, self._seed),
             record.number,
@@ -122,7 +122,7 @@
             operation.key,
             router,
             now,
-            budget,
+            budget_ms,
             retry_index,
         )
         operation.attempts.append(attempt)
@@ -144,9 +144,9 @@
 
     def _wait_for_connection(self, operation: PendingOperation, attempt: ClientAttempt) -> None:
         """Queue an attempt until a connection is released, for at most the connect time-out."""
-        delay = min(CONNECT_TIMEOUT_S, (attempt.sent_at + attempt.budget_ms - now_ms()) / 1000.0)
+        delay_s = min(CONNECT_TIMEOUT_S, (attempt.sent_at + attempt.budget_ms - now_ms()) / 1000.0)
         waiting = WaitingAttempt(operation, attempt)
-        waiting.timer = self._loop.call_later(max(0.0, delay), self._on_wait_timeout, waiting)
+        waiting.timer = self._loop.call_later(max(0.0, delay_s), self._on_wait_timeout, waiting)
         self._waiting[attempt.router].append(waiting)
 
     def _on_wait_timeout(self, waiting: WaitingAttempt) -> None:
@@ -179,20 +179,20 @@
     def _write(self, connection: ClientConnection, operation: PendingOperation, attempt: ClientAttempt) -> bool:
         """Send an attempt and return True; if it has expired, release the connection and return False."""
         now = now_ms()
-        remaining = attempt.sent_at + attempt.budget_ms - now
-        if remaining < MIN_SEND_BUDGET_MS:
+        remaining_ms = attempt.sent_at + attempt.budget_ms - now
+        if remaining_ms < MIN_SEND_BUDGET_MS:
             self.pool.release(connection)
             self._finish_attempt(operation, attempt, "refused")
             return False
-        budget = int(remaining)
+        budget_ms = int(remaining_ms)
         request = encode_request(
-            operation.request_class, operation.record, operation.key, attempt, budget, self._write_value
+            operation.request_class, operation.record, operation.key, attempt, budget_ms, self._write_value
         )
         operation.connection = connection
         self._in_flight[connection] = operation
         connection.send(request)
         attempt.sent_at = now
-        attempt.budget_ms = float(budget)
+        attempt.budget_ms = float(budget_ms)
         self._start_timer(operation, attempt)
         return True
 
@@ -284,18 +284,18 @@
         else:
             record.result = "refused" if outcome == "busy" else "failed"
             if operation.may_retry(outcome) and len(operation.attempts) <= self._traffic.retries:
-                delay = self._backoff_ms(operation, attempt)
-                self._loop.call_later(delay / 1000.0, self._start_attempt, operation, attempt.router)
+                backoff_ms = self._backoff_ms(operation, attempt)
+                self._loop.call_later(backoff_ms / 1000.0, self._start_attempt, operation, attempt.router)
                 return
         self._end_operation(operation)
 
     def _backoff_ms(self, operation: PendingOperation, attempt: ClientAttempt) -> float:
         """Return the exponential backoff with jitter, or a longer Retry-After if the client honours it."""
         jitter = 0.5 + self._random_draws.next()
-        backoff = self._traffic.backoff_ms * 2.0 ** (len(operation.attempts) - 1) * jitter
+        backoff_ms = self._traffic.backoff_ms * 2.0 ** (len(operation.attempts) - 1) * jitter
         if attempt.retry_after_ms and self._random_draws.next() < self._traffic.honour:
-            return max(backoff, attempt.retry_after_ms)
-        return backoff
+            return max(backoff_ms, attempt.retry_after_ms)
+        return backoff_ms
 
     def _end_operation(self, operation: PendingOperation) -> None:
         record = operation.record
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -28,7 +28,7 @@
 SAMPLE_PERIOD_S = 0.25  # time between two samples of all routers
 MAX_ROUTERS_PER_SAMPLE_PERIOD = 30  # with more routers the period is longer, as sampling one takes 0.1 ms
 START_MARGIN_S = 0.5  # time between the end of the set-up and the first request
-END_MARGIN_S = 2.0  # time past the deadlines, including a retry's, within which every operation must end
+END_MARGIN_S = 2.0  # time past twice the longest deadline within which every operation must end
 UNLIMITED_HOLD_S = 1e9
 
 Progress = Callable[[float, float, str], None]  # arguments: elapsed seconds, total seconds, phase
--- a/tests/test_killed_testbed.py
+++ b/tests/test_killed_testbed.py
@@ -11,8 +11,8 @@
 import psutil
 
 ROOT = Path(__file__).parents[1]
-START_LIMIT_S = 30.0
-END_LIMIT_S = 10.0
+START_TIMEOUT_S = 30.0
+END_TIMEOUT_S = 10.0
 CALM = str(ROOT / "scenarios" / "calm.toml")
 
 
@@ -30,16 +30,16 @@
     bench = subprocess.Popen(command, cwd=tmp_path, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     children: list[psutil.Process] = []
     try:
-        limit = time.monotonic() + START_LIMIT_S
-        while not any(word == "starlingthread" for child in children for word in child.cmdline()):
-            assert time.monotonic() < limit and bench.poll() is None
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while not any(argument == "starlingthread" for child in children for argument in child.cmdline()):
+            assert time.monotonic() < deadline and bench.poll() is None
             time.sleep(0.05)
             children = psutil.Process(bench.pid).children(recursive=True)
     finally:
         bench.send_signal(signal.SIGKILL)
         bench.wait()
-    limit = time.monotonic() + END_LIMIT_S
-    while (alive := [child for child in children if is_alive(child)]) and time.monotonic() < limit:
+    deadline = time.monotonic() + END_TIMEOUT_S
+    while (alive := [child for child in children if is_alive(child)]) and time.monotonic() < deadline:
         time.sleep(0.05)
     for child in alive:
         child.kill()
--- a/tests/test_load_operations.py
+++ b/tests/test_load_operations.py
@@ -124,10 +124,10 @@
     return manual_loop
 
 
-def run(loop: ManualLoop, scenario_steps: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run(loop: ManualLoop, steps: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run a coroutine in the loop and close the loop; check that no callback or task has failed."""
     with asyncio.Runner(loop_factory=lambda: loop) as runner:
-        runner.run(scenario_steps())
+        runner.run(steps())
     assert loop.errors == []
 
 
@@ -139,7 +139,7 @@
 
 
 def test_a_released_connection_skips_many_expired_attempts(loop: ManualLoop) -> None:
-    async def scenario_steps() -> None:
+    async def steps() -> None:
         clients = Clients(loop, retries=0)
         first = clients.start(LONG)
         await clients.open_connection()
@@ -153,11 +153,11 @@
         await clients.run_loop_iterations()
         assert clients.ended_count == 1 + EXPIRED_COUNT  # no timer of an expired attempt is left
 
-    run(loop, scenario_steps)
+    run(loop, steps)
 
 
 def test_unexpired_attempts_behind_expired_ones_are_sent_in_order(loop: ManualLoop) -> None:
-    async def scenario_steps() -> None:
+    async def steps() -> None:
         clients = Clients(loop, retries=0)
         first = clients.start(LONG)
         await clients.open_connection()
@@ -173,11 +173,11 @@
         assert clients.ended_count == 3 + EXPIRED_COUNT
         clients.assert_the_connection_is_idle()
 
-    run(loop, scenario_steps)
+    run(loop, steps)
 
 
 def test_a_connection_that_opens_too_late_skips_many_expired_attempts(loop: ManualLoop) -> None:
-    async def scenario_steps() -> None:
+    async def steps() -> None:
         clients = Clients(loop, retries=0)
         opening = clients.start(SHORT)
         await clients.run_loop_iterations()
@@ -190,11 +190,11 @@
         clients.answer(unexpired)
         clients.assert_the_connection_is_idle()
 
-    run(loop, scenario_steps)
+    run(loop, steps)
 
 
 def test_expired_attempts_are_retried_once_each(loop: ManualLoop) -> None:
-    async def scenario_steps() -> None:
+    async def steps() -> None:
         clients = Clients(loop, retries=1)
         first = clients.start(LONG)
         await clients.open_connection()
@@ -208,4 +208,4 @@
         assert {len(operation.attempts) for operation in expired} == {2}
         assert len(clients.requests) == 2 and clients.ended_count == 1
 
-    run(loop, scenario_steps)
+    run(loop, steps)
