--- a/starlingthread/net/clients/requests.py
+++ b/starlingthread/net/clients/requests.py
@@ -22,7 +22,7 @@
 def _number_field(fields: dict[str, str], name: str) -> float:
     """Return a number that a client gave; 0 if it is absent or malformed."""
     text = fields.get(name, "")
-    return float(text) if meta.NUMBER.fullmatch(text) else 0.0
+    return float(text) if meta.NUMBER_PATTERN.fullmatch(text) else 0.0
 
 
 class IncomingValue(NamedTuple):
--- a/starlingthread/net/meta/__init__.py
+++ b/starlingthread/net/meta/__init__.py
@@ -7,7 +7,7 @@
 from .answers import AnswerKind, AnswerParser, ServerAnswer
 from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, ValueChunk
 from .commands import (
-    NUMBER,
+    NUMBER_PATTERN,
     Command,
     CommandParser,
     ControlCommand,
@@ -24,7 +24,7 @@
     "MAX_HEAD_BYTES",
     "MAX_UNCHUNKED_BYTES",
     "MAX_VALUE_BYTES",
-    "NUMBER",
+    "NUMBER_PATTERN",
     "READY_LINE",
     "STARTING_LINE",
     "AnswerKind",
--- a/starlingthread/net/meta/commands.py
+++ b/starlingthread/net/meta/commands.py
@@ -10,7 +10,7 @@
 from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
 from .responses import CRLF, ERROR_LINE
 
-NUMBER = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # in the fields of a command
+NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # in the fields of a command
 
 # One head in one match, with the positions of its parts: they are read where they lie, and a head is written
 # out again as the bytes around the one number that changes.
