--- a/starlingthread/net/meta/__init__.py
+++ b/starlingthread/net/meta/__init__.py
@@ -1,7 +1,7 @@
-"""The meta commands of the memcache text protocol: pure parsers and writers, no sockets.
+"""The meta commands of the memcache text protocol: parsers and writers without I/O.
 
-Parsers are fed whatever the socket gave, in any fragments, and return what is complete. They never raise on what a
-peer sent: what is malformed comes back as MalformedCommand (from a client) or as OTHER (from a cache server).
+Parsers accept the received bytes in any fragments and yield complete items. They never raise on a peer's input:
+malformed input of a client is yielded as a MalformedCommand, that of a cache server as an answer of the kind OTHER.
 """
 
 from .answers import AnswerKind, AnswerParser, ServerAnswer
--- a/starlingthread/net/meta/answers.py
+++ b/starlingthread/net/meta/answers.py
@@ -1,4 +1,4 @@
-"""Parser of cache servers' answers."""
+"""Parser of the answers of cache servers."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
 from .responses import CRLF
 
-_LOAD_VALUE = re.compile(rb"\d{1,6}(?:\.\d{1,9})?")  # no server holds a million requests
+# Six digits before the point are enough: no server holds a million requests.
+_LOAD_VALUE = re.compile(rb"\d{1,6}(?:\.\d{1,9})?")
 _LOAD_NAME = re.compile(rb"[a-z0-9_]{1,32}")
 _RECEIPT = re.compile(rb"c[!-~]{1,64}")
 _RETRY_AFTER = re.compile(rb"\d{1,9}")
 _MAX_LENGTH_DIGITS = 7
-_MAX_QUOTED_BYTES = 80  # of a line that is no answer
+_MAX_QUOTED_BYTES = 80  # size of the part of a malformed line that is kept for the log
 
 
 class AnswerKind(Enum):
-    """What a line of a cache server says."""
+    """The kinds of lines that a cache server sends; OTHER stands for malformed ones."""
 
     VALUE = 1
     RECEIPT = 2
@@ -36,14 +37,14 @@
 
     kind: AnswerKind
     request_id: bytes = b""
-    parts: tuple[bytes, ...] = ()  # what a client gets of it; of OTHER what was malformed
-    cache_note: str = ""  # "h1", "h0" or "h0 Z"
-    load: dict[str, float] | None = None  # its load report
-    length: int = -1  # bytes of its value
+    parts: tuple[bytes, ...] = ()  # the bytes for the client; for OTHER the malformed bytes
+    cache_flags: str = ""  # "h1", "h0", "h0 Z", or "" without such flags
+    load: dict[str, float] | None = None  # the fields of the load report; None if there is none or it is malformed
+    length: int = -1  # bytes of the value, without its CRLF; -1 if there is no value
 
     @property
     def is_chunked(self) -> bool:
-        """Whether its value follows in chunks."""
+        """Whether the value is large, and follows in chunks."""
         return self.length > MAX_UNCHUNKED_BYTES
 
 
@@ -52,7 +53,7 @@
 
 
 def _parse_load_report(text: bytes) -> dict[str, float] | None:
-    """Return the values of a load report, or None if any of it is malformed: then none is trusted."""
+    """Return the fields of a load report, or None if any is malformed, as then the others are not trusted either."""
     load = {}
     for item in text.split(b","):
         name, _, value = item.partition(b"=")
@@ -63,12 +64,12 @@
 
 
 def _id_flag(flags: list[bytes]) -> bytes | None:
-    """Return the flag that names the request, with its letter; None unless there is exactly one."""
+    """Return the flag with the request id, including its letter O; None unless there is exactly one."""
     ids = [flag for flag in flags if flag[:1] == b"O"]
     return ids[0] if len(ids) == 1 else None
 
 
-def _cache_note(flags: list[bytes]) -> str:
+def _cache_flags(flags: list[bytes]) -> str:
     hits = [flag for flag in flags if flag in (b"h0", b"h1")]
     if not hits:
         return ""
@@ -76,7 +77,7 @@
 
 
 def _parse_value_head(words: list[bytes], load: dict[str, float] | None) -> ServerAnswer | None:
-    """Parse the line before a value; None if it is malformed."""
+    """Parse the line before a value; return None if it is malformed."""
     if len(words) < 3 or not words[1].isdigit() or len(words[1]) > _MAX_LENGTH_DIGITS:
         return None
     length = int(words[1])
@@ -85,29 +86,29 @@
     if id_flag is None or length > MAX_VALUE_BYTES:
         return None
     head = b"VA %d %b\r\n" % (length, id_flag)
-    return ServerAnswer(AnswerKind.VALUE, id_flag[1:], (head,), _cache_note(flags), load, length)
+    return ServerAnswer(AnswerKind.VALUE, id_flag[1:], (head,), _cache_flags(flags), load, length)
 
 
 def _parse_receipt(words: list[bytes], load: dict[str, float] | None) -> ServerAnswer | None:
-    """Parse the receipt of a write; None if it is malformed."""
+    """Parse the receipt of a write; return None if it is malformed."""
     flags = words[1:]
     id_flag = _id_flag(flags)
     receipts = [flag for flag in flags if flag[:1] == b"c"]
     if id_flag is None or len(receipts) != 1 or not _RECEIPT.fullmatch(receipts[0]):
         return None
     line = b"HD %b %b\r\n" % (id_flag, receipts[0])
-    return ServerAnswer(AnswerKind.RECEIPT, id_flag[1:], (line,), _cache_note(flags), load)
+    return ServerAnswer(AnswerKind.RECEIPT, id_flag[1:], (line,), _cache_flags(flags), load)
 
 
 def _is_busy(words: list[bytes]) -> bool:
-    """Guards the never-twice rule: 'busy' proves that a request never ran, so it must say that and no more."""
+    """Whether a line is exactly a 'busy': as it proves that the request was not executed, no other form counts."""
     if words[:2] != [b"SERVER_ERROR", b"busy"]:
         return False
     return len(words) == 2 or (len(words) == 3 and _RETRY_AFTER.fullmatch(words[2]) is not None)
 
 
 def _parse_status(words: list[bytes], load: dict[str, float] | None) -> ServerAnswer | None:
-    """Parse a line that is neither a value nor a receipt; None if it is malformed."""
+    """Parse a line that is neither a value nor a receipt; return None if it is malformed."""
     if _is_busy(words):
         return ServerAnswer(AnswerKind.BUSY, load=load)
     if words == [b"SERVER_ERROR", b"failed"]:
@@ -125,7 +126,7 @@
     words = line.split(b" ")
     load = None
     if len(words) > 1 and words[-1][:1] == b"L":
-        load = _parse_load_report(words.pop()[1:])  # a malformed one spoils nothing but itself
+        load = _parse_load_report(words.pop()[1:])  # a malformed load report does not invalidate the answer
     if words[0] == b"VA":
         answer = _parse_value_head(words, load)
     elif words[0] == b"HD":
@@ -136,24 +137,24 @@
 
 
 class AnswerParser:
-    """An incremental parser of what a cache server sends."""
+    """An incremental parser of the byte stream of a cache server."""
 
     def __init__(self) -> None:
         self._buffer = LineBuffer()
-        self._pending: ServerAnswer | None = None  # an answer whose value is incomplete
-        self._value_parts: list[bytes] = []  # of that value, as they came: large ones are never joined
-        self._value_bytes_left = 0  # of that value, with its CRLF
-        self._chunk_bytes_left = 0  # of a chunked value, with its CRLF
+        self._pending: ServerAnswer | None = None  # the answer whose value is incomplete
+        self._value_parts: list[bytes] = []  # parts of that value as received; large values are never joined
+        self._value_bytes_left = 0  # bytes missing of that value, with its CRLF
+        self._chunk_bytes_left = 0  # bytes missing of a chunked value, with its CRLF
         self._failed = False
 
     def has_partial_input(self) -> bool:
-        """Return whether there is more than complete answers: a part of one, or what nobody asked for."""
+        """Return whether there is input beyond the complete answers: a partial answer or stray bytes."""
         return self._pending is not None or self._chunk_bytes_left > 0 or self._buffer.unread_bytes() > 0
 
     def feed(self, data: bytes) -> Iterator[ServerAnswer | ValueChunk]:
-        """Take in some bytes; yield what is complete. After OTHER the connection is of no more use, nor the rest.
+        """Parse received bytes and yield complete items; after one of the kind OTHER all further input is ignored.
 
-        Guards against a line that never ends: nothing is taken from the buffer, so it would be reported for ever.
+        Otherwise a line over the size limit, which stays in the buffer, would be reported without end.
         """
         if self._failed:
             return
@@ -179,7 +180,7 @@
         return chunk if not chunk.last or chunk.data.endswith(CRLF) else _malformed(b"bad data chunk")
 
     def _next_line(self) -> ServerAnswer | None:
-        """Parse the next line; None if it is incomplete, or is an answer that is pending until its value has come."""
+        """Parse the next line; return None if it is incomplete, or if the value after it must arrive first."""
         line = self._buffer.read_line()
         if line is None:
             return _malformed(b"line too long") if self._buffer.unread_bytes() > MAX_HEAD_BYTES else None
--- a/starlingthread/net/meta/buffer.py
+++ b/starlingthread/net/meta/buffer.py
@@ -1,4 +1,4 @@
-"""The input buffer of both parsers, and the bounds on what it takes in."""
+"""The input buffer of both parsers, and the size limits of the protocol."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 from .responses import CRLF
 
-MAX_VALUE_BYTES = 4 << 20  # of a value, in either direction
-MAX_UNCHUNKED_BYTES = 64 * 1024  # of a value that is buffered whole; a larger one is passed through in chunks
-MAX_HEAD_BYTES = 2048  # of a line
+MAX_VALUE_BYTES = 4 << 20  # maximum size of a value, in either direction
+MAX_UNCHUNKED_BYTES = 64 * 1024  # larger values are not buffered completely, but forwarded in chunks
+MAX_HEAD_BYTES = 2048  # maximum size of a line
 
 
 class ValueChunk(NamedTuple):
-    """A chunk of a value that is too large to be buffered whole; the last one ends with the value's CRLF."""
+    """A chunk of a value over MAX_UNCHUNKED_BYTES; the last one ends with the value's CRLF."""
 
     data: bytes
     last: bool
 
 
 class LineBuffer:
-    """A buffer that is cut into lines and blocks; no byte is scanned twice."""
+    """An input buffer that is read in lines and blocks; no byte is scanned twice for a line end."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._position = 0  # where the unread part begins
-        self._scanned = 0  # no line ends before it
+        self._position = 0  # start of the unread bytes
+        self._scanned = 0  # no unread line ends before this position
 
     def append(self, data: bytes) -> None:
-        """Add bytes behind the unread ones."""
+        """Append received bytes; drop those that were read."""
         if self._position:
             del self._buffer[: self._position]
             self._scanned = max(0, self._scanned - self._position)
@@ -35,11 +35,11 @@
         self._buffer += data
 
     def unread_bytes(self) -> int:
-        """Return how many bytes have not been read yet."""
+        """Return the number of bytes that have not been read yet."""
         return len(self._buffer) - self._position
 
     def read_line(self) -> bytes | None:
-        """Read the next line, without its CRLF; None if it is incomplete."""
+        """Read the next line, without its CRLF; return None if it is incomplete."""
         end = self._buffer.find(CRLF, max(self._position, self._scanned))
         if end < 0:
             self._scanned = max(self._position, len(self._buffer) - 1)
@@ -49,7 +49,7 @@
         return line
 
     def read_block(self, size: int) -> bytes | None:
-        """Read so many bytes, or None if they are not all there."""
+        """Read exactly size bytes; return None if fewer are available."""
         if len(self._buffer) - self._position < size:
             return None
         with memoryview(self._buffer) as view:
@@ -58,14 +58,14 @@
         return data
 
     def read_available(self, limit: int) -> bytes:
-        """Read what is there, up to a limit."""
+        """Read the available bytes, at most limit of them."""
         return self.read_block(min(limit, self.unread_bytes())) or b""
 
     def read_chunk(self, remaining: int) -> ValueChunk | None:
-        """Read what is there of a value; None if nothing is.
+        """Read the available bytes of a value as a chunk; return None if there are none.
 
-        remaining: bytes of the value that are still to come, with its CRLF. The CRLF is given only when it is complete;
-        the last chunk lacks it where the value does not end so.
+        remaining: bytes of the value that have not been read, including its CRLF. The two bytes of the CRLF are never
+        split over two chunks. The last chunk does not end with CRLF if the value is malformed.
         """
         available = min(remaining, self.unread_bytes())
         if available == remaining:
--- a/starlingthread/net/meta/commands.py
+++ b/starlingthread/net/meta/commands.py
@@ -1,4 +1,4 @@
-"""Parser and writer of clients' commands."""
+"""Parser of the commands of clients, and their writer for cache servers."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
 from .responses import CRLF, ERROR_LINE
 
-NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # in the fields of a command
+NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # of a number in the fields of a command
 
-# One head in one match, with the positions of its parts: they are read where they lie, and a head is written
-# out again as the bytes around the one number that changes.
+# One match parses a whole head and gives the positions of its parts, so that the head can be forwarded with only the
+# number of its time-out replaced.
 _HEAD = re.compile(rb"m(?:g ([!-~]{1,250}) v|s ([!-~]{1,250}) (\d{1,9}))((?: [!-~]+)*) *")
 _SET_LENGTH = re.compile(rb"ms [!-~]+ (\d{1,9})(?: |$)")
 _ID_FLAG = re.compile(rb" O([!-~]{1,64})(?= |$)")
 _FIELDS_FLAG = re.compile(rb" P([!-~]+)(?= |$)")
-# The form of most reads: the class comes first and the timeout second, and neither is there twice.
+# The form of most reads: the class (c) is the first field, the time-out (d) the second, and neither is repeated.
 _PLAIN_READ = re.compile(
     rb"mg [!-~]{1,250} v O([!-~]{1,64}) Pc=([!-+\--~]+),d=(\d{1,9}(?:\.\d{1,9})?)(?:,(?![cd]=)[!-+\--~]*)*\r\n"
 )
@@ -26,25 +26,25 @@
 
 
 class Command(NamedTuple):
-    """A client's mg or ms."""
+    """An mg (read) or ms (write) of a client."""
 
     head: bytes
     key: bytes
     request_id: bytes
     timeout_ms: float
-    timeout_span: tuple[int, int]  # where the number of d stands in the head
-    fields: dict[str, str]  # the names and values of the P list
-    value: bytes | None  # of an ms, with its CRLF; None for an mg, and where the value follows in chunks
-    length: int = -1  # bytes of the value of an ms, without its CRLF
+    timeout_span: tuple[int, int]  # start and end of the number of d in the head
+    fields: dict[str, str]  # the P flag's fields: values by name
+    value: bytes | None  # with its CRLF; None for an mg, and for an ms whose value follows in chunks
+    length: int = -1  # bytes of the value of an ms, without its CRLF; -1 for an mg
 
     @property
     def is_write(self) -> bool:
-        """Whether it is an ms."""
+        """Whether the command is an ms."""
         return self.length >= 0
 
     @property
     def is_chunked(self) -> bool:
-        """Whether its value follows in chunks."""
+        """Whether the value is large, and follows in chunks."""
         return self.length > MAX_UNCHUNKED_BYTES
 
 
@@ -56,29 +56,29 @@
 
 
 class MalformedCommand(NamedTuple):
-    """Input that is no command, and the line that answers it."""
+    """Input that is not a valid command."""
 
-    line: bytes
-    framing_lost: bool  # where the next command begins is unknown
+    line: bytes  # the response to the client
+    framing_lost: bool  # whether the start of the next command is unknown
 
 
-Input: TypeAlias = Command | ValueChunk | ControlCommand | MalformedCommand
+ParsedInput: TypeAlias = Command | ValueChunk | ControlCommand | MalformedCommand
 
 
-def client_error(why: str, framing_lost: bool = False) -> MalformedCommand:
-    """Return a malformed command and its answer."""
-    return MalformedCommand(b"CLIENT_ERROR " + why.encode() + CRLF, framing_lost)
+def client_error(reason: str, framing_lost: bool = False) -> MalformedCommand:
+    """Return a malformed command that is answered with CLIENT_ERROR and a reason."""
+    return MalformedCommand(b"CLIENT_ERROR " + reason.encode() + CRLF, framing_lost)
 
 
 def forward_command(command: Command, timeout_ms: float) -> tuple[bytes, ...]:
-    """Return the parts of a command for a cache server: as it came, but with the time-out of this attempt."""
+    """Return the parts of a command for a cache server: as received, but with the time-out of the attempt."""
     begin, end = command.timeout_span
     parts = (command.head[:begin], b"%d" % max(1, int(timeout_ms)), command.head[end:], CRLF)
     return parts if command.value is None else (*parts, command.value)
 
 
 def _parse_head(head: bytes) -> Command | MalformedCommand:
-    """Parse the head of an mg or ms; the value is still to come."""
+    """Parse the head of an mg or ms, without its value."""
     match = _HEAD.fullmatch(head)
     if not match:
         return client_error("bad command line format")
@@ -100,7 +100,7 @@
 
 
 class PlainRead(NamedTuple):
-    """What a rejection needs to know of an mg."""
+    """The parts of an mg that are needed to reject it."""
 
     request_id: bytes
     class_name: str
@@ -108,9 +108,9 @@
 
 
 def parse_plain_read(data: bytes) -> PlainRead | None:
-    """Return the read if the data are one whole mg of the plainest form and nothing else, None otherwise.
+    """Return the read if the data are exactly one complete mg of the most common form, None otherwise.
 
-    It costs a fraction of :class:`CommandParser`, which takes in all forms.
+    This takes a fraction of the time of :class:`CommandParser`, which accepts all forms.
     """
     match = _PLAIN_READ.fullmatch(data)
     if match is None or len(data) > MAX_HEAD_BYTES:
@@ -120,17 +120,17 @@
 
 
 class CommandParser:
-    """An incremental parser of what a client sends."""
+    """An incremental parser of the byte stream of a client."""
 
     def __init__(self) -> None:
         self._buffer = LineBuffer()
-        self._pending: Command | None = None  # an ms whose value is incomplete
-        self._chunk_bytes_left = 0  # of a chunked value, with its CRLF
-        self._skip_bytes_left = 0  # of the value of an ms that was answered already, with its CRLF
+        self._pending: Command | None = None  # the ms whose value is incomplete
+        self._chunk_bytes_left = 0  # bytes missing of a chunked value, with its CRLF
+        self._skip_bytes_left = 0  # bytes to skip of the value of a malformed ms, with its CRLF
         self._framing_lost = False
 
     def has_partial_input(self) -> bool:
-        """Return whether a part of a command has come, and not yet the rest."""
+        """Return whether a command has been received in part."""
         return (
             self._pending is not None
             or self._skip_bytes_left > 0
@@ -138,8 +138,8 @@
             or self._buffer.unread_bytes() > 0
         )
 
-    def feed(self, data: bytes) -> Iterator[Input]:
-        """Take in some bytes; yield what is complete. After framing is lost the rest is dropped."""
+    def feed(self, data: bytes) -> Iterator[ParsedInput]:
+        """Parse received bytes and yield complete items; once framing is lost all further input is ignored."""
         if self._framing_lost:
             return
         self._buffer.append(data)
@@ -150,7 +150,7 @@
                 self._buffer = LineBuffer()
                 return
 
-    def _next(self) -> Input | None:
+    def _next(self) -> ParsedInput | None:
         if self._skip_bytes_left:
             error = self._skip_value()
             if error is not None or self._skip_bytes_left:
@@ -164,7 +164,7 @@
         return self._complete_pending(self._pending)
 
     def _skip_value(self) -> MalformedCommand | None:
-        """Drop the value of a malformed head as it comes; framing is lost if it doesn't end with its length."""
+        """Discard the value of a malformed head as it arrives; framing is lost if no CRLF follows its length."""
         self._skip_bytes_left -= len(self._buffer.read_available(self._skip_bytes_left - 2))
         if self._skip_bytes_left > 2 or (end := self._buffer.read_block(2)) is None:
             return None
@@ -179,9 +179,9 @@
         return chunk if not chunk.last or chunk.data.endswith(CRLF) else client_error("bad data chunk", True)
 
     def _next_line(self) -> Command | ControlCommand | MalformedCommand | None:
-        """Parse the next line; None if it is incomplete, or is a head that is pending until its value has come."""
+        """Parse the next line; return None if it is incomplete, or if the value after it must arrive first."""
         line = self._buffer.read_line()
-        # Guards memory: a peer that never ends its line is cut off, as is one whose line is too long.
+        # Limits memory: a line that is too long is an error, also while its end has not arrived.
         if line is None:
             return client_error("line too long", True) if self._buffer.unread_bytes() > MAX_HEAD_BYTES else None
         if len(line) > MAX_HEAD_BYTES:
@@ -197,10 +197,10 @@
         return MalformedCommand(ERROR_LINE, False)
 
     def _begin_set(self, line: bytes) -> Command | MalformedCommand | None:
-        """Parse the head of an ms; None if it is pending until its value has come."""
+        """Parse the head of an ms; return None if the value after it must arrive first."""
         match = _SET_LENGTH.match(line)
         if match is None:
-            return client_error("bad data length", True)  # nobody knows where the value ends
+            return client_error("bad data length", True)  # the end of the value is unknown
         length = int(match.group(1))
         if length > MAX_VALUE_BYTES:
             return client_error("value too large", True)
--- a/starlingthread/net/upstreams/__init__.py
+++ b/starlingthread/net/upstreams/__init__.py
@@ -1,9 +1,10 @@
-"""Upstreams: the cache servers. Each has an actor that owns its connections; the fleet owns the actors.
+"""Connections to the upstreams, which are the cache servers: one actor per server owns its connections.
 
-An attempt uses a connection exclusively: giving up an attempt closes its connection, and a shared one would take other
-attempts with it and suffer head-of-line blocking.
+ServerFleet owns the actors. An attempt uses its connection exclusively, because abandoning an attempt closes the
+connection: closing a shared one would end other attempts too, and a shared one has head-of-line blocking.
 
-Imports run one way: fleet, actor, then reader, writer, opener and results, then pool, messages, context, connection.
+Modules import in one direction only, each from those after it: fleet; actor; reader, writer, opener and results; pool;
+messages; context and connection.
 """
 
 from .fleet import ServerFleet
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -1,4 +1,4 @@
-"""The actor of one cache server: it makes no decisions, but runs attempts and health checks on its connections."""
+"""The actor of one cache server: runs the attempts and health checks that the router has decided on."""
 
 from __future__ import annotations
 
@@ -31,11 +31,12 @@
 from .results import ResultReporter, attempt_result
 from .writer import ExchangeWriter
 
-MAILBOX_LIMIT = 10000  # messages
-MAX_BAD_ANSWERS_LOGGED = 20  # all are counted
-MAX_LOGGED_ANSWER = 80  # bytes of a bad answer
-DRAIN_MARGIN_MS = 100.0  # before the end of the drain grace, in which nothing more is written
-MIN_TRANSIT_MS = 5.0  # that a write takes at least to reach a server
+MAX_MAILBOX_MESSAGES = 10000
+MAX_BAD_ANSWERS_LOGGED = 20  # further ones are only counted
+MAX_LOGGED_ANSWER_BYTES = 80
+# Nothing more is written to a draining server in this last part of its grace period.
+DRAIN_MARGIN_MS = 100.0
+MIN_TRANSIT_MS = 5.0  # minimum time from a write until it reaches the server
 
 
 class ServerActor:
@@ -44,14 +45,14 @@
     def __init__(self, context: UpstreamContext, number: int, address: tuple[str, int]) -> None:
         self._context = context
         self.number = number
-        self.mailbox: Mailbox[Message] = Mailbox(MAILBOX_LIMIT)
+        self.mailbox: Mailbox[Message] = Mailbox(MAX_MAILBOX_MESSAGES)
         self.pool = ConnectionPool(context, address)
         self.opener = ConnectionOpener(context, self.pool, self.post)
         self.reader = ConnectionReader(context, self.post)
         self.writer = ExchangeWriter(context, self.pool, self.post)
         self.reporter = ResultReporter(context, number)
-        self.draining_since: float | None = None  # when a list first said that it is draining or removed
-        self.removed_at: float | None = None
+        self.draining_since: float | None = None  # clock ms of the first list with the server draining or removed
+        self.removed_at: float | None = None  # clock ms
 
     async def run(self) -> None:
         """Handle messages until cancelled."""
@@ -61,17 +62,17 @@
             await self.mailbox.wait()
 
     def post(self, message: Message) -> None:
-        """Put a message that must not be lost into the mailbox."""
+        """Put a message into the mailbox, even if that is full, so that it is not lost."""
         self.mailbox.must_put(message)
 
     def close(self) -> None:
-        """Close all connections, pending ones too."""
+        """Close all connections, including those being established."""
         self.opener.cancel_all()
         self.pool.close_all()
 
     def handle(self, message: Message) -> None:
         """Dispatch one message."""
-        # Patterns without captures, as this runs several times for each request and captures cost twice the time.
+        # This runs several times per request. The patterns have no captures, because captures take twice the time.
         match message:
             case StartExchange():
                 self._start(message.exchange)
@@ -95,10 +96,10 @@
             case _:
                 assert_never(message)
 
-    # starting an exchange
+    # Starting an exchange
 
     def _may_write(self, exchange: Exchange) -> bool:
-        """Check again right before a write, as time has passed since the router decided to send."""
+        """Check again immediately before a write, because time has passed since the router decided to send."""
         if self.number in self._context.in_maintenance:
             return False
         return isinstance(exchange, PendingHealthCheck) or self._may_write_attempt(exchange)
@@ -106,13 +107,13 @@
     def _may_write_attempt(self, attempt: Attempt) -> bool:
         now = self._context.clock.now()
         request = attempt.request
-        # A request that ended meanwhile must not be executed.
+        # A request that has ended in the meantime must not be executed.
         if not attempt.pending or request.finished or request.cancelled or now >= attempt.deadline:
             return False
-        # The window in which a server recognises a duplicate by its idempotency key runs on during the connect.
+        # The window in which a server recognises a duplicate by its idempotency key may have closed during the connect.
         if now + MIN_TRANSIT_MS >= attempt.write_deadline:
             return False
-        # A request written past the drain grace would violate the graceful shutdown.
+        # A request written after the grace period of a draining server would violate the graceful shutdown.
         if self.draining_since is None:
             return True
         return now <= self.draining_since + self._context.settings.drain_grace - DRAIN_MARGIN_MS
@@ -138,13 +139,13 @@
             self.reporter.report(exchange, AttemptResult.CONNECT_FAILED)
             return
         self._context.counters.increment("connections.opened")
-        work = self.reader.run(connection)
-        self._context.supervisor.start(work, "server-reader", lambda _: self.post(ConnectionLost(connection)))
+        coroutine = self.reader.run(connection)
+        self._context.supervisor.start(coroutine, "server-reader", lambda _: self.post(ConnectionLost(connection)))
         if not self._may_write(exchange):
             self.reporter.report(exchange, AttemptResult.NOT_SENT)
             self.pool.release(connection)
         elif not connection.is_reusable(self.pool.address):
-            # Guards against a new server at an old address, and against one that closed the connection at once.
+            # The server has moved, so that a new one may be at the old address, or it closed the connection at once.
             self.reporter.report(exchange, AttemptResult.CONNECT_FAILED)
             self.pool.close_connection(connection)
         else:
@@ -163,7 +164,7 @@
         if connection is not None:
             self.pool.close_connection(connection)
 
-    # what arrives on a connection
+    # Answers, time-outs and ends of connections
 
     def _on_answer(self, connection: Connection, answer: meta.ServerAnswer, pipe: Pipe | None) -> None:
         exchange = connection.exchange
@@ -180,22 +181,22 @@
     ) -> None:
         result = attempt_result(connection, attempt, answer)
         if result == AttemptResult.RESET and answer.kind != meta.AnswerKind.BUSY:
-            # It does not answer the request, so the next answer on this connection can't be trusted either.
+            # The answer does not belong to the request, so the next one on this connection can't be trusted either.
             self._record_bad_answer(connection, answer)
             self.reporter.report(attempt, result)
             self.pool.close_connection(connection)
             return
         self.reporter.report(attempt, result, answer, pipe)
         now = self._context.clock.now()
-        self._context.idle_failure_rates.record(now, connection.idle_before_write, broke=False)
+        self._context.idle_failure_rates.record(now, connection.idle_before_write, failed=False)
         connection.answered_at = now
         if connection.request_body is not None:
-            # Answered before all of the value was written: what still arrives belongs to no request.
+            # The server answered before the whole value was written: data that still arrives belongs to no request.
             self.pool.close_connection(connection)
         elif pipe is None:
             self.pool.release(connection)
         else:
-            self.pool.mark_streaming(connection)  # until ValueReceived
+            self.pool.mark_streaming(connection)  # ValueReceived ends this state
 
     def _record_bad_answer(self, connection: Connection, answer: meta.ServerAnswer) -> None:
         counters = self._context.counters
@@ -205,7 +206,7 @@
                 "bad-answer",
                 server=f"{connection.address[0]}:{connection.address[1]}",
                 kind=answer.kind.name,
-                received=repr(b"".join(answer.parts)[:MAX_LOGGED_ANSWER]),
+                received=repr(b"".join(answer.parts)[:MAX_LOGGED_ANSWER_BYTES]),
             )
 
     def _on_health_check_answer(
@@ -214,7 +215,7 @@
         if answer.load:
             check.load.update(answer.load)
         if answer.kind == meta.AnswerKind.STAT:
-            return  # a line of several
+            return  # further lines of this load report follow
         is_healthy = answer.kind in (meta.AnswerKind.END, meta.AnswerKind.READY)
         self.reporter.report(check, AttemptResult.OK if is_healthy else AttemptResult.ERROR)
         if answer.kind == meta.AnswerKind.OTHER:
@@ -223,9 +224,10 @@
             self.pool.release(connection)
 
     def _on_read_timeout(self, connection: Connection, is_recheck: bool, due: float) -> None:
-        """Give up a partial answer whose rest does not arrive, while the request has time left.
+        """Close a connection on which the rest of a partial answer does not arrive.
 
-        It takes two time-outs, so that after a pause of this process the data that is unread is read first.
+        This leaves the request time for a retry. It takes two time-outs in a row, so that after a pause of this
+        process the data that waits in the socket is read first.
         """
         connection.read_timer = None
         is_partial = connection.parser.has_partial_input()
@@ -241,11 +243,11 @@
         exchange = connection.exchange
         if exchange is not None:
             now = self._context.clock.now()
-            self._context.idle_failure_rates.record(now, connection.idle_before_write, broke=True)
+            self._context.idle_failure_rates.record(now, connection.idle_before_write, failed=True)
             if connection.idle_before_write is not None:
                 self._context.counters.increment("connections.reset_reused")
-            # A streamed value that was not written in full has not been executed. Anything else was handed to the
-            # system in full or nearly so: nobody can tell, so it may have been.
+            # A write whose streamed value was not written completely has not been executed. Any other request was
+            # passed to the operating system completely or almost completely, so it may have been executed.
             never_executed = connection.request_body is not None
             self.reporter.report(exchange, AttemptResult.CONNECT_FAILED if never_executed else AttemptResult.RESET)
         self.pool.close_connection(connection)
--- a/starlingthread/net/upstreams/connection.py
+++ b/starlingthread/net/upstreams/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache server and the exchange that is in flight on it."""
+"""A connection to a cache server, and the exchange in flight on it: an attempt or a health check."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 from ...core.pipe import Pipe
 from .. import meta
 
-READ_SIZE = 65536  # bytes that are read at once
-STRAY_BUSY_WINDOW_MS = 50.0  # after an answer; a 'busy' in it may be a stray line that belongs to that answer
+READ_BYTES = 65536  # maximum size of one read
+# A 'busy' for a request written this soon after the previous answer may be a stray line that belongs to that answer.
+STRAY_BUSY_WINDOW_MS = 50.0
 
 
 class PendingHealthCheck:
-    """A health check in flight; it takes the place of an attempt on a connection."""
+    """A health check in flight; it occupies a connection as an attempt does."""
 
     __slots__ = ("load", "sent_at", "timeout_timer")
 
     def __init__(self, sent_at: float) -> None:
         self.sent_at = sent_at
         self.timeout_timer: Deadline | None = None
-        self.load: dict[str, float] = {}  # figures of the load report received so far
+        self.load: dict[str, float] = {}  # fields of the load report received so far
 
 
 Exchange: TypeAlias = Attempt | PendingHealthCheck
 
 
 class Connection:
-    """One connection to a cache server, owned by the pool of that server."""
+    """A connection to a cache server, owned by the pool of that server."""
 
     __slots__ = (
         "address",
@@ -54,28 +55,28 @@
         self.address = address
         self.parser = meta.AnswerParser()
         self.exchange: Exchange | None = None
-        self.awaiting_response = False  # something was written that is not answered in full yet
-        self.out_of_sync = False  # more has come than was asked for: answers can't be matched any more
+        self.awaiting_response = False  # an exchange was written and its answer is not complete yet
+        self.out_of_sync = False  # data arrived that was not requested: answers can't be matched any more
         self.idle_since = 0.0
         self.written_at = 0.0
         self.answered_at = -STRAY_BUSY_WINDOW_MS
-        self.read_timer: Deadline | None = None  # by when the rest of a partial answer must arrive
+        self.read_timer: Deadline | None = None  # time-out for the rest of a partial answer
         self.closed = False
-        self.request_body: Pipe | None = None  # the streamed value being written, until its last byte is out
-        self.response_pipe: Pipe | None = None  # the streamed value being read, until its last byte is in
+        self.request_body: Pipe | None = None  # the streamed value being written; None from its last byte on
+        self.response_pipe: Pipe | None = None  # the streamed value being read; None from its last byte on
 
     @property
     def idle_before_write(self) -> float | None:
-        """How long (ms) it was idle before the last write; None if that was the first."""
+        """Idle time (ms) of the connection before the last write; None if that was the first write."""
         return self.written_at - self.answered_at if self.answered_at > 0 else None
 
     @property
     def may_see_stray_busy(self) -> bool:
-        """Whether the last write followed an answer so soon that a 'busy' may be a stray line behind that answer."""
+        """Whether the last write followed an answer so soon that a 'busy' may be a stray line after that answer."""
         return self.written_at - self.answered_at < STRAY_BUSY_WINDOW_MS
 
     def is_reusable(self, address: tuple[str, int]) -> bool:
-        """Whether it can still carry a request: in sync, not ended, and to the server's current address."""
+        """Whether another request can be sent: the connection is open, in sync, and to the server's current address."""
         return not (
             self.out_of_sync
             or self.closed
--- a/starlingthread/net/upstreams/context.py
+++ b/starlingthread/net/upstreams/context.py
@@ -1,4 +1,4 @@
-"""What the actors of all cache servers share: clock, counters, timers, limits, and the way to the router."""
+"""Dependencies that the actors of all cache servers share: router, clock, counters, timers, settings and limits."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 from ...settings import Settings
 from .idle_failures import IdleFailureRates
 
-# Fraction of a server's own idle limit after which we close: a write that crosses the server's close would be a reset.
-IDLE_CLOSE_FRACTION = 0.65
+# The router closes idle connections after this share of the server's idle limit: a write that crosses the server's
+# close would end in a reset.
+IDLE_CLOSE_SHARE = 0.65
 
 
 class UpstreamSettings(NamedTuple):
@@ -29,18 +30,18 @@
 
     @classmethod
     def create(cls, settings: Settings, idle_timeout: float) -> UpstreamSettings:
-        """Derive them from the router's settings and the servers' idle limit in milliseconds."""
+        """Derive the settings from those of the router and from the servers' idle limit in milliseconds."""
         return cls(
             drain_grace=settings.drain_grace,
             connect_timeout=settings.connect_timeout,
-            max_idle=idle_timeout * IDLE_CLOSE_FRACTION,
+            max_idle=idle_timeout * IDLE_CLOSE_SHARE,
             load_report_fields=settings.load_report_fields,
         )
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamContext:
-    """Shared dependencies of pools, openers, readers, writers and actors; the fleet owns it."""
+    """Shared dependencies of pools, openers, readers, writers and actors; owned by the fleet."""
 
     router: Router
     supervisor: TaskSupervisor
@@ -48,7 +49,8 @@
     counters: Counters
     deadlines: Deadlines
     settings: UpstreamSettings
-    may_open_connection: Callable[[], bool]  # whether the fleet's connection limit has room, made if need be
-    value_budget: ByteBudget = field(default_factory=lambda: ByteBudget(0))  # for streamed values
+    # Returns whether the fleet's limit allows one more connection; closes an idle one if that makes room.
+    may_open_connection: Callable[[], bool]
+    value_budget: ByteBudget = field(default_factory=lambda: ByteBudget(0))  # shared by all streamed values
     idle_failure_rates: IdleFailureRates = field(default_factory=IdleFailureRates)
-    in_maintenance: set[int] = field(default_factory=set)  # servers that operators have taken out
+    in_maintenance: set[int] = field(default_factory=set)  # numbers of the servers in maintenance
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -1,4 +1,4 @@
-"""All cache servers that endpoint lists have named: their actors and the limit on connections to them."""
+"""The actors of all cache servers that endpoint lists have named, and the limit on connections to these servers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from .messages import AbandonExchange, CloseIdle, StartExchange
 
 HOUSEKEEPING_INTERVAL_MS = 1000.0
-REMOVED_SERVER_TTL_MS = 2000.0  # after which the actor of a removed server is ended, once it is unused
-HEALTH_CHECK_ANSWER_MS = 50.0  # beyond the connect time-out, in which a health check must be answered
+REMOVED_SERVER_TTL_MS = 2000.0  # minimum time from the removal of a server until its unused actor is ended
+HEALTH_CHECK_ANSWER_TIMEOUT_MS = 50.0  # added to the connect time-out
 
 
 class ServerFleet:
-    """Owns the actors of all cache servers that lists have named, and enforces the limit on their connections."""
+    """Owns the actors of all cache servers that endpoint lists have named, and enforces the connection limit."""
 
     def __init__(
         self, settings: Settings, router: Router, supervisor: TaskSupervisor, max_connections: int, idle_timeout: float
@@ -45,11 +45,11 @@
         self.context.settings = UpstreamSettings.create(settings, idle_timeout)
 
     def set_value_budget(self, budget: ByteBudget) -> None:
-        """Share the budget for streamed values with the clients' side."""
+        """Set the budget for streamed values, which is shared with the client connections."""
         self.context.value_budget = budget
 
     def set_maintenance(self, server: int, in_maintenance: bool) -> None:
-        """Write nothing new to a server while it is in maintenance."""
+        """Put a server into maintenance, in which no new exchange is written to it, or end its maintenance."""
         if not in_maintenance:
             self.context.in_maintenance.discard(server)
             return
@@ -61,16 +61,16 @@
         for number in list(self.actors):
             self._end_actor(number)
 
-    # attempts and health checks
+    # Attempts and health checks
 
     def start(self, attempt: Attempt) -> None:
-        """Start an attempt; AttemptEnded follows unless it is abandoned."""
+        """Start an attempt; AttemptEnded follows unless the attempt is abandoned."""
         actor = self.actors.get(attempt.server)
         if actor is None or not actor.mailbox.put(StartExchange(attempt)):
             self.context.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.CONNECT_FAILED))
 
     def abandon(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt that has its outcome."""
+        """Stop an attempt whose outcome the router has decided already."""
         actor = self.actors.get(attempt.server)
         if actor is not None:
             actor.post(AbandonExchange(attempt))
@@ -84,7 +84,7 @@
             return
         now = self.context.clock.now()
         check = PendingHealthCheck(now)
-        timeout = self.context.settings.connect_timeout + HEALTH_CHECK_ANSWER_MS
+        timeout = self.context.settings.connect_timeout + HEALTH_CHECK_ANSWER_TIMEOUT_MS
 
         def on_timeout() -> None:
             actor.reporter.report(check, AttemptResult.TIMEOUT)
@@ -93,10 +93,10 @@
         check.timeout_timer = self.context.deadlines.set(now + timeout, on_timeout)
         actor.post(StartExchange(check))
 
-    # endpoint lists and actors
+    # Endpoint lists and actors
 
     def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
-        """Apply a list or changes to it: new servers, changed addresses, servers that are draining or removed."""
+        """Apply an endpoint list or changes to it: new, moved, draining and removed servers."""
         if listing.event.kind == EndpointListKind.FAILED:
             return
         unavailable = self._unavailable_servers(listing.event)
@@ -110,7 +110,7 @@
                 actor.removed_at = None
 
     def _unavailable_servers(self, event: EndpointList) -> dict[int, ServerState]:
-        """Return the servers that are draining or removed; a full list removes those that it does not name."""
+        """Return the servers that are draining or removed; a full list removes every server that it does not name."""
         states: dict[int, ServerState] = {e.server: e.state for e in event.endpoints if e.state != ServerState.READY}
         if event.kind != EndpointListKind.DELTA:
             named = {e.server for e in event.endpoints}
@@ -130,13 +130,13 @@
     def _mark_unavailable(self, actor: ServerActor, state: ServerState, now: float) -> None:
         if actor.draining_since is None:
             actor.draining_since = now
-            actor.post(CloseIdle(0.0))  # nothing new is sent there: free the descriptors
+            actor.post(CloseIdle(0.0))  # no new request is sent to the server: free the descriptors
         if state == ServerState.GONE and actor.removed_at is None:
             actor.removed_at = now
 
     def _run_actor(self, actor: ServerActor) -> None:
-        def on_death(_: BaseException) -> None:
-            # Guards against attempts that nobody would end: each gets its outcome, then the actor starts anew.
+        def on_crash(_: BaseException) -> None:
+            # Without the actor no attempt would ever end: report a result for each, then restart the actor.
             self.context.counters.increment("servers.actor_died")
             for exchange in [*actor.opener.pending, *actor.pool.busy]:
                 actor.reporter.report(exchange, AttemptResult.RESET)
@@ -144,14 +144,14 @@
             if self.actors.get(actor.number) is actor:
                 self._run_actor(actor)
 
-        self._tasks[actor.number] = self.context.supervisor.start(actor.run(), "server", on_death)
+        self._tasks[actor.number] = self.context.supervisor.start(actor.run(), "server", on_crash)
 
     def _end_actor(self, number: int) -> None:
         self.actors.pop(number).close()
         self._tasks.pop(number).cancel()
 
     def _run_housekeeping(self) -> None:
-        """Close connections idle for too long and end the actors of removed servers; repeat at an interval."""
+        """Close connections idle for too long, end unused actors of removed servers, and schedule the next run."""
         now = self.context.clock.now()
         for number, actor in list(self.actors.items()):
             actor.post(CloseIdle(self.context.settings.max_idle))
@@ -160,7 +160,7 @@
                 self._end_actor(number)
         self.context.deadlines.set(now + HOUSEKEEPING_INTERVAL_MS, self._run_housekeeping)
 
-    # the connection limit
+    # Connection limit
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
@@ -169,7 +169,7 @@
             actor.post(CloseIdle(0.0))
 
     def set_connection_limit(self, max_connections: int) -> None:
-        """Limit the open connections; close those idle longest that exceed the limit."""
+        """Set the limit on open connections; close idle ones above it, the longest idle first."""
         self.max_connections = max_connections
         excess = self._open_connections() - max_connections
         for number, connection in self._idle_longest_first()[: max(0, excess)]:
@@ -179,12 +179,12 @@
         return sum(actor.pool.open_count for actor in self.actors.values())
 
     def _idle_longest_first(self) -> list[tuple[int, Connection]]:
-        """Return the idle connections with their server's number, the one idle longest first."""
+        """Return the idle connections with their servers' numbers, the longest idle first."""
         idle = [(number, c) for number, actor in self.actors.items() for c in actor.pool.idle]
         return sorted(idle, key=lambda entry: (entry[1].idle_since, entry[0]))
 
     def _may_open_connection(self) -> bool:
-        """Whether one more connection may be opened; at the limit the one idle longest is closed to make room."""
+        """Whether one more connection may be opened; at the limit the longest idle one is closed to make room."""
         if self._open_connections() < self.max_connections:
             return True
         oldest = [(actor.pool.idle[0].idle_since, number) for number, actor in self.actors.items() if actor.pool.idle]
--- a/starlingthread/net/upstreams/messages.py
+++ b/starlingthread/net/upstreams/messages.py
@@ -1,4 +1,4 @@
-"""The messages that the actor of a cache server handles."""
+"""Messages to the actor of a cache server."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 
 
 class AbandonExchange(NamedTuple):
-    """Stop waiting for an attempt or health check that has its outcome already."""
+    """Stop an attempt or health check whose outcome is decided already."""
 
     exchange: Exchange
 
 
 class ConnectTimedOut(NamedTuple):
-    """A connection was not established by the time that it was due (clock ms)."""
+    """A connection was not established by the due time (clock ms)."""
 
     exchange: Exchange
     due: float
 
 
 class ConnectCompleted(NamedTuple):
-    """Opening a connection for an exchange has ended; connection is None if it failed."""
+    """A connection for an exchange was established, or has failed: then connection is None."""
 
     exchange: Exchange
     connection: Connection | None
 
 
 class AnswerReceived(NamedTuple):
-    """An answer has arrived: all of it, a line of 'stats load', or the head of a streamed value."""
+    """A complete answer, a line of the answer to 'stats load', or the head of a streamed value has arrived."""
 
     connection: Connection
     answer: meta.ServerAnswer
-    pipe: Pipe | None = None  # where a streamed value follows
+    pipe: Pipe | None = None  # set if a streamed value follows
 
 
 class ValueReceived(NamedTuple):
@@ -50,21 +50,21 @@
 
 
 class ConnectionLost(NamedTuple):
-    """A connection has ended, or is out of sync."""
+    """A connection was closed or reset, or is out of sync."""
 
     connection: Connection
 
 
 class ReadTimedOut(NamedTuple):
-    """The rest of a partial answer did not arrive by the time that it was due (clock ms)."""
+    """The rest of a partial answer did not arrive by the due time (clock ms)."""
 
     connection: Connection
-    is_recheck: bool  # the second time-out in a row: a connection is given up on this one only
+    is_recheck: bool  # whether this is the second time-out in a row; only that one closes the connection
     due: float
 
 
 class CloseIdle(NamedTuple):
-    """Close the connections that have been idle for this long (ms)."""
+    """Close the connections that have been idle for min_idle (ms) or longer."""
 
     min_idle: float
 
--- a/starlingthread/net/upstreams/opener.py
+++ b/starlingthread/net/upstreams/opener.py
@@ -1,4 +1,4 @@
-"""Connections to one cache server that are being established, each for an exchange."""
+"""Opens connections to one cache server, each for a particular exchange."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from ...core.deadlines import Deadline
 from ..streams import limit_read_size, open_stream
-from .connection import READ_SIZE, Connection, Exchange
+from .connection import READ_BYTES, Connection, Exchange
 from .context import UpstreamContext
 from .messages import ConnectCompleted, ConnectTimedOut
 from .pool import ConnectionPool
 
 
 class PendingConnect(NamedTuple):
-    """The task that connects and the timer of its time-out."""
+    """The task that establishes a connection, and the timer of its time-out."""
 
     task: asyncio.Task[None]
     timeout_timer: Deadline
 
 
 class ConnectionOpener:
-    """Owns the tasks that connect. Each counts as open in the pool until it is cancelled or has failed."""
+    """Owns the tasks that connect. The pool counts each as an open connection until it is cancelled or fails."""
 
     def __init__(
         self,
@@ -36,18 +36,18 @@
         self.pending: dict[Exchange, PendingConnect] = {}
 
     def start(self, exchange: Exchange) -> None:
-        """Connect for an exchange: ConnectCompleted follows, or ConnectTimedOut after the connect time-out."""
+        """Open a connection for an exchange; ConnectCompleted follows, or ConnectTimedOut."""
         self._pool.open_count += 1
-        work = self._connect(exchange)
-        task = self._context.supervisor.start(work, "open", lambda _: self.post(ConnectCompleted(exchange, None)))
+        coroutine = self._connect(exchange)
+        task = self._context.supervisor.start(coroutine, "open", lambda _: self.post(ConnectCompleted(exchange, None)))
         self.pending[exchange] = PendingConnect(task, self._set_timeout(exchange))
 
     def extend(self, exchange: Exchange) -> None:
-        """Set the connect time-out of a pending connection anew."""
+        """Restart the connect time-out of a pending connection."""
         self.pending[exchange] = PendingConnect(self.pending[exchange].task, self._set_timeout(exchange))
 
     def cancel(self, exchange: Exchange) -> bool:
-        """Cancel connecting for an exchange; False if none was pending."""
+        """Cancel the pending connection for an exchange; return False if there was none."""
         pending = self.pending.pop(exchange, None)
         if pending is None:
             return False
@@ -57,7 +57,7 @@
         return True
 
     def complete(self, exchange: Exchange, connection: Connection | None) -> bool:
-        """End a pending connect; False if it was cancelled meanwhile: a connection that came up late is closed."""
+        """Take a connection off the pending ones; if it was cancelled before, close it and return False."""
         pending = self.pending.pop(exchange, None)
         if pending is None:
             if connection is not None:
@@ -69,7 +69,7 @@
         return True
 
     def cancel_all(self) -> None:
-        """Cancel all pending connects."""
+        """Cancel all pending connections."""
         for exchange in list(self.pending):
             self.cancel(exchange)
 
@@ -80,8 +80,8 @@
     async def _connect(self, exchange: Exchange) -> None:
         address = self._pool.address
         try:
-            reader, writer = await open_stream(*address, READ_SIZE)
-            limit_read_size(writer, READ_SIZE)
+            reader, writer = await open_stream(*address, READ_BYTES)
+            limit_read_size(writer, READ_BYTES)
         except OSError:
             self.post(ConnectCompleted(exchange, None))
         else:
--- a/starlingthread/net/upstreams/pool.py
+++ b/starlingthread/net/upstreams/pool.py
@@ -1,14 +1,14 @@
-"""The connection pool of one cache server: it alone acquires, releases and closes established connections."""
+"""The connection pool of one cache server; established connections are acquired, released and closed only here."""
 
 from __future__ import annotations
 
 from .connection import Connection, Exchange
 from .context import UpstreamContext
 
-# Failure rates above that of new connections, from which on an idle connection is not used for a read or a write.
-MAX_EXCESS_FAILURES_READ = 0.15
-MAX_EXCESS_FAILURES_WRITE = 0.05
-MIN_REST_MS = 3.0  # for which a connection rests before it is reused, if another one is available
+# An idle connection is not reused for a read or a write if its failure rate exceeds that of new connections by more.
+MAX_EXCESS_FAILURE_SHARE_READ = 0.15
+MAX_EXCESS_FAILURE_SHARE_WRITE = 0.05
+MIN_IDLE_BEFORE_REUSE_MS = 3.0  # a connection idle for less is reused only if no other is available
 
 
 class ConnectionPool:
@@ -17,10 +17,10 @@
     def __init__(self, context: UpstreamContext, address: tuple[str, int]) -> None:
         self._context = context
         self.address = address
-        self.idle: list[Connection] = []  # the one used last at the end
+        self.idle: list[Connection] = []  # ordered by last use, the most recent at the end
         self.busy: dict[Exchange, Connection] = {}
-        self.streaming: set[Connection] = set()  # whose value is still arriving, though its attempt has ended
-        self.open_count = 0  # connections established or being established
+        self.streaming: set[Connection] = set()  # connections whose attempt has ended and whose value still arrives
+        self.open_count = 0  # established and pending connections
 
     @property
     def in_use(self) -> bool:
@@ -28,33 +28,34 @@
         return bool(self.busy or self.streaming)
 
     def acquire(self, is_write: bool) -> Connection | None:
-        """Return an idle connection, or None if a new one must be opened.
+        """Take an idle connection out of the pool; return None if a new one must be opened.
 
-        It stays counted as open; the caller has it marked busy or released.
+        The connection stays counted as open. The caller must mark it busy or release it.
         """
         now = self._context.clock.now()
         while self.idle:
-            index = self._most_recent_rested(now)
+            index = self._select_idle_index(now)
             connection = self.idle[index]
-            risk = self._context.idle_failure_rates.excess_over_new(now, now - connection.idle_since)
-            if connection.is_reusable(self.address) and risk < MAX_EXCESS_FAILURES_READ:
-                if is_write and risk > MAX_EXCESS_FAILURES_WRITE:
-                    return None  # a request that must not run twice gets a new connection
+            excess_rate = self._context.idle_failure_rates.excess_failure_rate(now, now - connection.idle_since)
+            if connection.is_reusable(self.address) and excess_rate < MAX_EXCESS_FAILURE_SHARE_READ:
+                if is_write and excess_rate > MAX_EXCESS_FAILURE_SHARE_WRITE:
+                    return None  # a write gets a new connection, as a lost one may have run and must not run twice
                 return self.idle.pop(index)
             self.close_connection(connection)
         return None
 
-    def _most_recent_rested(self, now: float) -> int:
-        """Return the index of the idle connection used last among the rested ones; if none has rested, of the last.
+    def _select_idle_index(self, now: float) -> int:
+        """Return the index of the most recently used connection that has been idle for MIN_IDLE_BEFORE_REUSE_MS.
 
-        Guards against lines that arrive right behind an answer: they must not pass for the next answer.
+        If there is none, return the index of the most recently used one. The minimum is there so that stray lines
+        that follow an answer closely arrive before the next request, and are not taken for its answer.
         """
-        rested_since = now - MIN_REST_MS
+        idle_cutoff = now - MIN_IDLE_BEFORE_REUSE_MS
         last = len(self.idle) - 1
         index = last
-        while index and self.idle[index].idle_since > rested_since:
+        while index and self.idle[index].idle_since > idle_cutoff:
             index -= 1
-        return index if self.idle[index].idle_since <= rested_since else last
+        return index if self.idle[index].idle_since <= idle_cutoff else last
 
     def mark_busy(self, connection: Connection, exchange: Exchange) -> None:
         """Assign a connection to the exchange that is about to be written on it."""
@@ -64,12 +65,12 @@
         self.busy[exchange] = connection
 
     def mark_streaming(self, connection: Connection) -> None:
-        """Detach a connection from its answered exchange while the rest of a streamed value arrives on it."""
+        """Detach a connection from its exchange, which has its answer, while the rest of the streamed value arrives."""
         self.streaming.add(connection)
         self._detach(connection)
 
     def release(self, connection: Connection) -> None:
-        """Return a connection to the pool, or close it if it can't be reused; the one place where this is done."""
+        """Return a connection to the pool, or close it if it can't be reused. No other code returns connections."""
         self._detach(connection)
         self.streaming.discard(connection)
         if not connection.is_reusable(self.address):
@@ -79,7 +80,7 @@
         self.idle.append(connection)
 
     def close_connection(self, connection: Connection) -> None:
-        """Abort a connection, so that no rest of a request is sent; the one place where an open one is closed."""
+        """Abort a connection, so that no unsent part of a request is sent. No other code closes established ones."""
         if connection.closed:
             return
         connection.closed = True
@@ -97,13 +98,13 @@
         connection.writer.transport.abort()
 
     def close_idle(self, min_idle: float) -> None:
-        """Close the connections that have been idle for this long (ms)."""
-        idle_since = self._context.clock.now() - min_idle
-        for connection in [c for c in self.idle if c.idle_since <= idle_since]:
+        """Close the connections that have been idle for min_idle (ms) or longer."""
+        idle_cutoff = self._context.clock.now() - min_idle
+        for connection in [c for c in self.idle if c.idle_since <= idle_cutoff]:
             self.close_connection(connection)
 
     def close_all(self) -> None:
-        """Close all connections, busy ones too."""
+        """Close all established connections, including busy ones."""
         for connection in [*self.idle, *self.busy.values(), *self.streaming]:
             self.close_connection(connection)
 
--- a/starlingthread/net/upstreams/reader.py
+++ b/starlingthread/net/upstreams/reader.py
@@ -1,4 +1,4 @@
-"""Reads the connections of one cache server: answers, streamed values and stray data."""
+"""Reads answers and streamed values from the connections to one cache server, and detects stray data."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 
 from ...core.pipe import Pipe
 from .. import meta
-from .connection import READ_SIZE, Connection
+from .connection import READ_BYTES, Connection
 from .context import UpstreamContext
 from .messages import AnswerReceived, ConnectionLost, Message, ReadTimedOut, ValueReceived
 
-# How long the rest of an answer may take once a part of it is here. The timer runs twice, each time for half of it.
+# The rest of a partial answer must arrive within this time. The timer runs twice, each time for half of it.
 PARTIAL_ANSWER_TIMEOUT_MS = 100.0
-STREAM_STALL_TIMEOUT_MS = 10000.0  # the same for a streamed value while we are ready to read it
+# More of a streamed value must arrive within this time while its pipe has room. The timer runs twice here too.
+STREAM_STALL_TIMEOUT_MS = 10000.0
 
 
 class ConnectionReader:
-    """Reads connections and posts what arrives to the server's actor."""
+    """Reads connections and posts the received answers to the server's actor."""
 
     def __init__(self, context: UpstreamContext, post: Callable[[Message], None]) -> None:
         self._context = context
         self._post = post
 
     async def run(self, connection: Connection) -> None:
-        """Read a connection until it ends, idle ones too, so that their end is noticed at once."""
+        """Read a connection until it ends, also while it is idle, so that its end is noticed at once."""
         try:
-            while data := await connection.reader.read(READ_SIZE):
+            while data := await connection.reader.read(READ_BYTES):
                 if not self.on_data(connection, data):
                     break
                 pipe = connection.response_pipe
@@ -36,7 +37,7 @@
         self._post(ConnectionLost(connection))
 
     async def wait_until_not_full(self, connection: Connection, pipe: Pipe) -> bool:
-        """Wait until more of a streamed value may be read; False if its reader has abandoned it."""
+        """Wait until more of a streamed value may be read; return False if its consumer has abandoned it."""
         if pipe.is_full():
             self._clear_read_timeout(connection)
             await pipe.until_not_full()
@@ -44,10 +45,10 @@
         return not pipe.abandoned
 
     def on_data(self, connection: Connection, data: bytes) -> bool:
-        """Process received bytes; False once the connection is out of sync and nothing more on it can be trusted.
+        """Process received bytes; return False once the connection is out of sync, when no more data on it is trusted.
 
-        Guards against a duplicate, noise or a stray line behind an answer: the answer stands, and the connection is
-        not reused, so that what follows can't pass for the answer to the next request.
+        A duplicate, noise or a stray line after an answer does not invalidate that answer, but the connection is not
+        reused: otherwise the extra data could be taken for the answer to the next request.
         """
         for item in connection.parser.feed(data):
             self._on_item(connection, item)
@@ -64,7 +65,7 @@
         return True
 
     def _on_item(self, connection: Connection, item: meta.ServerAnswer | meta.ValueChunk) -> None:
-        """Process one parsed item; set the connection's out_of_sync if it does not belong there."""
+        """Process one parsed item; mark the connection out of sync if no answer was expected."""
         if not connection.awaiting_response:
             connection.out_of_sync = True
         elif isinstance(item, meta.ValueChunk):
@@ -73,10 +74,10 @@
             self._on_answer(connection, item)
 
     def _on_answer(self, connection: Connection, answer: meta.ServerAnswer) -> None:
-        # The END is still to come after a STAT, and the chunks after the head of a streamed value.
+        # A STAT line is followed by more lines up to END, and the head of a streamed value by its chunks.
         connection.awaiting_response = answer.kind == meta.AnswerKind.STAT or answer.is_chunked
         if connection.response_pipe is not None:
-            # Another answer in place of the value's end: the value has broken off.
+            # Another answer arrived before the streamed value was complete: the value is truncated.
             connection.out_of_sync = True
             connection.response_pipe.finish(False)
             return
@@ -93,7 +94,7 @@
             self._post(ValueReceived(connection))
 
     def set_read_timeout(self, connection: Connection, is_partial: bool, is_recheck: bool) -> None:
-        """Restart the timer for the rest of a partial answer, or stop it if there is none."""
+        """Restart the timer for the rest of a partial answer; stop it if the input is not partial."""
         self._clear_read_timeout(connection)
         if is_partial and not connection.closed:
             is_streamed = connection.response_pipe is not None
--- a/starlingthread/net/upstreams/results.py
+++ b/starlingthread/net/upstreams/results.py
@@ -1,4 +1,4 @@
-"""The results of exchanges: what an answer means, and how the router is told."""
+"""Results of exchanges: derives them from the answers and reports them to the router."""
 
 from __future__ import annotations
 
@@ -9,26 +9,28 @@
 from .connection import Connection, Exchange, PendingHealthCheck
 from .context import UpstreamContext
 
-CACHE_STATUS_BY_NOTE = {"h1": CacheStatus.HIT, "h0": CacheStatus.MISS, "h0 Z": CacheStatus.FETCH_IN_FLIGHT}
+CACHE_STATUS_BY_FLAGS = {"h1": CacheStatus.HIT, "h0": CacheStatus.MISS, "h0 Z": CacheStatus.FETCH_IN_FLIGHT}
 
 
 def attempt_result(connection: Connection, attempt: Attempt, answer: meta.ServerAnswer) -> AttemptResult:
-    """Return what an answer means for the attempt that it arrived for.
+    """Return the result of an attempt from the answer that arrived on its connection.
 
-    An answer that does not fit the request counts as a broken connection: only the server's own word is its error.
+    An answer that does not match the request counts as a reset of the connection. ERROR and FULL are returned only if
+    the server reported them itself.
     """
     kind = answer.kind
     if kind in (meta.AnswerKind.VALUE, meta.AnswerKind.RECEIPT):
         return AttemptResult.OK if _answers_request(attempt, answer) else AttemptResult.RESET
     if kind == meta.AnswerKind.BUSY:
-        # Guards against running a write twice: right behind an answer it may be a stray line, which proves nothing.
-        is_doubtful = attempt.request.is_write and connection.may_see_stray_busy
-        return AttemptResult.RESET if is_doubtful else AttemptResult.FULL
+        # FULL lets the router send a request again. Soon after the previous answer a 'busy' may be a stray line that
+        # proves nothing about the write, and a write must not be executed twice.
+        may_be_stray = attempt.request.is_write and connection.may_see_stray_busy
+        return AttemptResult.RESET if may_be_stray else AttemptResult.FULL
     return AttemptResult.ERROR if kind == meta.AnswerKind.FAILED else AttemptResult.RESET
 
 
 def _answers_request(attempt: Attempt, answer: meta.ServerAnswer) -> bool:
-    """Whether a value or receipt carries the request's id and is of the kind that was asked for."""
+    """Whether a value or receipt carries the request's id and is of the kind that the request expects."""
     command = attempt.request.payload
     if not isinstance(command, meta.Command) or command.request_id != answer.request_id:
         return False
@@ -36,7 +38,7 @@
 
 
 class ResultReporter:
-    """Reports the results of one server's exchanges to the router, which drops those that it no longer waits for."""
+    """Reports the results of one server's exchanges to the router, which drops those of abandoned attempts."""
 
     def __init__(self, context: UpstreamContext, server: int) -> None:
         self._context = context
@@ -49,7 +51,7 @@
         answer: meta.ServerAnswer | None = None,
         pipe: Pipe | None = None,
     ) -> None:
-        """Report how an exchange ended, with the answer and its streamed value if there are any."""
+        """Report the result of an exchange, with the answer and the pipe of its streamed value if there are any."""
         if isinstance(exchange, PendingHealthCheck):
             self._report_health_check(exchange, result)
         else:
@@ -67,12 +69,12 @@
         cache_status = CacheStatus.NONE
         load_report: tuple[float, ...] = ()
         if answer is not None:
-            cache_status = CACHE_STATUS_BY_NOTE.get(answer.cache_note, CacheStatus.NONE)
+            cache_status = CACHE_STATUS_BY_FLAGS.get(answer.cache_flags, CacheStatus.NONE)
             load_report = self._load_report(answer.load)
         message = AttemptEnded(attempt, result, cache_status, load_report, answer, pipe)
         self._context.router.mailbox.must_put(message)
 
     def _load_report(self, load: dict[str, float] | None) -> tuple[float, ...]:
-        """Return the configured fields of a load report; none if any is missing, as a missing figure is not zero."""
+        """Return the configured fields of a load report; () if any is missing, because a missing field is not zero."""
         fields = self._context.settings.load_report_fields
         return tuple(load[f] for f in fields) if load and all(f in load for f in fields) else ()
--- a/starlingthread/net/upstreams/writer.py
+++ b/starlingthread/net/upstreams/writer.py
@@ -1,4 +1,4 @@
-"""Writes exchanges on the connections of one cache server."""
+"""Writes attempts and health checks to the connections of one cache server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ExchangeWriter:
-    """Writes attempts and health checks; streams the values that do not come with their command."""
+    """Writes attempts and health checks; streams the values that arrive after their command."""
 
     def __init__(self, context: UpstreamContext, pool: ConnectionPool, post: Callable[[ConnectionLost], None]) -> None:
         self._context = context
@@ -25,7 +25,7 @@
         self._post = post
 
     def write(self, connection: Connection, exchange: Exchange) -> None:
-        """Mark a connection busy with an exchange and write it."""
+        """Mark a connection busy with an exchange, and write the exchange to it."""
         self._pool.mark_busy(connection, exchange)
         if isinstance(exchange, PendingHealthCheck):
             wants_load = self._context.settings.load_report_fields
@@ -36,24 +36,24 @@
     def _write_command(self, connection: Connection, attempt: Attempt, command: meta.Command) -> None:
         body = attempt.request.body
         timeout = attempt.deadline - self._context.clock.now()
-        if body is not None:  # the server's time runs from the last byte, which is still to come
+        if body is not None:  # the server's time starts at the value's last byte, which has not arrived yet
             timeout = min(timeout, command.timeout_ms, attempt.request.request_class.deadline)
         connection.writer.writelines(meta.forward_command(command, timeout))
         if body is None:
             self._context.router.telemetry.backend_calls += 1
             return
         connection.request_body = body
-        work = self._stream_body(connection, body)
-        self._context.supervisor.start(work, "body", lambda _: self._post(ConnectionLost(connection)))
+        coroutine = self._stream_body(connection, body)
+        self._context.supervisor.start(coroutine, "body", lambda _: self._post(ConnectionLost(connection)))
 
     async def _stream_body(self, connection: Connection, body: Pipe) -> None:
-        """Write a streamed value as its chunks arrive, no faster than the server reads them."""
+        """Write a streamed value as its chunks arrive, with back-pressure from the server."""
         try:
             while not connection.closed and not body.is_finished():
                 chunks = body.take()
                 for chunk in chunks:
                     if body.complete and chunk is chunks[-1] and not body.has_more():
-                        # The last byte is written with this chunk: from now on the request may have been executed.
+                        # This chunk holds the last byte: once it is written, the request may have been executed.
                         connection.request_body = None
                         self._context.router.telemetry.backend_calls += 1
                     connection.writer.write(chunk)
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -146,7 +146,7 @@
     line = b"VA 5 O9b1f h1 Linflight=7,queue=2,util=0.61\r\nhello\r\n"
     answer: Any
     (answer,) = meta.AnswerParser().feed(line)
-    assert (answer.kind, answer.request_id, answer.cache_note) == (AnswerKind.VALUE, b"9b1f", "h1")
+    assert (answer.kind, answer.request_id, answer.cache_flags) == (AnswerKind.VALUE, b"9b1f", "h1")
     assert answer.load == {"inflight": 7.0, "queue": 2.0, "util": 0.61}
     assert b"".join(answer.parts) == b"VA 5 O9b1f\r\nhello\r\n"
     receipt: Any
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -133,7 +133,7 @@
     assert fresh().actor.pool.acquire(False) is not None and fresh().actor.pool.acquire(True) is None
     risk.record(now, 200.0, True)
     assert fresh().actor.pool.acquire(False) is None
-    assert risk.excess_over_new(now + 60000.0, 200.0) < pool.MAX_EXCESS_FAILURES_WRITE  # tried again later
+    assert risk.excess_failure_rate(now + 60000.0, 200.0) < pool.MAX_EXCESS_FAILURE_SHARE_WRITE  # tried again later
     for _ in range(20):  # new ones break as often: then it is not for having been idle
         risk.record(now, None, True)
     assert fresh().actor.pool.acquire(True) is not None
