--- a/tests/chunked_values.py
+++ b/tests/chunked_values.py
@@ -1,10 +1,10 @@
-"""A value over the limit for values that are forwarded at once, and the commands that carry it."""
+"""A value that is large enough to be forwarded in chunks, and the heads of the write and the answer that carry it."""
 
 from __future__ import annotations
 
 from starlingthread.net import meta
 
-LONG = meta.MAX_UNCHUNKED_BYTES + 5000
-VALUE = bytes(n % 251 for n in range(LONG))
-PUT = b"ms a %d O1 Pc=keyed,d=500,k=1\r\n" % LONG
-GOT = b"VA %d O1 h1\r\n" % LONG
+VALUE_LENGTH_BYTES = meta.MAX_UNCHUNKED_BYTES + 5000
+VALUE = bytes(n % 251 for n in range(VALUE_LENGTH_BYTES))
+WRITE_HEAD = b"ms a %d O1 Pc=keyed,d=500,k=1\r\n" % VALUE_LENGTH_BYTES
+ANSWER_HEAD = b"VA %d O1 h1\r\n" % VALUE_LENGTH_BYTES
--- a/tests/test_chunked_writes.py
+++ b/tests/test_chunked_writes.py
@@ -1,4 +1,4 @@
-"""Chunked values on their way from a client to a cache server."""
+"""Chunked values that are forwarded from a client to a cache server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from starlingthread.net.upstreams import messages
 
 from .balancer_driver import THROUGH, BalancerDriver, answers, only_send, sends
-from .chunked_values import PUT, VALUE
+from .chunked_values import VALUE, WRITE_HEAD
 from .fakes import ClientHarness, ServerActorHarness, run_client_script, settle
 from .router_harness import RouterHarness
 
@@ -26,11 +26,12 @@
 def test_a_chunked_write_is_submitted_early_and_timed_from_its_last_byte() -> None:
     async def script(harness: ClientHarness) -> None:
         harness.listener.budget.limit = 1 << 20
-        harness.reader.feed_data(PUT + VALUE[:7])
-        assert await harness.settle() == []  # a head alone holds no place at a server
+        harness.reader.feed_data(WRITE_HEAD + VALUE[:7])
+        # A head with little of its value is not submitted, so that it occupies no capacity of a server.
+        assert await harness.settle() == []
         harness.reader.feed_data(VALUE[7:-9])
-        (asked,) = await harness.settle()
-        request, pipe = asked.request, asked.request.body
+        (submitted,) = await harness.settle()
+        request, pipe = submitted.request, submitted.request.body
         assert request.is_write and b"".join(pipe.take()) == VALUE[:-9] and pipe.complete is None
         harness.router.clock.time += 2000.0  # type: ignore[attr-defined]
         harness.reader.feed_data(VALUE[-9:] + b"\r\nmn\r\n")
@@ -44,10 +45,10 @@
 
 def test_an_answer_to_an_incomplete_write_is_deferred_to_its_last_byte() -> None:
     async def script(harness: ClientHarness) -> None:
-        harness.reader.feed_data(PUT + VALUE[:7])
-        (asked,) = await harness.settle()
-        asked.request.body.abandon()
-        harness.actor.requests.answer(asked.request, Rejected(100.0))
+        harness.reader.feed_data(WRITE_HEAD + VALUE[:7])
+        (submitted,) = await harness.settle()
+        submitted.request.body.abandon()
+        harness.actor.requests.answer(submitted.request, Rejected(100.0))
         await harness.settle()
         assert not harness.writer.transport.sent
         harness.reader.feed_data(VALUE[7:] + b"\r\n" + b"mn\r\n")
@@ -57,33 +58,33 @@
 
 
 def test_a_chunked_write_that_ends_wrongly_or_never_is_cancelled() -> None:
-    for failure in ("bad end", "stuck", "left"):
+    for failure in ("wrong CRLF", "stalled", "disconnected"):
 
         async def script(harness: ClientHarness, failure: str = failure) -> None:
             harness.listener.budget.limit = 1 << 20
-            harness.reader.feed_data(PUT + VALUE[:-7])
-            (asked,) = await harness.settle()
-            if failure == "bad end":
+            harness.reader.feed_data(WRITE_HEAD + VALUE[:-7])
+            (submitted,) = await harness.settle()
+            if failure == "wrong CRLF":
                 harness.reader.feed_data(VALUE[-7:] + b"xy")
-            elif failure == "left":
+            elif failure == "disconnected":
                 harness.reader.feed_eof()
             else:
-                asked.request.body.take()
+                submitted.request.body.take()
                 harness.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
                 harness.actor.check_idle(harness.listener.clock.now(), False)
             (cancelled,) = await harness.settle()
-            assert isinstance(cancelled, ClientDisconnected) and asked.request.body.complete is False
+            assert isinstance(cancelled, ClientDisconnected) and submitted.request.body.complete is False
             assert harness.writer.transport.closed and not harness.listener.open_ids
-            asked.request.body.abandon()
+            submitted.request.body.abandon()
 
         sent = run_client_script(script)
-        assert sent.startswith(b"CLIENT_ERROR") if failure != "left" else sent == b""
+        assert sent.startswith(b"CLIENT_ERROR") if failure != "disconnected" else sent == b""
 
 
 def test_a_head_whose_value_never_arrives_is_not_submitted() -> None:
     async def script(harness: ClientHarness) -> None:
         harness.listener.budget.limit = 1 << 20
-        harness.reader.feed_data(PUT + VALUE[:7])
+        harness.reader.feed_data(WRITE_HEAD + VALUE[:7])
         assert await harness.settle() == []
         harness.router.clock.time += COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
         harness.actor.check_idle(harness.listener.clock.now(), False)
@@ -95,36 +96,36 @@
 
 def test_a_client_that_waits_for_the_server_is_not_timed_out() -> None:
     async def script(harness: ClientHarness) -> None:
-        harness.reader.feed_data(PUT + VALUE[:7])
-        (asked,) = await harness.settle()
-        assert asked.request.body.is_full()
+        harness.reader.feed_data(WRITE_HEAD + VALUE[:7])
+        (submitted,) = await harness.settle()
+        assert submitted.request.body.is_full()
         harness.router.clock.time += 2 * COMMAND_TIMEOUT_MS  # type: ignore[attr-defined]
         harness.actor.check_idle(harness.listener.clock.now(), False)
         assert await harness.settle() == []
-        asked.request.body.abandon()
+        submitted.request.body.abandon()
 
     run_client_script(script)
 
 
 class WritingServerHarness(ServerActorHarness):
-    """A server's actor that has begun to write a large value."""
+    """A server actor with an attempt whose large value has been received in part."""
 
     def __init__(self) -> None:
         super().__init__()
         self.writer.write = self.writer.transport.sent.extend  # type: ignore[attr-defined]
-        self.job = self.attempt(PUT)
-        self.body = self.job.request.body = Pipe(ByteBudget(0))
+        self.write_attempt = self.attempt(WRITE_HEAD)
+        self.body = self.write_attempt.request.body = Pipe(ByteBudget(0))
         self.body.put(VALUE[:7])
 
     async def begin(self) -> None:
         self.fleet.context.supervisor = type(self.fleet.context.supervisor)()
-        self.deliver(messages.StartExchange(self.job))
+        self.deliver(messages.StartExchange(self.write_attempt))
         await settle()
-        assert self.writer.transport.sent == PUT.replace(b"d=500", b"d=400") + VALUE[:7]
+        assert self.writer.transport.sent == WRITE_HEAD.replace(b"d=500", b"d=400") + VALUE[:7]
 
 
 def test_a_chunked_write_is_counted_and_may_have_run_only_once_its_last_byte_is_written() -> None:
-    async def play(complete: bool, failure: str) -> tuple[AttemptResult, int]:
+    async def run_write(complete: bool, failure: str) -> tuple[AttemptResult, int]:
         server = WritingServerHarness()
         await server.begin()
         server.body.put(VALUE[7:50])
@@ -144,10 +145,10 @@
         assert complete or server.body.abandoned
         return outcomes[0].result, server.router_harness.router.telemetry.backend_calls
 
-    assert asyncio.run(play(False, "reset")) == (AttemptResult.CONNECT_FAILED, 0)
-    assert asyncio.run(play(True, "reset")) == (AttemptResult.RESET, 1)
-    assert asyncio.run(play(False, "answer")) == (AttemptResult.ERROR, 0)
-    assert asyncio.run(play(True, "answer")) == (AttemptResult.ERROR, 1)
+    assert asyncio.run(run_write(False, "reset")) == (AttemptResult.CONNECT_FAILED, 0)
+    assert asyncio.run(run_write(True, "reset")) == (AttemptResult.RESET, 1)
+    assert asyncio.run(run_write(False, "answer")) == (AttemptResult.ERROR, 0)
+    assert asyncio.run(run_write(True, "answer")) == (AttemptResult.ERROR, 1)
 
 
 def test_a_request_gets_its_deadline_once_its_value_is_received() -> None:
@@ -173,6 +174,6 @@
         driver = BalancerDriver(THROUGH._replace(hedging_allowed=True))
         request = Request(1, 1, 2000.0, key=7, cost_hint=40.0, is_write=True, single_use=True)
         send = only_send(driver.do(request))
-        assert sends(driver.pass_time(400.0)) == []  # no second copy of it either
+        assert sends(driver.pass_time(400.0)) == []  # it is not hedged either
         after = driver.end(send, result)
         assert sends(after) == [] and len(answers(after)) == 1
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers that open when their request may no longer be written, on real sockets."""
+"""Connections to cache servers that are established when their request must no longer be written, on real sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def intercept_opened(server: ServerActor) -> list[messages.ConnectCompleted]:
-    """Keep the messages about opened connections from a server's actor; return the list that takes them in."""
+    """Withhold the messages about established connections from a server's actor; return the list that collects them."""
     opened: list[messages.ConnectCompleted] = []
 
     def intercept(message: messages.Message) -> None:
@@ -25,7 +25,7 @@
 
 
 def test_nothing_is_written_on_a_connection_that_opens_after_the_client_disconnected(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             (server,) = harness.program.actors.fleet.actors.values()
             opened = intercept_opened(server)
@@ -34,7 +34,7 @@
             await until(lambda: bool(opened))
             (actor,) = harness.program.actors.clients.connections
             request = next(iter(actor.requests.slots_by_request))
-            request.cancelled = True  # the client has left; the router has not taken that in
+            request.cancelled = True  # the client has disconnected; the router has not handled that yet
             server.post(opened[0])
             await until(lambda: harness.counters["attempts.not_sent"] == 1)
             peer = await harness.server.accept()
@@ -43,22 +43,22 @@
                 peer.socket.recv(100)
             client.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_retry_whose_connection_opens_after_the_deduplication_window_is_not_written(tmp_path: Path) -> None:
-    """The module decided within the window in which servers drop repeats; the connection took the rest of it."""
+    """The router decided to retry within the window in which servers drop duplicates; the connect outlasted it."""
 
-    async def play() -> None:
-        grades = [{**CLASSES[1], "memorySpanMs": 1500.0}]
-        async with running_router(tmp_path, settings__grades=grades) as harness:
+    async def scenario() -> None:
+        classes = [{**CLASSES[1], "memorySpanMs": 1500.0}]
+        async with running_router(tmp_path, settings__grades=classes) as harness:
             client = await harness.client()
             await client.send(b"ms k 1 O1 Pc=keyed,d=5000\r\nx\r\n")
             first = await harness.server.accept()
             await first.until(b"x\r\n")
             (server,) = harness.program.actors.fleet.actors.values()
             opened = intercept_opened(server)
-            first.reset()  # it may have run
+            first.reset()  # the write may have been executed
             await until(lambda: bool(opened))
             assert harness.counters["attempts.started"] == 2
             harness.router.clock._base += 1500.0
@@ -70,4 +70,4 @@
                 second.socket.recv(100)
             assert await client.until(b"\r\n") == b"SERVER_ERROR failed\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -1,4 +1,4 @@
-"""The parsers of the meta protocol: valid messages in random cuts, and random garbage."""
+"""The parsers of the meta protocol, fed with valid messages in random fragments and with random garbage."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from starlingthread.net.meta import AnswerKind, Command, ControlCommand, MalformedCommand
 
 T = TypeVar("T")
-FIXED = settings(derandomize=True, deadline=None, max_examples=150)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 HEX = st.text("0123456789abcdef", min_size=1, max_size=16)
 
 
 @st.composite
 def commands(draw: st.DrawFn) -> bytes:
-    key, rid, wait = draw(HEX), draw(HEX), draw(st.integers(0, 9999))
+    key, request_id, timeout = draw(HEX), draw(HEX), draw(st.integers(0, 9999))
     extra = draw(st.sampled_from(["", ",r=1", ",size=120.5", ",k=5c0f6e1a2b3d4c59"]))
     if draw(st.booleans()):
-        return f"mg {key} v O{rid} Pc=read,d={wait}{extra}\r\n".encode()
+        return f"mg {key} v O{request_id} Pc=read,d={timeout}{extra}\r\n".encode()
     value = draw(st.binary(max_size=300))
-    return f"ms {key} {len(value)} O{rid} Pc=put,d={wait}{extra}\r\n".encode() + value + b"\r\n"
+    return f"ms {key} {len(value)} O{request_id} Pc=put,d={timeout}{extra}\r\n".encode() + value + b"\r\n"
 
 
 @st.composite
 def answers(draw: st.DrawFn) -> bytes:
     load = draw(st.sampled_from(["", " Linflight=7,queue=2,x0=0.61"]))
-    rid, value = draw(HEX), draw(st.binary(max_size=300))
+    request_id, value = draw(HEX), draw(st.binary(max_size=300))
     return draw(
         st.sampled_from(
             [
-                f"VA {len(value)} O{rid} h0 Z{load}\r\n".encode() + value + b"\r\n",
-                f"HD O{rid} c1234{load}\r\n".encode(),
+                f"VA {len(value)} O{request_id} h0 Z{load}\r\n".encode() + value + b"\r\n",
+                f"HD O{request_id} c1234{load}\r\n".encode(),
                 f"SERVER_ERROR busy{load}\r\n".encode(),
                 f"SERVER_ERROR failed{load}\r\n".encode(),
                 b"MN\r\n",
@@ -47,7 +47,7 @@
 
 
 def feed_in_fragments(feed: Callable[[bytes], Iterator[T]], data: bytes, cuts: list[int]) -> list[T]:
-    """Feed data cut at some places."""
+    """Feed data cut at the given positions; return the parsed items."""
     ends = sorted({p % (len(data) + 1) for p in cuts} | {len(data)})
     return [item for begin, end in zip([0, *ends], ends, strict=False) for item in feed(data[begin:end])]
 
@@ -55,7 +55,7 @@
 CUTS = st.lists(st.integers(0, 1 << 16), max_size=12)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(commands(), min_size=1, max_size=5), CUTS)
 def test_commands_survive_any_fragmentation_and_are_forwarded_unchanged(sent: list[bytes], cuts: list[int]) -> None:
     items = feed_in_fragments(meta.CommandParser().feed, b"".join(sent), cuts)
@@ -67,7 +67,7 @@
         assert item.timeout_ms == float(text[begin:end])
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(answers(), min_size=1, max_size=5), CUTS)
 def test_answers_survive_any_fragmentation(sent: list[bytes], cuts: list[int]) -> None:
     data = b"".join(sent)
@@ -89,7 +89,7 @@
 )
 
 
-@FIXED
+@DETERMINISTIC
 @given(GARBAGE, CUTS)
 def test_garbage_raises_nothing_and_is_not_buffered(parts: list[bytes], cuts: list[int]) -> None:
     data = b"".join(parts)
@@ -102,7 +102,7 @@
     assert command_parser._buffer.unread_bytes() <= meta.MAX_VALUE_BYTES + meta.MAX_HEAD_BYTES
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=60).filter(lambda b: b"\r\n" not in b))
 def test_a_line_that_never_ends_is_cut_off(start: bytes) -> None:
     items = list(meta.CommandParser().feed(start.replace(b"\r", b"x") + b"a" * meta.MAX_HEAD_BYTES))
@@ -133,7 +133,7 @@
 
 
 def test_a_malformed_head_is_answered_at_once_and_its_value_skipped() -> None:
-    """Guards memory and the three seconds in which such a client is owed an answer."""
+    """The value must not take memory, nor delay the answer, which such a client must get within three seconds."""
     parser, value = meta.CommandParser(), b"mn\r\n" * 2500
     (item,) = parser.feed(b"ms k 10000 O1 Pc=put,d=soon\r\n")
     assert isinstance(item, MalformedCommand) and not item.framing_lost
@@ -160,25 +160,25 @@
 LARGE_CUTS = st.lists(st.integers(0, 3 * meta.MAX_UNCHUNKED_BYTES), max_size=12)
 
 
-@FIXED
+@DETERMINISTIC
 @given(LARGE_VALUES, LARGE_CUTS, st.booleans())
 def test_large_values_are_chunked_at_any_fragmentation(values: list[bytes], cuts: list[int], is_command: bool) -> None:
-    """In either direction; none is ever put together, and the CRLF never comes in two pieces."""
+    """In both directions; no value is ever buffered completely, and its CRLF is never split over two chunks."""
     head = b"ms k %d O1 Pc=put,d=9" if is_command else b"VA %d O1 h1"
     sent = b"".join(head % len(v) + b"\r\n" + v + b"\r\n" for v in values)
     parser: meta.CommandParser | meta.AnswerParser = meta.CommandParser() if is_command else meta.AnswerParser()
     items = feed_in_fragments(parser.feed, sent, cuts)
     assert not parser.has_partial_input()
     for value in values:
-        begun = items.pop(0)
-        assert isinstance(begun, Command | meta.ServerAnswer) and begun.is_chunked and begun.length == len(value)
-        got = b""
-        while not got.endswith(b"\r\n") or len(got) < len(value) + 2:
+        first = items.pop(0)
+        assert isinstance(first, Command | meta.ServerAnswer) and first.is_chunked and first.length == len(value)
+        received = b""
+        while not received.endswith(b"\r\n") or len(received) < len(value) + 2:
             part = items.pop(0)
             assert isinstance(part, meta.ValueChunk) and part.data
-            got += part.data
-            assert part.last == (len(got) == len(value) + 2)
-        assert got == value + b"\r\n"
+            received += part.data
+            assert part.last == (len(received) == len(value) + 2)
+        assert received == value + b"\r\n"
     assert items == []
 
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,4 +1,4 @@
-"""The actor, pool and reader of a cache server's connections, fed by hand: no socket, no waiting."""
+"""The actor, pool and reader of a cache server's connections, driven by messages and bytes without any socket."""
 
 from __future__ import annotations
 
@@ -45,14 +45,17 @@
     assert harness.writer.transport.closed != reused and harness.actor.pool.open_count == reused
 
 
-@pytest.mark.parametrize("behind", [ANSWER, b"\xffnoise", b"SERVER_ERROR busy\r\n"])
-def test_data_behind_an_answer_answers_no_request(behind: bytes) -> None:
-    """Guards the next request on that connection, and non-idempotent requests against a stray 'busy'."""
+@pytest.mark.parametrize("extra", [ANSWER, b"\xffnoise", b"SERVER_ERROR busy\r\n"])
+def test_data_behind_an_answer_answers_no_request(extra: bytes) -> None:
+    """Extra data must not be taken for the answer to the next request on the connection.
+
+    A stray 'busy' would even make the router send a non-idempotent request again that may have been executed.
+    """
     for together in (True, False):
         harness = ServerActorHarness()
         attempt = harness.attempt()
         harness.deliver(messages.StartExchange(attempt))
-        results = harness.receive(ANSWER + behind) if together else harness.receive(ANSWER) + harness.receive(behind)
+        results = harness.receive(ANSWER + extra) if together else harness.receive(ANSWER) + harness.receive(extra)
         assert [m.result for m in results] == [AttemptResult.OK]
         assert harness.writer.transport.closed and not harness.actor.pool.idle and harness.actor.pool.open_count == 0
 
@@ -75,7 +78,7 @@
     assert harness.receive(b"VA 9 O1\r\nx\r\n") == []
     now = harness.router_harness.clock.time
     harness.actor._on_read_timeout(harness.connection, is_recheck=False, due=now)
-    # This timer is handled late: the rest of the answer may be here by now.
+    # This time-out is handled late: the rest of the answer may wait unread in the socket.
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now - 20.0)
     assert list(harness.router_harness.router.mailbox.take()) == [] and not harness.writer.transport.closed
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now)
@@ -84,7 +87,7 @@
 
 
 def test_a_connect_timeout_that_is_handled_late_is_extended() -> None:
-    """Guards an overloaded core, which would open all connections again."""
+    """On an overloaded core all connects would time out otherwise, and their repetition would cost even more of it."""
     harness = ServerActorHarness()
     attempt = harness.attempt()
     opener = harness.actor.opener
@@ -104,11 +107,11 @@
 
 
 def test_connections_to_an_old_address_or_that_have_ended_are_not_reused() -> None:
-    """Guards a new server at an old address, and requests against a connection that is known to be over."""
-    for spoil in ("moved", "ended"):
+    """A new server may be at the old address; a request on a connection that has ended would be lost."""
+    for cause in ("address changed", "connection ended"):
         harness = ServerActorHarness()
         attempt = harness.attempt()
-        if spoil == "moved":
+        if cause == "address changed":
             harness.actor.pool.address = ("127.0.0.1", 2)
         else:
             harness.reader.feed_eof()
@@ -117,26 +120,26 @@
 
 
 def test_connections_are_not_reused_after_idle_times_at_which_they_often_break() -> None:
-    """Guards against middleboxes that drop idle connections early and silently: the next request on them is lost."""
+    """Middleboxes may drop idle connections early and without notice: the next request on them would be lost."""
 
-    def fresh() -> ServerActorHarness:
+    def new_harness() -> ServerActorHarness:
         harness = ServerActorHarness()
-        harness.fleet.context.idle_failure_rates = risk
+        harness.fleet.context.idle_failure_rates = rates
         harness.connection.idle_since = harness.router_harness.clock.time - 200.0
         return harness
 
-    risk, now = IdleFailureRates(), ServerActorHarness().router_harness.clock.time
+    rates, now = IdleFailureRates(), ServerActorHarness().router_harness.clock.time
     for _ in range(20):
-        risk.record(now, 20.0, False)
-        risk.record(now, None, False)
-    risk.record(now, 200.0, True)
-    assert fresh().actor.pool.acquire(False) is not None and fresh().actor.pool.acquire(True) is None
-    risk.record(now, 200.0, True)
-    assert fresh().actor.pool.acquire(False) is None
-    assert risk.excess_failure_rate(now + 60000.0, 200.0) < pool.MAX_EXCESS_FAILURE_SHARE_WRITE  # tried again later
-    for _ in range(20):  # new ones break as often: then it is not for having been idle
-        risk.record(now, None, True)
-    assert fresh().actor.pool.acquire(True) is not None
+        rates.record(now, 20.0, False)
+        rates.record(now, None, False)
+    rates.record(now, 200.0, True)
+    assert new_harness().actor.pool.acquire(False) is not None and new_harness().actor.pool.acquire(True) is None
+    rates.record(now, 200.0, True)
+    assert new_harness().actor.pool.acquire(False) is None
+    assert rates.excess_failure_rate(now + 60000.0, 200.0) < pool.MAX_EXCESS_FAILURE_SHARE_WRITE  # reused again later
+    for _ in range(20):  # new connections fail as often: the idle time is not the cause
+        rates.record(now, None, True)
+    assert new_harness().actor.pool.acquire(True) is not None
 
 
 def test_a_connection_lost_after_the_write_is_a_reset_and_an_idle_one_ends_no_attempt() -> None:
@@ -150,21 +153,24 @@
     ) == [] and not idle.actor.pool.idle
 
 
-@pytest.mark.parametrize("spoil", ["unwanted", "over", "withdrawn", "late", "repeat", "drained"])
-def test_a_request_that_must_not_run_any_more_is_not_written(spoil: str) -> None:
-    """Guards the moment before a write: time has passed since the router decided to send."""
+@pytest.mark.parametrize(
+    "cause",
+    ["not pending", "finished", "cancelled", "after deadline", "after deduplication window", "after drain grace"],
+)
+def test_a_request_that_must_not_run_any_more_is_not_written(cause: str) -> None:
+    """The check runs immediately before the write, because time has passed since the router decided to send."""
     harness = ServerActorHarness()
     attempt = harness.attempt()
-    if spoil == "unwanted":
+    if cause == "not pending":
         attempt.pending = False
-    elif spoil == "over":
+    elif cause == "finished":
         attempt.request.finished = True
-    elif spoil == "withdrawn":
+    elif cause == "cancelled":
         attempt.request.cancelled = True
-    elif spoil == "repeat":
-        # It would reach the server after that has forgotten the first one's idempotency key.
+    elif cause == "after deduplication window":
+        # The request would reach the server after it has forgotten the idempotency key of the first attempt.
         attempt.write_deadline = harness.router_harness.clock.time + 4.0
-    elif spoil == "late":
+    elif cause == "after deadline":
         harness.router_harness.clock.time += 401.0
     else:
         harness.actor.draining_since = harness.router_harness.clock.time - THROUGH.drain_grace + 50.0
@@ -177,13 +183,13 @@
     attempt = harness.attempt()
     harness.deliver(messages.StartExchange(attempt))
     assert harness.deliver(messages.AbandonExchange(attempt)) == [] and harness.writer.transport.closed
-    old = ServerActorHarness()
-    old.router_harness.clock.time += 9000.0
-    old.deliver(messages.CloseIdle(old.fleet.context.settings.max_idle))
-    assert not old.writer.transport.closed
-    old.router_harness.clock.time += 1000.0
-    old.deliver(messages.CloseIdle(old.fleet.context.settings.max_idle))
-    assert old.writer.transport.closed and old.actor.pool.open_count == 0
+    idle_harness = ServerActorHarness()
+    idle_harness.router_harness.clock.time += 9000.0
+    idle_harness.deliver(messages.CloseIdle(idle_harness.fleet.context.settings.max_idle))
+    assert not idle_harness.writer.transport.closed
+    idle_harness.router_harness.clock.time += 1000.0
+    idle_harness.deliver(messages.CloseIdle(idle_harness.fleet.context.settings.max_idle))
+    assert idle_harness.writer.transport.closed and idle_harness.actor.pool.open_count == 0
 
 
 def test_a_stray_answer_closes_the_connection() -> None:
