--- a/starlingthread/net/meta/commands.py
+++ b/starlingthread/net/meta/commands.py
@@ -10,7 +10,7 @@
 from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
 from .responses import CRLF, ERROR_LINE
 
-NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # of a number in the fields of a command
+NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # matches a number in the fields of a command
 
 # One match parses a whole head and gives the positions of its parts, so that the head can be forwarded with only the
 # number of its time-out replaced.
