--- a/starlingthread/cli/results_output.py
+++ b/starlingthread/cli/results_output.py
@@ -14,7 +14,7 @@
 
     from ..analysis.results import Results
 
-MAX_PRINTED_ROUTERS = 10  # if a run has more routers, the busiest are printed
+MAX_PRINTED_ROUTERS = 10  # only the busiest routers are printed
 MAX_PRINTED_VIOLATIONS = 20
 CLASS_COLUMNS = ("class", "requests", "in time", "late", "rejected", "failed", "goodput", "p50 ms", "p99", "p99.9")
 PERCENTILES = ("50", "99", "99.9")
--- a/starlingthread/load/connection.py
+++ b/starlingthread/load/connection.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, Protocol, cast
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_OPEN_CONNECTIONS = 12000  # limit for one client process
+MAX_OPEN_CONNECTIONS = 12000  # most connections that one client process opens
 LINE_END = b"\r\n"
 
 
--- a/starlingthread/load/operations.py
+++ b/starlingthread/load/operations.py
@@ -16,8 +16,8 @@
 from .tasks import TaskSet
 
 LISTEN_PAST_DEADLINE_MS = 150.0  # clients listen this long after the deadline, so that late answers are recorded
-MIN_BUDGET_MS = 10.0  # no attempt is started with less time left before the deadline
-MIN_SEND_BUDGET_MS = 1.0  # no request is sent on an open connection with less time left
+MIN_BUDGET_MS = 10.0  # no attempt is started if less than this is left before the deadline
+MIN_SEND_BUDGET_MS = 1.0  # no request is sent if less than this is left when its connection is open
 NO_OPERATION = -1
 
 
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -26,7 +26,7 @@
 
 SEED_OFFSET = 1_000_003  # keeps the seeds distinct from those of other parts of the run
 SAMPLE_PERIOD_S = 0.25  # time between two samples of all routers
-MAX_ROUTERS_PER_SAMPLE_PERIOD = 30  # with more routers the period is longer, as sampling one takes 0.1 ms
+MAX_ROUTERS_PER_SAMPLE_PERIOD = 30  # runs with more routers sample less often, as each sample takes 0.1 ms
 START_MARGIN_S = 0.5  # time between the end of the set-up and the first request
 END_MARGIN_S = 2.0  # time past twice the longest deadline within which every operation must end
 UNLIMITED_HOLD_S = 1e9
@@ -84,9 +84,9 @@
                 injecting.cancel()
 
     async def _start_or_configure_router(
-        self, router: RouterProcess, start: bool, print_line: Callable[[str], None]
+        self, router: RouterProcess, must_start: bool, print_line: Callable[[str], None]
     ) -> None:
-        if start:
+        if must_start:
             await self.platform.start_router(router.number)
             print_line(f"router {router.name} listens at {router.listen[0]}:{router.listen[1]}")
         else:
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -107,7 +107,9 @@
 
     def _make_server(self, model: ServerModel, rng: np.random.Generator) -> CacheServer:
         link_draws = UniformDraws(rng)
-        stripe = PortStripe(1 + self.number, 1 + self.scenario.machine.server_processes)  # 0 is the coordinator's
+        stripe = PortStripe(
+            1 + self.number, 1 + self.scenario.machine.server_processes
+        )  # stripe 0 is the coordinator's
         links = [
             ServerLink(group, link_draws, distance_ms(self.scenario, model.number, group), stripe)
             for group in range(link_groups(self.scenario))
