--- a/starlingthread/balance/key.py
+++ b/starlingthread/balance/key.py
@@ -9,13 +9,13 @@
 class KeyOwners:
     """The owners that a router uses for one key."""
 
-    __slots__ = ("_owners", "_popularity", "_version", "spread")
+    __slots__ = ("_owners", "_popularity", "_version", "is_spread")
 
     def __init__(self) -> None:
         self._owners: list[Owner] = []
         self._version = -1  # of the endpoint list from which they were computed; -1: recompute
         self._popularity: Popularity | None = None
-        self.spread = False  # the key has more owners than this router uses, so other routers use other ones
+        self.is_spread = False  # the key has more owners than this router uses, so other routers use other ones
 
     def owners(
         self, now: float, key: int, is_write: bool, rendezvous: Rendezvous, demand: FleetDemand | None
@@ -30,5 +30,5 @@
         if self._version != rendezvous.version:
             self._owners = rendezvous.owners(key, owner_count)
             self._version = rendezvous.version
-            self.spread = owner_count > rendezvous.default_owner_count
+            self.is_spread = owner_count > rendezvous.default_owner_count
         return self._owners
--- a/starlingthread/balance/load.py
+++ b/starlingthread/balance/load.py
@@ -10,23 +10,23 @@
 import math
 from collections.abc import Sequence
 
-REPORT_HALF_LIFE = 2000.0  # ms; of a load report's weight against the mean
-WAIT_HALF_LIFE = 1000.0  # ms; of the weight of the queueing time that a response or a time-out showed
+REPORT_HALF_LIFE_MS = 2000.0  # ms; of a load report's weight against the mean
+WAIT_HALF_LIFE_MS = 1000.0  # ms; of the weight of the queueing time that a response or a time-out showed
 REPORT_GAIN = 0.05  # weight of one load report in the mean over all servers
 WAIT_GAIN = 0.1  # weight of one attempt's queueing time in the mean over all servers
 MAX_UTILIZATION = 0.95  # at which a reported utilization is clamped, as the waiting time it implies has no bound
-CORES = 2.0  # requests that a server is assumed to process concurrently, as no load report contains it
+ASSUMED_CORES = 2.0  # requests that a server is assumed to process concurrently, as no load report contains it
 LOAD_FIELDS = ("inflight", "queue", "util")  # of a load report
 
 
 class ServerLoad:
     """The last observations of one server's load."""
 
-    __slots__ = ("report", "report_at", "wait", "wait_at")
+    __slots__ = ("reported_at", "reported_queue", "wait", "wait_at")
 
     def __init__(self) -> None:
-        self.report = 0.0  # requests ahead of a new one, per core, by the last load report
-        self.report_at = -math.inf
+        self.reported_queue = 0.0  # requests ahead of a new one, per core, by the last load report
+        self.reported_at = -math.inf
         self.wait = 0.0  # ms of waiting that the last attempt met
         self.wait_at = -math.inf
 
@@ -37,10 +37,10 @@
     Waits are in ms, reported queues in requests per core.
     """
 
-    __slots__ = ("_field_index", "mean_report", "mean_wait")
+    __slots__ = ("_field_index", "mean_reported_queue", "mean_wait")
 
     def __init__(self) -> None:
-        self.mean_report = 0.0
+        self.mean_reported_queue = 0.0
         self.mean_wait = 0.0
         self._field_index: dict[str, int] = {}
 
@@ -50,13 +50,13 @@
 
     def expected_wait(self, now: float, load: ServerLoad) -> float:
         """Return the waiting in ms to expect by the last attempt."""
-        weight = math.exp2((load.wait_at - now) / WAIT_HALF_LIFE)
+        weight = math.exp2((load.wait_at - now) / WAIT_HALF_LIFE_MS)
         return load.wait * weight + self.mean_wait * (1 - weight)
 
     def reported_queue(self, now: float, load: ServerLoad) -> float:
         """Return the requests ahead of a new one, per core, to expect by the last load report."""
-        weight = math.exp2((load.report_at - now) / REPORT_HALF_LIFE)
-        return load.report * weight + self.mean_report * (1 - weight)
+        weight = math.exp2((load.reported_at - now) / REPORT_HALF_LIFE_MS)
+        return load.reported_queue * weight + self.mean_reported_queue * (1 - weight)
 
     def on_report(self, now: float, load: ServerLoad, report: Sequence[float]) -> None:
         """Record a load report, whose missing values count as 0.
@@ -66,18 +66,18 @@
         """
         if not report or not self._field_index:
             return
-        load.report = max(
+        load.reported_queue = max(
             _waiting_requests(name, max(0.0, report[index]) if index < len(report) else 0.0)
             for name, index in self._field_index.items()
         )
-        load.report_at = now
-        self.mean_report += (load.report - self.mean_report) * REPORT_GAIN
+        load.reported_at = now
+        self.mean_reported_queue += (load.reported_queue - self.mean_reported_queue) * REPORT_GAIN
 
-    def on_wait(self, now: float, load: ServerLoad, wait: float, counts: bool) -> None:
+    def on_wait(self, now: float, load: ServerLoad, wait: float, counts_for_mean: bool) -> None:
         """Record the ms of waiting that an attempt met, and whether it counts for the mean."""
         load.wait = max(0.0, wait)
         load.wait_at = now
-        if counts:
+        if counts_for_mean:
             self.mean_wait += (load.wait - self.mean_wait) * WAIT_GAIN
 
 
@@ -86,4 +86,4 @@
     if field == "util":
         utilization = min(value, MAX_UTILIZATION)
         return utilization / (1 - utilization)  # the mean number in an M/M/1 queue
-    return value / CORES
+    return value / ASSUMED_CORES
--- a/starlingthread/balance/popularity.py
+++ b/starlingthread/balance/popularity.py
@@ -12,14 +12,16 @@
 
 import math
 
-SHORT_HALF_LIFE = 5000.0  # ms; of the count that follows a sudden crowd
-LONG_HALF_LIFE = 60000.0  # ms; of the count that tells rare keys apart
-SHORT_LIFE = SHORT_HALF_LIFE / math.log(2)  # ms; mean life
-LONG_LIFE = LONG_HALF_LIFE / math.log(2)
-CACHED_TIME = 10000.0  # ms; about as long as a cache keeps an unrequested value (COUNT_HALF_LIFE in state/records.py)
-MIN_REQUESTS = 4.0  # by all routers to one owner, before it loses the key, that justify the owner's fetch
+SHORT_HALF_LIFE_MS = 5000.0  # ms; of the count that follows a sudden crowd
+LONG_HALF_LIFE_MS = 60000.0  # ms; of the count that tells rare keys apart
+SHORT_MEAN_LIFE_MS = SHORT_HALF_LIFE_MS / math.log(2)  # ms; mean life
+LONG_MEAN_LIFE_MS = LONG_HALF_LIFE_MS / math.log(2)
+CACHED_TIME_MS = (
+    10000.0  # ms; about as long as a cache keeps an unrequested value (COUNT_HALF_LIFE_MS in state/records.py)
+)
+MIN_REQUESTS_PER_OWNER = 4.0  # by all routers to one owner, before it loses the key, that justify the owner's fetch
 RELEASE_SHARE = 0.5  # of the present number of owners; a lower wanted number reduces it (hysteresis)
-PRIOR_READS = 10.0  # reads of a key that weigh as much in its share of writes as the share over all keys
+PRIOR_READ_COUNT = 10.0  # reads of a key that weigh as much in its share of writes as the share over all keys
 WRITE_SHARE_GAIN = 0.01  # weight of one request in the share of writes over all keys
 
 
@@ -69,22 +71,24 @@
         return True
 
     def _count(self, now: float, is_write: bool) -> None:
-        passed = max(0.0, now - self._updated_at)
-        long_decay = math.exp(-passed / LONG_LIFE)
-        self._short_reads = self._short_reads * math.exp(-passed / SHORT_LIFE) + (not is_write)
+        elapsed = max(0.0, now - self._updated_at)
+        long_decay = math.exp(-elapsed / LONG_MEAN_LIFE_MS)
+        self._short_reads = self._short_reads * math.exp(-elapsed / SHORT_MEAN_LIFE_MS) + (not is_write)
         self._long_reads = self._long_reads * long_decay + (not is_write)
         self._long_writes = self._long_writes * long_decay + is_write
         self._updated_at = now
 
     def _wanted_owners(self, demand: FleetDemand) -> float:
         read_rate = self._min_read_rate() * demand.routers  # all routers get like parts of the traffic
-        writes = self._long_writes + PRIOR_READS * demand.write_share
-        write_rate = read_rate * writes / (self._long_reads + PRIOR_READS)
-        return min(demand.servers, read_rate / (1.0 / CACHED_TIME + write_rate) / MIN_REQUESTS)
+        writes = self._long_writes + PRIOR_READ_COUNT * demand.write_share
+        write_rate = read_rate * writes / (self._long_reads + PRIOR_READ_COUNT)
+        return min(demand.servers, read_rate / (1.0 / CACHED_TIME_MS + write_rate) / MIN_REQUESTS_PER_OWNER)
 
     def _min_read_rate(self) -> float:
         """Return the lower bound of the reads per ms at this router."""
-        return max(_lower_bound(self._short_reads) / SHORT_LIFE, _lower_bound(self._long_reads) / LONG_LIFE)
+        return max(
+            _lower_bound(self._short_reads) / SHORT_MEAN_LIFE_MS, _lower_bound(self._long_reads) / LONG_MEAN_LIFE_MS
+        )
 
 
 def _lower_bound(count: float) -> float:
--- a/starlingthread/balance/rendezvous.py
+++ b/starlingthread/balance/rendezvous.py
@@ -12,14 +12,14 @@
 from heapq import nlargest
 from typing import NamedTuple
 
-MASK = (1 << 64) - 1
+HASH_MASK = (1 << 64) - 1
 MIN_WEIGHT = 1e-3  # selects a server for next to no key; a weight of 0 would divide by zero
 
 
 def mix(value: int) -> int:
     """Hash a 64-bit number, the same at every router."""
-    value = (value ^ (value >> 31)) * 0x9E3779B97F4A7C15 & MASK
-    value = (value ^ (value >> 29)) * 0xBF58476D1CE4E5B9 & MASK
+    value = (value ^ (value >> 31)) * 0x9E3779B97F4A7C15 & HASH_MASK
+    value = (value ^ (value >> 29)) * 0xBF58476D1CE4E5B9 & HASH_MASK
     return value ^ (value >> 32)
 
 
@@ -36,7 +36,7 @@
 
     number: int
     rank: int
-    near: bool
+    in_zone: bool
 
 
 class Rendezvous:
@@ -88,7 +88,7 @@
     The greatest scores select the owners. These are plain tuples as there is one per server for each new key.
     """
     return [
-        (math.log((mix(key ^ candidate.salt) + 1) / MASK) / candidate.weight, candidate.number, candidate)
+        (math.log((mix(key ^ candidate.salt) + 1) / HASH_MASK) / candidate.weight, candidate.number, candidate)
         for candidate in group
     ]
 
@@ -99,4 +99,4 @@
     Hashed twice: a key's owners are the servers with the greatest of its hashes, and of those none would be under a
     share.
     """
-    return mix(mix(key ^ salt) ^ salt) < share * MASK
+    return mix(mix(key ^ salt) ^ salt) < share * HASH_MASK
--- a/starlingthread/baselines/policies.py
+++ b/starlingthread/baselines/policies.py
@@ -103,7 +103,7 @@
     def pick(self, state: RequestState, servers: list[Server]) -> Server:
         """Return the less loaded of two servers."""
         draw = self.fleet.rng.choice
-        return min(draw(servers), draw(servers), key=lambda server: server.load.report)
+        return min(draw(servers), draw(servers), key=lambda server: server.load.reported_queue)
 
 
 class LeastReported(BaselineChoice):
@@ -114,7 +114,7 @@
 
     def pick(self, state: RequestState, servers: list[Server]) -> Server:
         """Return the server of the least load, by its number where loads are equal."""
-        return min(servers, key=lambda server: (server.load.report, server.endpoint.server))
+        return min(servers, key=lambda server: (server.load.reported_queue, server.endpoint.server))
 
 
 class OracleLoadEstimate(LoadEstimate):
@@ -133,7 +133,7 @@
         if cell is None:
             return 0.0
         load: float = LOAD_CELL.unpack_from(self._cells, cell * LOAD_CELL.size)[0]
-        return load * self.service_times.mean
+        return load * self.service_times.mean_time
 
     def queueing_delay(self, now: float, server: Server, expected_wait: float) -> float:
         """Return the delay (ms) by all requests at a server."""
@@ -141,7 +141,7 @@
 
     def expected_wait(self, now: float, server: Server) -> float:
         """Return the wait (ms) before a server begins with another request."""
-        return max(0.0, self._true_delay(server) - self.service_times.mean)
+        return max(0.0, self._true_delay(server) - self.service_times.mean_time)
 
 
 def balancer_with(choice: type[ServerChoice] = ServerChoice, load: type[LoadEstimate] = LoadEstimate) -> type[Balancer]:
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from ..balance.rendezvous import MASK, mix
+from ..balance.rendezvous import HASH_MASK, mix
 from .recovery import ZoneState
 from .votes import (
     MAX_SEQUENCE_AHEAD,
@@ -74,7 +74,7 @@
     def is_open(self, now: float, zone: int, key: int) -> bool:
         """Tell whether a zone may serve a key (a 64-bit hash) by the plan."""
         state = self.zones.get(zone)
-        return state is None or mix(key ^ mix(zone + 1)) < state.open_share(now) * MASK
+        return state is None or mix(key ^ mix(zone + 1)) < state.open_share(now) * HASH_MASK
 
     def is_contested(self, now: float, zone: int) -> bool:
         """Tell whether a zone is lost, or any valid vote calls it lost."""
--- a/starlingthread/limits/budgets.py
+++ b/starlingthread/limits/budgets.py
@@ -14,7 +14,9 @@
 MIN_CONNECTIONS = 16
 CLIENT_SHARE = 0.5  # of the rest for clients, whose requests need a third of all; the other half for servers
 IDLE_CLIENT_SHARE = 0.16  # of all, for clients; they may take a third, and new requests need some that are free
-MEMORY_GROWTH = 1.25  # memory of the process with full tables and some hundred connections, in terms of that at rest
+MEMORY_GROWTH_FACTOR = (
+    1.25  # memory of the process with full tables and some hundred connections, in terms of that at rest
+)
 BUFFERED_SHARE = 0.3  # of the remaining memory, for values that are buffered completely
 STREAMED_SHARE = 0.2  # of the remaining memory, for streamed values beyond one chunk each
 MIN_REMAINING_MB = 2.0  # budgeted in any case: a router that can buffer nothing serves nothing
@@ -45,7 +47,7 @@
         management = max(MIN_MANAGEMENT_CONNECTIONS, int(own_descriptors * MANAGEMENT_SHARE))
     connections = max(MIN_CONNECTIONS, own_descriptors - PROCESS_DESCRIPTORS - management)
     clients = int(connections * CLIENT_SHARE)
-    remaining_bytes = max(MIN_REMAINING_MB, memory_mb * share - idle_mb * MEMORY_GROWTH) * BYTES_PER_MB
+    remaining_bytes = max(MIN_REMAINING_MB, memory_mb * share - idle_mb * MEMORY_GROWTH_FACTOR) * BYTES_PER_MB
     return ResourceBudgets(
         max_clients=clients,
         idle_client_threshold=int(own_descriptors * IDLE_CLIENT_SHARE),
--- a/starlingthread/limits/concurrency.py
+++ b/starlingthread/limits/concurrency.py
@@ -2,7 +2,8 @@
 
 The number of a server's cores, the length of its queue and the load from other routers are unknown. What is observable
 is the latency of responses, and rejections. So the limit follows the share of failures: it grows a little with each
-success and shrinks more with each failure, and settles where one response in INCREASE / (INCREASE + DECREASE) fails.
+success and shrinks more with each failure, and settles at a share of
+failures of INCREASE_PER_SUCCESS / (INCREASE_PER_SUCCESS + DECREASE_PER_FAILURE).
 Both steps are constant per response, so the limit of a server with 64 cores, which responds 64 times as often, is found
 as fast as that of a server with one core. The idea is TCP's (Jacobson, "Congestion Avoidance and Control", 1988); the
 steps are those that track a quantile (Robbins and Monro, "A Stochastic Approximation Method", 1951), as a single
@@ -13,10 +14,10 @@
 
 import math
 
-SAFE_LIMIT = 8.0  # recovered also while few requests are in flight, as a few failures say little
-DEFAULT_MINIMUM = 1.0  # one request is always allowed, to find out that the server has recovered
-INCREASE = 0.1  # for each success
-DECREASE = 0.5  # for each failure
+RECOVERY_LIMIT_REQUESTS = 8.0  # recovered also while few requests are in flight, as a few failures say little
+DEFAULT_MIN_LIMIT_REQUESTS = 1.0  # one request is always allowed, to find out that the server has recovered
+INCREASE_PER_SUCCESS = 0.1  # for each success
+DECREASE_PER_FAILURE = 0.5  # for each failure
 MIN_UTILIZATION = 0.5  # of the limit; a success at a lower one says nothing about a higher limit
 
 
@@ -25,7 +26,7 @@
 
     __slots__ = ("limit", "minimum")
 
-    def __init__(self, minimum: float = DEFAULT_MINIMUM) -> None:
+    def __init__(self, minimum: float = DEFAULT_MIN_LIMIT_REQUESTS) -> None:
         self.limit = math.inf
         self.minimum = minimum
 
@@ -40,16 +41,16 @@
 
     def on_success(self, in_flight: float) -> None:
         """Record a response in good time to a request that was sent as the in_flight-th one in flight."""
-        if in_flight >= self.limit * MIN_UTILIZATION or self.limit < SAFE_LIMIT:
-            self.limit += INCREASE
+        if in_flight >= self.limit * MIN_UTILIZATION or self.limit < RECOVERY_LIMIT_REQUESTS:
+            self.limit += INCREASE_PER_SUCCESS
 
     def on_failure(self, in_flight: float) -> None:
         """Record a late or missing response; if the limit is not learned, it starts at the number in flight."""
-        self.limit = max(self.minimum, min(self.limit, max(SAFE_LIMIT, in_flight)) - DECREASE)
+        self.limit = max(self.minimum, min(self.limit, max(RECOVERY_LIMIT_REQUESTS, in_flight)) - DECREASE_PER_FAILURE)
 
     def on_rejection(self, in_flight: float) -> None:
         """Record a rejection of the in_flight-th request in flight: that many exceed the server's capacity."""
-        self.limit = max(self.minimum, min(self.limit, in_flight) - DECREASE)
+        self.limit = max(self.minimum, min(self.limit, in_flight) - DECREASE_PER_FAILURE)
 
     def allows(self, in_flight: float, random: float = 0.0) -> bool:
         """Tell whether one more request may be sent.
--- a/starlingthread/limits/hedging.py
+++ b/starlingthread/limits/hedging.py
@@ -14,14 +14,16 @@
 from ..events import AttemptResult
 from .outliers import OutlierDetector
 
-HEDGE_DELAY = 0.65  # of the latency objective, after which a request may be hedged
+HEDGE_DELAY_SHARE = 0.65  # of the latency objective, after which a request may be hedged
 UNCOUNTED_DELAY_FACTOR = 1.2  # applied to the delay for a server that has not counted the key
 MIN_HIT_PROBABILITY = 0.5  # from which a long wait is not put down to a fetch from the origin
 MIN_LOST_SHARE = 0.5  # of the checked requests that never got a response, from which hedging them pays
 LOST_SHARE_GAIN = 0.05  # weight of one request in that share
 EXPLORATION_SHARE = 0.1  # of these requests that are not hedged, to learn when responses come again
-EARNED_TOKENS = 0.03  # hedges per first attempt
-EARNED_TOKENS_WHEN_LOSING = 0.15  # likewise while requests get lost: the first attempt then costs the server nothing
+TOKENS_PER_FIRST_ATTEMPT = 0.03  # hedges per first attempt
+TOKENS_PER_FIRST_ATTEMPT_UNDER_LOSS = (
+    0.15  # likewise while requests get lost: the first attempt then costs the server nothing
+)
 MAX_TOKENS = 6.0
 MAX_OVERDUE_RATIO = 2.0  # times the expected time of a request and a fetch; beyond, a fetch is an unlikely cause
 
@@ -36,16 +38,16 @@
         self.lost_share = 0.0  # of the requests checked at servers that responded to others: those without a response
 
     @property
-    def _is_losing(self) -> bool:
+    def _has_frequent_losses(self) -> bool:
         return self.lost_share > MIN_LOST_SHARE
 
     def on_first_attempt(self, latency_objective: float, counted: bool) -> float:
         """Record a first attempt, which earns a part of a hedge; return the delay after which to check it."""
-        earned = EARNED_TOKENS_WHEN_LOSING if self._is_losing else EARNED_TOKENS
+        earned = TOKENS_PER_FIRST_ATTEMPT_UNDER_LOSS if self._has_frequent_losses else TOKENS_PER_FIRST_ATTEMPT
         self.tokens = min(MAX_TOKENS, self.tokens + earned)
-        return HEDGE_DELAY * latency_objective * (1.0 if counted else UNCOUNTED_DELAY_FACTOR)
+        return HEDGE_DELAY_SHARE * latency_objective * (1.0 if counted else UNCOUNTED_DELAY_FACTOR)
 
-    def is_worthwhile(
+    def should_hedge(
         self, sent_at: float, outliers: OutlierDetector, hit_probability: float, overdue_ratio: float, random: float
     ) -> bool:
         """Tell whether to hedge an outstanding request.
@@ -58,11 +60,13 @@
         if outliers.last_response_at <= sent_at:
             return True
         is_overdue = hit_probability > MIN_HIT_PROBABILITY or overdue_ratio > MAX_OVERDUE_RATIO
-        return is_overdue and self._is_losing and random >= EXPLORATION_SHARE
+        return is_overdue and self._has_frequent_losses and random >= EXPLORATION_SHARE
 
     def is_lost(self, result: AttemptResult, sent_at: float, outliers: OutlierDetector) -> bool:
         """Tell whether a request got lost by itself, as its server answered requests that were sent later."""
-        return result == AttemptResult.TIMEOUT and self._is_losing and outliers.last_answered_sent_at > sent_at
+        return (
+            result == AttemptResult.TIMEOUT and self._has_frequent_losses and outliers.last_answered_sent_at > sent_at
+        )
 
     def on_outcome(self, result: AttemptResult, hit_probability: float) -> None:
         """Record the outcome of a request that was checked and not hedged."""
--- a/starlingthread/limits/machine_speed.py
+++ b/starlingthread/limits/machine_speed.py
@@ -12,7 +12,7 @@
 MIN_GAIN = 0.005  # weight of one response in a kind's mean; greater while there are few
 UPDATE_RATIO = 1.1  # change of a speed at which all are updated, so that owners seldom move
 MIN_RESPONSES = 50  # of a kind before its speed is used
-MIN_RESPONSE_TIME = 1e-3  # ms
+MIN_RESPONSE_TIME_MS = 1e-3  # ms
 
 
 class MachineSpeeds:
@@ -39,7 +39,7 @@
         self._response_count[kind] = self._response_count.get(kind, 0) + 1
         gain = max(MIN_GAIN, 1.0 / self._response_count[kind])
         mean = self._mean_log_time.get(kind, 0.0)
-        self._mean_log_time[kind] = mean + (math.log(max(elapsed, MIN_RESPONSE_TIME)) - mean) * gain
+        self._mean_log_time[kind] = mean + (math.log(max(elapsed, MIN_RESPONSE_TIME_MS)) - mean) * gain
 
     def speed(self, kind: int) -> float:
         """Return the speed of a kind relative to the fastest one; 1 if it is not known yet."""
--- a/starlingthread/limits/origin_limit.py
+++ b/starlingthread/limits/origin_limit.py
@@ -13,10 +13,10 @@
 from .concurrency import ConcurrencyLimit
 from .replicas import ReplicaLimit
 
-MINIMUM = 0.2  # concurrent fetches; more than none, to find out that the origin has recovered
+MIN_LIMIT_FETCHES = 0.2  # concurrent fetches; more than none, to find out that the origin has recovered
 LATE_SHARE = 0.9  # of the latency objective; a slower fetch shows that the origin is overloaded
 REJECTED_SHARE_GAIN = 0.05  # weight of one likely fetch in the share of them that is rejected
-LIKELY_FETCH = 0.5  # probability beyond which a request counts as a likely fetch
+LIKELY_FETCH_PROBABILITY = 0.5  # probability beyond which a request counts as a likely fetch
 
 
 class OriginLimit:
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.in_flight = 0.0  # sum of the fetch probabilities of all requests in flight
         self.rejected_share = 0.0  # of the recent likely fetches
-        self.limit = ConcurrencyLimit(MINIMUM)
+        self.limit = ConcurrencyLimit(MIN_LIMIT_FETCHES)
         self.replicas = ReplicaLimit()
 
     def allows(self, now: float, fetch_probability: float, random: float, is_write: bool = False) -> bool:
@@ -39,7 +39,7 @@
         """
         in_flight = 0.0 if is_write else self.in_flight * fetch_probability
         allowed = self.limit.allows(in_flight, random * fetch_probability)
-        if fetch_probability > LIKELY_FETCH and not is_write:
+        if fetch_probability > LIKELY_FETCH_PROBABILITY and not is_write:
             self.rejected_share += ((not allowed) - self.rejected_share) * REJECTED_SHARE_GAIN
             self.replicas.observe(now, self.rejected_share)
         return allowed
--- a/starlingthread/limits/outliers.py
+++ b/starlingthread/limits/outliers.py
@@ -6,7 +6,7 @@
 
 from ..events import AttemptResult
 
-BASE_EJECTION_TIME = 250.0  # ms; doubled for each further failure
+BASE_EJECTION_TIME_MS = 250.0  # ms; doubled for each further failure
 MAX_EJECTION_DOUBLINGS = 4
 MAX_CONSECUTIVE_FAILURES = 3  # each sent after the one before was known; as many show a fault of the server
 MAX_CONSECUTIVE_CONNECT_FAILURES = 2  # likewise for connections that could not be established
@@ -53,11 +53,11 @@
             return
         self.consecutive_failures += 1
         self.last_failure_at = now
-        allowed = MAX_CONSECUTIVE_CONNECT_FAILURES if connect_failed else MAX_CONSECUTIVE_FAILURES
-        excess = self.consecutive_failures - allowed
-        if excess >= 0:
-            factor = float(1 << min(excess, MAX_EJECTION_DOUBLINGS))
-            self.ejected_until = now + BASE_EJECTION_TIME * factor * jitter
+        max_failures = MAX_CONSECUTIVE_CONNECT_FAILURES if connect_failed else MAX_CONSECUTIVE_FAILURES
+        excess_failures = self.consecutive_failures - max_failures
+        if excess_failures >= 0:
+            factor = float(1 << min(excess_failures, MAX_EJECTION_DOUBLINGS))
+            self.ejected_until = now + BASE_EJECTION_TIME_MS * factor * jitter
 
     @property
     def is_faulty(self) -> bool:
--- a/starlingthread/limits/queue_limit.py
+++ b/starlingthread/limits/queue_limit.py
@@ -11,28 +11,36 @@
 
 import math
 
-TARGET_QUEUE_TIME = 3.0  # ms; under that of limits/shedding.py, which is left what this limit can't prevent
-INTERVAL = 100.0  # ms between changes of the limit
-PATIENCE = 500.0  # ms of waits over the target after which there is a limit: a burst is over by then
-MIN_LIMIT = 4.0  # requests
-MIN_DECREASE = 0.5  # factor on the limit in one interval, at the least
-INCREASE = 1.1  # factor on the limit in one interval
-UNLIMITED_FROM = 1000.0  # requests; a limit that has grown beyond is lifted
+TARGET_QUEUE_TIME_MS = 3.0  # ms; under that of limits/shedding.py, which is left what this limit can't prevent
+ADJUSTMENT_INTERVAL_MS = 100.0  # ms between changes of the limit
+SUSTAINED_OVERLOAD_MS = 500.0  # ms of waits over the target after which there is a limit: a burst is over by then
+MIN_LIMIT_REQUESTS = 4.0  # requests
+MIN_DECREASE_FACTOR = 0.5  # factor on the limit in one interval, at the least
+INCREASE_FACTOR = 1.1  # factor on the limit in one interval
+MAX_LIMIT_REQUESTS = 1000.0  # requests; a limit that has grown beyond is lifted
 
 
 class QueueLimit:
     """The limit of one router; infinite until its core is overloaded."""
 
-    __slots__ = ("_longest", "_met_at", "_queue_time_sum", "_requests", "_stepped_at", "limit", "limited_since")
+    __slots__ = (
+        "_adjusted_at",
+        "_max_queue_length",
+        "_queue_time_sum",
+        "_request_count",
+        "_target_met_at",
+        "limit",
+        "limited_since",
+    )
 
     def __init__(self) -> None:
         self.limit = math.inf  # requests
         self.limited_since = math.inf  # clock time from which on there is a limit
-        self._stepped_at = -math.inf
-        self._met_at = -math.inf  # clock time of the last step at which waits met the target
-        self._requests = 0  # observed in this interval
+        self._adjusted_at = -math.inf
+        self._target_met_at = -math.inf  # clock time of the last step at which waits met the target
+        self._request_count = 0  # observed in this interval
         self._queue_time_sum = 0.0
-        self._longest = 0  # queue that a request met in this interval
+        self._max_queue_length = 0  # queue that a request met in this interval
 
     @property
     def is_limited(self) -> bool:
@@ -44,27 +52,27 @@
 
         queued: the requests queued already; relative_weight: of the request; the limit is in requests of weight 1.
         """
-        self._longest = max(self._longest, queued + 1)
+        self._max_queue_length = max(self._max_queue_length, queued + 1)
         return queued + 1 <= self.limit * relative_weight
 
     def observe(self, now: float, queue_time: float) -> None:
         """Record for how long a request was queued; 0 while the core has spare capacity."""
-        self._requests += 1
+        self._request_count += 1
         self._queue_time_sum += queue_time
-        if now - self._stepped_at >= INTERVAL:
-            self._step(now, self._queue_time_sum / self._requests)
+        if now - self._adjusted_at >= ADJUSTMENT_INTERVAL_MS:
+            self._adjust(now, self._queue_time_sum / self._request_count)
 
-    def _step(self, now: float, mean_queue_time: float) -> None:
-        if mean_queue_time <= TARGET_QUEUE_TIME:
-            self._met_at = now
-            self.limit *= INCREASE
-        elif self.is_limited or now - self._met_at >= PATIENCE:
-            factor = max(MIN_DECREASE, TARGET_QUEUE_TIME / mean_queue_time)
-            self.limit = max(MIN_LIMIT, min(self.limit, self._longest) * factor)
+    def _adjust(self, now: float, mean_queue_time: float) -> None:
+        if mean_queue_time <= TARGET_QUEUE_TIME_MS:
+            self._target_met_at = now
+            self.limit *= INCREASE_FACTOR
+        elif self.is_limited or now - self._target_met_at >= SUSTAINED_OVERLOAD_MS:
+            factor = max(MIN_DECREASE_FACTOR, TARGET_QUEUE_TIME_MS / mean_queue_time)
+            self.limit = max(MIN_LIMIT_REQUESTS, min(self.limit, self._max_queue_length) * factor)
             self.limited_since = min(self.limited_since, now)
-        if self.limit >= UNLIMITED_FROM:
+        if self.limit >= MAX_LIMIT_REQUESTS:
             self.limit = self.limited_since = math.inf
-        self._stepped_at = now
-        self._requests = 0
+        self._adjusted_at = now
+        self._request_count = 0
         self._queue_time_sum = 0.0
-        self._longest = 0
+        self._max_queue_length = 0
--- a/starlingthread/limits/replicas.py
+++ b/starlingthread/limits/replicas.py
@@ -13,9 +13,9 @@
 
 HIGH_PRESSURE = 0.1  # share of rejected fetches above which replicas are given up
 LOW_PRESSURE = 0.02  # share of rejected fetches below which they are restored
-REDUCTION_TIME = 1000.0  # ms in which all keys give up one tier of replicas
-RESTORATION_TIME = 20000.0  # ms in which all keys restore one tier: slower, as each restored replica is a fetch
-TIERS = 2.0  # first the owners inside the zone, then those of the fleet beyond the first one
+TIER_REDUCTION_TIME_MS = 1000.0  # ms in which all keys give up one tier of replicas
+TIER_RESTORATION_TIME_MS = 20000.0  # ms in which all keys restore one tier: slower, as each restored replica is a fetch
+TIER_COUNT = 2.0  # first the owners inside the zone, then those of the fleet beyond the first one
 KEY_ORDER_BITS = 16
 
 
@@ -30,12 +30,12 @@
 
     def observe(self, now: float, pressure: float) -> None:
         """Record the share of recent fetches that were rejected; a time (ms) that goes back changes nothing."""
-        passed = max(0.0, now - self.updated_at)
+        elapsed = max(0.0, now - self.updated_at)
         self.updated_at = now
         if pressure > HIGH_PRESSURE:
-            self.level = min(TIERS, self.level + passed / REDUCTION_TIME)
+            self.level = min(TIER_COUNT, self.level + elapsed / TIER_REDUCTION_TIME_MS)
         elif pressure < LOW_PRESSURE:
-            self.level = max(0.0, self.level - passed / RESTORATION_TIME)
+            self.level = max(0.0, self.level - elapsed / TIER_RESTORATION_TIME_MS)
 
     def allows(self, key: int, rank: int, in_zone: bool) -> bool:
         """Tell whether a key (a 64-bit hash) may be cached at its owner of this rank, in its zone or the fleet."""
--- a/starlingthread/limits/service_time.py
+++ b/starlingthread/limits/service_time.py
@@ -18,12 +18,12 @@
 MIN_HINTED_RESPONSES = 50  # before hints are used
 MIN_VARIANCE = 1e-6  # of the logarithms of hints, before hints are used
 TYPICAL_GAIN = 0.1  # weight of a response in the typical time; greater while there are few
-SLOWER_WEIGHT = 0.3  # factor on the weight of a response slower than typical, as queueing is not service
+SLOW_RESPONSE_GAIN_FACTOR = 0.3  # factor on the weight of a response slower than typical, as queueing is not service
 MIN_RESPONSES = 10  # before the typical time tells that a request would be late
 MAX_DEVIATIONS = 2.5  # standard deviations of the logarithms of hints at which a hint is clamped
 MIN_HINT = 1e-9  # hints outside of these bounds, and NaN, count as none
 MAX_HINT = 1e12
-MIN_RESPONSE_TIME = 0.1  # ms
+MIN_RESPONSE_TIME_MS = 0.1  # ms
 
 
 class ServiceTime:
@@ -35,13 +35,13 @@
         "mean_log_hint",
         "mean_log_time",
         "response_count",
-        "typical",
+        "typical_time",
         "variance",
     )
 
-    def __init__(self, first_guess: float) -> None:
+    def __init__(self, initial_estimate: float) -> None:
         """Begin with a first guess (ms), used until there is a response."""
-        self.typical = first_guess  # ms
+        self.typical_time = initial_estimate  # ms
         self.response_count = 0
         self.hinted_count = 0  # responses to requests with a hint
         self.mean_log_hint = 0.0
@@ -55,23 +55,23 @@
         return self.response_count > 0
 
     @property
-    def is_settled(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether so many responses have been seen that a single one says little."""
         return self.response_count >= MIN_RESPONSES
 
-    def expected(self, hint: float) -> float:
+    def expected_time(self, hint: float) -> float:
         """Return the expected time in ms of a request with this hint; 0 means none."""
-        return self.typical * self._hint_factor(hint)
+        return self.typical_time * self._hint_factor(hint)
 
     def observe(self, hint: float, elapsed: float) -> None:
         """Record the hint of a request and the time in ms of its response."""
-        elapsed = max(elapsed, MIN_RESPONSE_TIME)
-        typical = elapsed / self._hint_factor(hint)
+        elapsed = max(elapsed, MIN_RESPONSE_TIME_MS)
+        relative_elapsed = elapsed / self._hint_factor(hint)
         self.response_count += 1
         gain = max(TYPICAL_GAIN, 1.0 / self.response_count)
-        if typical > self.typical and self.response_count > 1:
-            gain *= SLOWER_WEIGHT
-        self.typical += (typical - self.typical) * gain
+        if relative_elapsed > self.typical_time and self.response_count > 1:
+            gain *= SLOW_RESPONSE_GAIN_FACTOR
+        self.typical_time += (relative_elapsed - self.typical_time) * gain
         if _is_usable(hint):
             self._update_statistics(math.log(hint), math.log(elapsed))
 
--- a/starlingthread/limits/service_times.py
+++ b/starlingthread/limits/service_times.py
@@ -11,7 +11,7 @@
 from ..settings import RequestClass
 from .service_time import ServiceTime
 
-FIRST_GUESS_SHARE = 0.1  # of the latency objective
+INITIAL_ESTIMATE_SHARE = 0.1  # of the latency objective
 MEAN_GAIN = 0.05  # weight of a response in the mean over all classes; greater while there are few
 
 
@@ -21,15 +21,15 @@
     def __init__(self, classes: Sequence[RequestClass]) -> None:
         super().__init__()
         self.apply_classes(classes)
-        self.mean = self[classes[0].name].typical  # a guess until the first response
+        self.mean_time = self[classes[0].name].typical_time  # a guess until the first response
         self._response_count = 0
 
     def apply_classes(self, classes: Sequence[RequestClass]) -> None:
         """Switch to other classes; what was learned for a class stays with its name."""
-        first_guesses = {c.name: ServiceTime(c.latency_objective * FIRST_GUESS_SHARE) for c in classes}
-        learned = {name: self[name] for name in first_guesses if name in self}
+        initial_estimates = {c.name: ServiceTime(c.latency_objective * INITIAL_ESTIMATE_SHARE) for c in classes}
+        learned = {name: self[name] for name in initial_estimates if name in self}
         self.clear()
-        self.update(first_guesses | learned)
+        self.update(initial_estimates | learned)
 
     def observe(self, class_name: str, hint: float, elapsed: float) -> None:
         """Record the hint of a request and the time of its response; a class that is gone by now is ignored."""
@@ -39,19 +39,19 @@
         service_time.observe(hint, elapsed)
         self._response_count += 1
         gain = max(MEAN_GAIN, 1.0 / self._response_count)
-        self.mean += (service_time.expected(hint) - self.mean) * gain
+        self.mean_time += (service_time.expected_time(hint) - self.mean_time) * gain
 
     def relative_cost(self, class_name: str, cost: float) -> float:
         """Return a cost (ms) in requests of mean cost, at least 1; 1 while the class is not learned."""
         service_time = self.get(class_name)
-        return max(1.0, cost / self.mean) if service_time and service_time.is_learned else 1.0
+        return max(1.0, cost / self.mean_time) if service_time and service_time.is_learned else 1.0
 
-    def is_settled(self, class_name: str) -> bool:
+    def has_converged(self, class_name: str) -> bool:
         """Return whether one response of a class says little by now, so that its time may tell that one is late."""
         service_time = self.get(class_name)
-        return service_time is not None and service_time.is_settled
+        return service_time is not None and service_time.has_converged
 
-    def without_wait(self, class_name: str, hint: float, elapsed: float, expected: float, speed: float) -> float:
+    def time_without_wait(self, class_name: str, hint: float, elapsed: float, expected: float, speed: float) -> float:
         """Return the part of a response's time, elapsed, that was no wait.
 
         expected: as expected when it was sent; speed: of its server. The first guess may be far too low. Taken for
@@ -61,4 +61,4 @@
         service_time = self.get(class_name)
         if service_time is None:
             return expected
-        return max(expected, service_time.expected(hint) / speed) if service_time.is_learned else elapsed
+        return max(expected, service_time.expected_time(hint) / speed) if service_time.is_learned else elapsed
--- a/starlingthread/limits/shedding.py
+++ b/starlingthread/limits/shedding.py
@@ -4,11 +4,11 @@
 
 import math
 
-MAX_QUEUE_TIME = 15.0  # ms that requests may wait here on average; beyond, this router is overloaded
-STEP_INTERVAL = 100.0  # ms between changes of the share that is shed
+MAX_MEAN_QUEUE_TIME_MS = 15.0  # ms that requests may wait here on average; beyond, this router is overloaded
+ADJUSTMENT_INTERVAL_MS = 100.0  # ms between changes of the share that is shed
 SHARE_INCREASE = 0.03  # for each step while overloaded
 SHARE_DECREASE = 0.02  # for each step otherwise
-MAX_SHARE = 0.8
+MAX_SHED_SHARE = 0.8
 QUEUE_TIME_GAIN = 0.05  # weight of one request in the mean
 
 
@@ -19,20 +19,20 @@
     is not put down to the servers.
     """
 
-    __slots__ = ("mean_queue_time", "share", "stepped_at")
+    __slots__ = ("adjusted_at", "mean_queue_time", "share")
 
     def __init__(self) -> None:
         self.mean_queue_time = 0.0
         self.share = 0.0
-        self.stepped_at = -math.inf
+        self.adjusted_at = -math.inf
 
-    def shed_share(self, now: float, queue_time: float) -> float:
+    def update_shed_share(self, now: float, queue_time: float) -> float:
         """Record how long a request was queued; return the share that is to be shed."""
         self.mean_queue_time += (queue_time - self.mean_queue_time) * QUEUE_TIME_GAIN
-        if now - self.stepped_at >= STEP_INTERVAL:
-            self.stepped_at = now
-            if self.mean_queue_time > MAX_QUEUE_TIME:
-                self.share = min(MAX_SHARE, self.share + SHARE_INCREASE)
+        if now - self.adjusted_at >= ADJUSTMENT_INTERVAL_MS:
+            self.adjusted_at = now
+            if self.mean_queue_time > MAX_MEAN_QUEUE_TIME_MS:
+                self.share = min(MAX_SHED_SHARE, self.share + SHARE_INCREASE)
             else:
                 self.share = max(0.0, self.share - SHARE_DECREASE)
         return self.share
--- a/starlingthread/limits/slow_start.py
+++ b/starlingthread/limits/slow_start.py
@@ -13,11 +13,13 @@
 
 from ..settings import Settings
 
-MARGIN = 1.0  # of the guaranteed capacity: the settings give the lowest share and the longest duration
+WARM_SHARE_FACTOR = 1.0  # of the guaranteed capacity: the settings give the lowest share and the longest duration
 BURST_SHARE = 0.5  # of the overload factor: this multiple of the server's part, as the demand for keys is uneven
-SAVED_SHARE = 0.5  # of one window's tokens that may be saved, so that no window gets over 0.75 of the overload factor
-MIN_TOTAL_SPEED = 1e-9
-WARM_LIFE = 100.0  # ms for which the sum of the warm shares of all servers is cached
+SAVED_TOKENS_SHARE = (
+    0.5  # of one window's tokens that may be saved, so that no window gets over 0.75 of the overload factor
+)
+MIN_TOTAL_CAPACITY = 1e-9
+WARM_CAPACITY_CACHE_MS = 100.0  # ms for which the sum of the warm shares of all servers is cached
 
 
 def warm_share(now: float, started: float, initial_share: float, duration: float) -> float:
@@ -46,7 +48,7 @@
         * settings.overload_factor
         * capacity
         * served_rate
-        / max(total_capacity, capacity, MIN_TOTAL_SPEED),
+        / max(total_capacity, capacity, MIN_TOTAL_CAPACITY),
     )
 
 
@@ -73,8 +75,8 @@
 
     def per_ms(self, now: float) -> float:
         """Return the requests per ms since the start; the first ms counts as complete."""
-        observed = self.half_life / math.log(2) * (1 - math.exp2((self.started_at - now) / self.half_life))
-        return self._count_at(now) / max(1.0, observed)
+        effective_duration = self.half_life / math.log(2) * (1 - math.exp2((self.started_at - now) / self.half_life))
+        return self._count_at(now) / max(1.0, effective_duration)
 
     def _count_at(self, now: float) -> float:
         return self.count * math.exp2((self.updated_at - now) / self.half_life)
@@ -102,9 +104,9 @@
     def allows(self, now: float, rate: float, window: float, cost: float) -> bool:
         """Tell whether a request of this cost may be sent now.
 
-        rate: tokens per ms; window: ms, of whose tokens SAVED_SHARE may be saved.
+        rate: tokens per ms; window: ms, of whose tokens SAVED_TOKENS_SHARE may be saved.
         """
-        capacity = max(1.0, SAVED_SHARE * rate * window)
+        capacity = max(1.0, SAVED_TOKENS_SHARE * rate * window)
         self.tokens = min(capacity, self.tokens + rate * max(0.0, now - self.updated_at))
         self.updated_at = now
         return self.tokens >= min(cost, capacity)
@@ -115,7 +117,7 @@
 
 
 class WarmCapacity:
-    """The capacity of all ready servers, in warm servers of the fastest kind; summed anew only after WARM_LIFE."""
+    """The capacity of all ready servers, in warm servers of the fastest kind; cached for WARM_CAPACITY_CACHE_MS."""
 
     __slots__ = ("_capacity", "_summed_at", "_version")
 
@@ -126,7 +128,7 @@
 
     def at(self, now: float, version: int, sum_capacity: Callable[[], float]) -> float:
         """Return the capacity at a time (ms) with a version of the endpoint list."""
-        if now - self._summed_at > WARM_LIFE or self._version != version:
+        if now - self._summed_at > WARM_CAPACITY_CACHE_MS or self._version != version:
             self._summed_at = now
             self._version = version
             self._capacity = sum_capacity()
--- a/starlingthread/limits/trunk_reservation.py
+++ b/starlingthread/limits/trunk_reservation.py
@@ -10,8 +10,10 @@
 from __future__ import annotations
 
 MAX_RESERVED_SHARE = 0.5  # of a server's limit
-FULL_RESERVATION_AT = 0.2  # share of requests that find their server at its limit from which all of that is reserved
-AT_LIMIT_GAIN = 0.02  # weight of one request in that share
+FULL_RESERVATION_AT_LIMIT_SHARE = (
+    0.2  # share of requests that find their server at its limit from which all of that is reserved
+)
+AT_LIMIT_SHARE_GAIN = 0.02  # weight of one request in that share
 
 
 class TrunkReservation:
@@ -24,10 +26,15 @@
 
     def observe(self, at_limit: bool) -> None:
         """Record whether a request found the server that was chosen for it at its limit."""
-        self.at_limit_share += (at_limit - self.at_limit_share) * AT_LIMIT_GAIN
+        self.at_limit_share += (at_limit - self.at_limit_share) * AT_LIMIT_SHARE_GAIN
 
     def reserved_slots(self, limit: float, fetch_probability: float, is_write: bool) -> float:
         """Return the slots of a limit that are closed to a read with this fetch probability; none are to a write."""
         if is_write:
             return 0.0
-        return MAX_RESERVED_SHARE * min(1.0, self.at_limit_share / FULL_RESERVATION_AT) * limit * fetch_probability
+        return (
+            MAX_RESERVED_SHARE
+            * min(1.0, self.at_limit_share / FULL_RESERVATION_AT_LIMIT_SHARE)
+            * limit
+            * fetch_probability
+        )
--- a/starlingthread/policy/admission.py
+++ b/starlingthread/policy/admission.py
@@ -48,7 +48,7 @@
         """Check whether this router's own core and tables can take a new request."""
         if len(self.fleet.requests) >= self.fleet.settings.max_open_requests:
             return Rejection.ROUTER_OVERLOADED
-        shed_share = self.core.shed_share(now, state.request.queue_time)
+        shed_share = self.core.update_shed_share(now, state.request.queue_time)
         if shed_share > 0 and self.fleet.rng.random() < shed_share ** self._relative_weight(state.request_class):
             return Rejection.ROUTER_OVERLOADED
         return None
--- a/starlingthread/policy/attempt_gate.py
+++ b/starlingthread/policy/attempt_gate.py
@@ -7,7 +7,7 @@
 from ..actions import Send
 from ..balance.rendezvous import is_key_in_share
 from ..events import NEVER_EXECUTED, AttemptResult, Outcome
-from ..limits.slow_start import MARGIN, WarmCapacity, slow_start_rate, warm_share
+from ..limits.slow_start import WARM_SHARE_FACTOR, WarmCapacity, slow_start_rate, warm_share
 from ..settings import Idempotency
 from ..state.records import AttemptRecord, PossibleExecution, RequestState, Server
 from .load_estimate import LoadEstimate
@@ -123,7 +123,7 @@
         share = self._warm_share(now, server)
         if share >= 1:
             return True
-        share *= MARGIN
+        share *= WARM_SHARE_FACTOR
         if not is_key_in_share(state.request.key or state.request.id, server.salt, share):
             return False
         # Guards against retries, bursts and hot keys that meet at a server that warms up, in any window in which it
--- a/starlingthread/policy/balancer.py
+++ b/starlingthread/policy/balancer.py
@@ -109,7 +109,7 @@
         if request.id in fleet.requests or not 0 <= request.class_index < len(classes):
             return
         request_class = classes[request.class_index]
-        expected_cost = self.load.service_times[request_class.name].expected(request.cost_hint)
+        expected_cost = self.load.service_times[request_class.name].expected_time(request.cost_hint)
         state = RequestState(request, request_class, now, expected_cost)
         fleet.requests[request.id] = state
         self.dispatcher.dispatch(now, state, self.routing.first_step(now, state))
--- a/starlingthread/policy/completion.py
+++ b/starlingthread/policy/completion.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..actions import Cancel, Fail, Reject
-from ..balance.rendezvous import MASK, mix
+from ..balance.rendezvous import HASH_MASK, mix
 from ..settings import Idempotency
 from ..state.records import RequestState
 from .affinity import Affinity
@@ -45,7 +45,7 @@
 
     def _retry_after(self, state: RequestState) -> float:
         """Return the Retry-After (ms), spread by the request's id so that a crowd does not come back in step."""
-        spread = 0.5 + mix(state.request.id) / MASK
+        spread = 0.5 + mix(state.request.id) / HASH_MASK
         retry_after = RETRY_AFTER_SHARE * state.request_class.latency_objective * spread
         return min(self.fleet.settings.max_retry_after, retry_after)
 
--- a/starlingthread/policy/hedging.py
+++ b/starlingthread/policy/hedging.py
@@ -105,7 +105,7 @@
             return False
         usual_time = load.expected_service_time(state, server) + load.origin_throttle.typical_fetch_time
         overdue = (now - attempt.sent_at) / usual_time
-        return self.budget.is_worthwhile(attempt.sent_at, server.outliers, state.hit_probability, overdue, draw)
+        return self.budget.should_hedge(attempt.sent_at, server.outliers, state.hit_probability, overdue, draw)
 
     def _hedge(self, now: float, state: RequestState, attempt: AttemptRecord) -> None:
         """Send a second attempt to another server, if there is one."""
--- a/starlingthread/policy/load_estimate.py
+++ b/starlingthread/policy/load_estimate.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..balance.load import CORES, WaitEstimates
+from ..balance.load import ASSUMED_CORES, WaitEstimates
 from ..events import AttemptResult, CacheStatus, Outcome
 from ..limits.machine_speed import MachineSpeeds
 from ..limits.origin_limit import OriginLimit
@@ -10,7 +10,7 @@
 from ..limits.service_times import ServiceTimes
 from ..limits.slow_start import ServedRate
 from ..state.fleet import Fleet
-from ..state.records import COUNT_HALF_LIFE, RequestState, Server
+from ..state.records import COUNT_HALF_LIFE_MS, RequestState, Server
 
 FETCH_SHARE = 0.15  # of the latency objective: first estimate of an origin fetch's time
 LATE_FETCH = 0.9  # of the latency objective; a slower fetch is worth nothing: the origin is overloaded
@@ -32,7 +32,7 @@
         self.origin_throttle = OriginThrottle(min(c.latency_objective for c in classes) * FETCH_SHARE)
         self.service_times = ServiceTimes(classes)
         self.apply_settings()
-        self.served_rate = ServedRate(COUNT_HALF_LIFE)
+        self.served_rate = ServedRate(COUNT_HALF_LIFE_MS)
 
     def apply_settings(self) -> None:
         """Apply changed settings; service times learned for a class stay with its name."""
@@ -51,14 +51,14 @@
     def time_without_wait(self, state: RequestState, server: Server, event: Outcome, expected_time: float) -> float:
         """Return the part of a response's time (ms) that was no wait; expected_time: as expected when it was sent."""
         name, hint, speed = state.request_class.name, state.request.cost_hint, self.speed(server)
-        return self.service_times.without_wait(name, hint, event.response_time, expected_time, speed)
+        return self.service_times.time_without_wait(name, hint, event.response_time, expected_time, speed)
 
     def is_late(self, now: float, state: RequestState, server: Server, wait: float) -> bool:
         """Return whether a request that waits so long (ms) at a server would be late, as far as is known.
 
         Until a class is settled only the wait counts: one slow first response must not make it look hopeless.
         """
-        if self.service_times.is_settled(state.request_class.name):
+        if self.service_times.has_converged(state.request_class.name):
             wait += self.expected_service_time(state, server)
         return wait > self.time_limit(now, state)
 
@@ -68,8 +68,8 @@
 
     def queueing_delay(self, now: float, server: Server, expected_wait: float) -> float:
         """Return the delay (ms) by this router's attempts in flight, and by the other load that shows there."""
-        own_delay = server.cost_in_flight / server.concurrency.slots(CORES)
-        reported_wait = self.wait_estimates.reported_queue(now, server.load) * self.service_times.mean
+        own_delay = server.cost_in_flight / server.concurrency.slots(ASSUMED_CORES)
+        reported_wait = self.wait_estimates.reported_queue(now, server.load) * self.service_times.mean_time
         return own_delay + max(reported_wait, expected_wait)
 
     def time_limit(self, now: float, state: RequestState) -> float:
@@ -138,7 +138,7 @@
         name, hint = state.request_class.name, state.request.cost_hint
         service_time = self.service_times.get(name)
         if service_time and service_time.is_learned and event.cache_status == CacheStatus.HIT:
-            relative_time = event.response_time / service_time.expected(hint)
+            relative_time = event.response_time / service_time.expected_time(hint)
             self.speed_version += self.machine_speeds.observe(server.endpoint.kind, relative_time)
         self.service_times.observe(name, hint, event.response_time * self.speed(server))
         self.served_rate.record(now)
--- a/starlingthread/policy/server_choice.py
+++ b/starlingthread/policy/server_choice.py
@@ -5,7 +5,7 @@
 import math
 from typing import NamedTuple, TypeAlias
 
-from ..balance.load import CORES
+from ..balance.load import ASSUMED_CORES
 from ..balance.rendezvous import Owner
 from ..settings import RequestClass
 from ..state.records import NO_COUNT, AffinityCount, KeyState, OwnerGroup, RequestState, Server
@@ -82,7 +82,7 @@
             return KeyAffinity({}, [], 0.0)
         counts = self.affinity.current_counts(now, key_state)
         owners = self.affinity.owners(now, key_state, state.request)
-        if key_state.owners.spread:  # a hot key stays at this router's part of its owners
+        if key_state.owners.is_spread:  # a hot key stays at this router's part of its owners
             counts = {owner.number: counts[owner.number] for owner in owners if owner.number in counts}
         rarity = math.log(max(1.0, len(self.fleet.ready) / len(counts))) if counts else 0.0
         return KeyAffinity(counts, owners, rarity)
@@ -167,7 +167,7 @@
         expected_wait = self.load.expected_wait(now, server)
         wait = expected_wait
         if not server.concurrency.is_learned:
-            wait = max(wait, server.cost_in_flight / CORES)
+            wait = max(wait, server.cost_in_flight / ASSUMED_CORES)
         is_late = not server.concurrency.allows(server.attempts_in_flight) or self.load.is_late(
             now, state, server, wait
         )
--- a/starlingthread/state/fleet.py
+++ b/starlingthread/state/fleet.py
@@ -54,7 +54,7 @@
             self._mark_unlisted(event)
         for endpoint in event.endpoints:
             self._apply_endpoint(endpoint)
-        self._forget_removed(now)
+        self._drop_removed_servers(now)
         self.classify_servers()
 
     def _mark_unlisted(self, event: EndpointList) -> None:
@@ -75,7 +75,7 @@
             server.attempts_in_flight = known.attempts_in_flight
         self.servers[endpoint.server] = server
 
-    def _forget_removed(self, now: float) -> None:
+    def _drop_removed_servers(self, now: float) -> None:
         """Drop servers that were unavailable for so long that no attempt can be in flight; bounds memory."""
         for number, server in list(self.servers.items()):
             server.unavailable_since = min(server.unavailable_since, now) if server.unavailable else math.inf
--- a/starlingthread/state/records.py
+++ b/starlingthread/state/records.py
@@ -16,11 +16,11 @@
 from ..limits.slow_start import SlowStartBudget
 from ..settings import RequestClass
 
-COUNT_HALF_LIFE = 10000.0  # ms; of counts: about as long as a cache keeps a value without requests
+COUNT_HALF_LIFE_MS = 10000.0  # ms; of counts: about as long as a cache keeps a value without requests
 HIT_BIAS_GAIN = 0.5  # how far one observed hit or miss moves the hit bias
 MAX_KEYS = 20000  # keys with counts; bounds memory, far above what one router sees in a cache's lifetime
-KEY_LIFETIME = 35000.0  # ms; the counts of a key without requests for so long have faded
-MAX_EVICTIONS = 2  # for each new key: the table shrinks again after a crowd of keys
+KEY_RETENTION_MS = 35000.0  # ms; the counts of a key without requests for so long have faded
+MAX_EVICTIONS_PER_NEW_KEY = 2  # for each new key: the table shrinks again after a crowd of keys
 
 
 class OwnerGroup(IntEnum):
@@ -57,7 +57,7 @@
 
     def at(self, now: float) -> AffinityCount:
         """Return the count decayed up to now."""
-        request_count = self.request_count * math.exp2((self.updated_at - now) / COUNT_HALF_LIFE)
+        request_count = self.request_count * math.exp2((self.updated_at - now) / COUNT_HALF_LIFE_MS)
         return AffinityCount(request_count, now, self.hit_bias)
 
 
@@ -120,12 +120,12 @@
         """Note that a server did not have the key cached; take back its count if the fetch failed as well."""
         self._update(now, server, -1.0 if fetch_failed else 0.0, -1.0)
 
-    def _update(self, now: float, server: int, added: float, observed: float) -> None:
-        """Add to a count, and move the hit bias towards what was observed (0: nothing)."""
+    def _update(self, now: float, server: int, added_count: float, observation: float) -> None:
+        """Add to a count, and move the hit bias towards the observation (1: hit, -1: miss, 0: none)."""
         request_count, _, hit_bias = self.counts.get(server, NO_COUNT).at(now)
-        if observed:
-            hit_bias += (observed - hit_bias) * HIT_BIAS_GAIN
-        self.counts[server] = AffinityCount(max(0.0, request_count + added), now, hit_bias)
+        if observation:
+            hit_bias += (observation - hit_bias) * HIT_BIAS_GAIN
+        self.counts[server] = AffinityCount(max(0.0, request_count + added_count), now, hit_bias)
 
 
 class KeyTable(OrderedDict[int, KeyState]):
@@ -143,9 +143,9 @@
         return state
 
     def _evict(self, now: float) -> None:
-        for _ in range(MAX_EVICTIONS):
+        for _ in range(MAX_EVICTIONS_PER_NEW_KEY):
             key, state = next(iter(self.items()))
-            is_expired = len(self) > MAX_KEYS or now - state.used_at > KEY_LIFETIME
+            is_expired = len(self) > MAX_KEYS or now - state.used_at > KEY_RETENTION_MS
             if not is_expired or state.waiting or state.fetching_request:
                 break
             del self[key]
--- a/tests/test_core_overload.py
+++ b/tests/test_core_overload.py
@@ -9,12 +9,17 @@
 import pytest
 
 from starlingthread.core.cpu_monitor import CpuMonitor
-from starlingthread.limits.queue_limit import INTERVAL, PATIENCE, TARGET_QUEUE_TIME, QueueLimit
+from starlingthread.limits.queue_limit import (
+    ADJUSTMENT_INTERVAL_MS,
+    SUSTAINED_OVERLOAD_MS,
+    TARGET_QUEUE_TIME_MS,
+    QueueLimit,
+)
 
 from .balancer_driver import IDEMPOTENCY_KEY, READ, THROUGH, BalancerDriver
 from .peers import read_command, running_router, until, value_answer
 
-LONG_WAIT = 4 * TARGET_QUEUE_TIME
+LONG_WAIT = 4 * TARGET_QUEUE_TIME_MS
 
 
 def observe(limit: QueueLimit, begin: float, length: float, wait: float, queued: int = 100) -> float:
@@ -40,8 +45,8 @@
 
 def test_a_burst_and_short_waits_set_no_limit() -> None:
     limit = QueueLimit()
-    now = observe(limit, 0.0, 5000.0, TARGET_QUEUE_TIME)
-    now = observe(limit, now, PATIENCE - 2 * INTERVAL, LONG_WAIT)
+    now = observe(limit, 0.0, 5000.0, TARGET_QUEUE_TIME_MS)
+    now = observe(limit, now, SUSTAINED_OVERLOAD_MS - 2 * ADJUSTMENT_INTERVAL_MS, LONG_WAIT)
     observe(limit, now, 1000.0, 0.0)
     assert not limit.is_limited and limit.allows(10**6, 0.01)
 
@@ -49,7 +54,7 @@
 def test_a_standing_queue_is_limited_and_the_limit_lifted_once_waits_are_short() -> None:
     """Guards against requests that all wait until they are late, as the router rejects nothing."""
     limit = QueueLimit()
-    now = observe(limit, 0.0, PATIENCE + 2 * INTERVAL, LONG_WAIT)
+    now = observe(limit, 0.0, SUSTAINED_OVERLOAD_MS + 2 * ADJUSTMENT_INTERVAL_MS, LONG_WAIT)
     assert limit.is_limited and not limit.allows(100, 1.0) and limit.allows(0, 1.0)
     observe(limit, now, 10000.0, 0.0)
     assert not limit.is_limited
--- a/tests/test_first_guess.py
+++ b/tests/test_first_guess.py
@@ -51,5 +51,5 @@
         driver.now += 50.0
         driver.finish(only_send(driver.do(Request(number, READ, 1000.0, key=number))), 5.0)
     load = driver.balancer.load
-    assert load.service_times.mean == pytest.approx(5.0)
-    assert load.service_times.relative_cost("unsafe", load.service_times["unsafe"].expected(0.0)) == 1.0
+    assert load.service_times.mean_time == pytest.approx(5.0)
+    assert load.service_times.relative_cost("unsafe", load.service_times["unsafe"].expected_time(0.0)) == 1.0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,14 +10,14 @@
 
 from starlingthread.limits.budgets import (
     BYTES_PER_MB,
-    MEMORY_GROWTH,
+    MEMORY_GROWTH_FACTOR,
     MIN_MANAGEMENT_CONNECTIONS,
     MIN_REMAINING_MB,
     PROCESS_DESCRIPTORS,
     split_budgets,
 )
 from starlingthread.limits.machine_speed import MIN_RESPONSES, MachineSpeeds
-from starlingthread.limits.replicas import REDUCTION_TIME, RESTORATION_TIME, TIERS, ReplicaLimit
+from starlingthread.limits.replicas import TIER_COUNT, TIER_REDUCTION_TIME_MS, TIER_RESTORATION_TIME_MS, ReplicaLimit
 from starlingthread.limits.slow_start import ServedRate, SlowStartBudget, first_tokens, warm_share
 
 KEYS = range(0, 1 << 16, 257)
@@ -40,14 +40,14 @@
     for key in KEYS:
         assert allowed(at_level(0.0), key) == everything
         assert allowed(at_level(1.0), key) in (fleet, everything)
-        assert allowed(at_level(TIERS), key) in ({(0, False)}, fleet)
+        assert allowed(at_level(TIER_COUNT), key) in ({(0, False)}, fleet)
     shares = [sum(len(allowed(at_level(level / 10), key)) for key in KEYS) / len(KEYS) for level in range(21)]
     assert shares == sorted(shares, reverse=True) and 0.9 < shares[20] < 1.1
     # A tenth of the way moves a tenth of the keys, not all at once.
     assert all(before - after < 0.5 for before, after in pairwise(shares))
 
 
-@given(st.floats(0, TIERS), st.floats(0, 0.05), st.integers(0, (1 << 64) - 1))
+@given(st.floats(0, TIER_COUNT), st.floats(0, 0.05), st.integers(0, (1 << 64) - 1))
 def test_routers_whose_levels_differ_a_little_agree_on_nearly_all_keys(level: float, off: float, salt: int) -> None:
     keys = [(key + salt) & ((1 << 64) - 1) for key in KEYS]
     one, other = at_level(level), at_level(level + off)
@@ -60,15 +60,15 @@
     for passed, pressure in steps:
         now += passed
         limit.observe(now, pressure)
-        assert 0.0 <= limit.level <= TIERS
-    for _ in range(int(2 * TIERS * RESTORATION_TIME / 1000.0)):
+        assert 0.0 <= limit.level <= TIER_COUNT
+    for _ in range(int(2 * TIER_COUNT * TIER_RESTORATION_TIME_MS / 1000.0)):
         now += 1000.0
         limit.observe(now, 0.0)
     assert limit.level < 1e-6
-    limit.observe(now + REDUCTION_TIME * TIERS, 1.0)
-    assert limit.level > TIERS - 1e-6
+    limit.observe(now + TIER_REDUCTION_TIME_MS * TIER_COUNT, 1.0)
+    assert limit.level > TIER_COUNT - 1e-6
     limit.observe(now - 5000.0, 0.0)  # a time that goes back changes nothing
-    assert limit.level > TIERS - 1e-6
+    assert limit.level > TIER_COUNT - 1e-6
 
 
 def test_the_slow_start_follows_the_lowest_guaranteed_share() -> None:
@@ -128,8 +128,8 @@
         assert budgets.idle_client_threshold <= budgets.max_clients or descriptors < 256
         # Where half the memory is enough for a process at all, both together stay within it.
         values = budgets.buffered_values + budgets.streamed_values
-        if memory * part > idle * MEMORY_GROWTH + MIN_REMAINING_MB:
-            assert idle * MEMORY_GROWTH * BYTES_PER_MB + values <= memory * part * BYTES_PER_MB
+        if memory * part > idle * MEMORY_GROWTH_FACTOR + MIN_REMAINING_MB:
+            assert idle * MEMORY_GROWTH_FACTOR * BYTES_PER_MB + values <= memory * part * BYTES_PER_MB
         assert management >= MIN_MANAGEMENT_CONNECTIONS if has_management else management == 0
         assert min(budgets.max_clients, budgets.server_connections) >= 8
         assert min(budgets.buffered_values, budgets.streamed_values) > 0
--- a/tests/test_maintenance_and_reload.py
+++ b/tests/test_maintenance_and_reload.py
@@ -292,9 +292,9 @@
 def test_the_service_time_of_a_class_that_remains_is_preserved() -> None:
     """A class is found again by its name, though its index changed; a new one begins with the default."""
     driver = BalancerDriver(THROUGH)
-    driver.balancer.load.service_times["unsafe"].typical = 77.0
+    driver.balancer.load.service_times["unsafe"].typical_time = 77.0
     driver.do(SettingsChanged(FEWER_CLASSES))
-    assert {name: service_time.typical for name, service_time in driver.balancer.load.service_times.items()} == {
+    assert {name: service_time.typical_time for name, service_time in driver.balancer.load.service_times.items()} == {
         "unsafe": 77.0,
         "read-2": 50.0,
     }
--- a/tests/test_origin_limit.py
+++ b/tests/test_origin_limit.py
@@ -9,7 +9,7 @@
 import pytest
 
 from starlingthread.events import AttemptResult, Outcome
-from starlingthread.limits.concurrency import SAFE_LIMIT, ConcurrencyLimit
+from starlingthread.limits.concurrency import RECOVERY_LIMIT_REQUESTS, ConcurrencyLimit
 from starlingthread.limits.limit_adjustment import adjust_limits
 from starlingthread.limits.origin_limit import OriginLimit
 
@@ -87,7 +87,7 @@
             limit.on_failure(1)
         else:
             limit.on_success(1)
-    assert limit.limit > SAFE_LIMIT - 2.0
+    assert limit.limit > RECOVERY_LIMIT_REQUESTS - 2.0
 
 
 def test_a_limit_is_never_below_its_minimum_and_finite_once_learned() -> None:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -101,10 +101,10 @@
         budget.on_first_attempt(500.0, True)
     assert (budget.tokens >= 2.0) == (lost_share > 0)
     outliers = driver.balancer.fleet.servers[first.server].outliers
-    assert budget.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 3.0, 0.5) == (
+    assert budget.should_hedge(outliers.last_response_at - 1.0, outliers, 0.0, 3.0, 0.5) == (
         lost_share > 0
     )  # a fetch out too long
-    assert not budget.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 1.0, 0.5)
+    assert not budget.should_hedge(outliers.last_response_at - 1.0, outliers, 0.0, 1.0, 0.5)
 
 
 def test_hedges_are_few_and_none_are_sent_while_all_servers_are_slow() -> None:
--- a/tests/test_service_time.py
+++ b/tests/test_service_time.py
@@ -26,7 +26,7 @@
 def test_an_exact_hint_is_believed_in_whatever_unit(scale: float) -> None:
     service_time = learned(scale, 0.0)
     for time in (50.0, 100.0, 150.0):
-        assert service_time.expected(time * scale) == pytest.approx(time, rel=0.1)
+        assert service_time.expected_time(time * scale) == pytest.approx(time, rel=0.1)
 
 
 def test_a_rough_hint_is_believed_in_part_and_a_random_one_not_at_all() -> None:
@@ -41,12 +41,12 @@
 @pytest.mark.parametrize("hint", [0.0, -5.0, math.nan, math.inf, -math.inf, 1e300, 1e12])
 def test_an_absurd_hint_has_a_bounded_effect(hint: float) -> None:
     service_time = learned(1.0, 0.1)
-    before = service_time.expected(80.0)
-    assert before / 5 < service_time.expected(hint) < before * 5
+    before = service_time.expected_time(80.0)
+    assert before / 5 < service_time.expected_time(hint) < before * 5
     for _ in range(20):
         service_time.observe(hint, 80.0)
-    assert service_time.expected(80.0) == pytest.approx(before, rel=0.3)
-    assert math.isfinite(service_time.expected(hint))
+    assert service_time.expected_time(80.0) == pytest.approx(before, rel=0.3)
+    assert math.isfinite(service_time.expected_time(hint))
 
 
 @pytest.mark.parametrize("hint", [0.0, 0.08, 80.0, 80000.0, 1e12])
@@ -56,5 +56,5 @@
         send = only_send(driver.do(Request(key, READ, 1000.0, key=key, cost_hint=hint)))
         driver.now += 80.0
         driver.finish(send, 80.0)
-    tracked_cost = driver.balancer.load.service_times["read"].expected(hint)
+    tracked_cost = driver.balancer.load.service_times["read"].expected_time(hint)
     assert tracked_cost == pytest.approx(80.0, rel=0.1)
