--- a/starlingthread/limits/__init__.py
+++ b/starlingthread/limits/__init__.py
@@ -1,1 +1,4 @@
-"""Limits: the figures that the decision module consults. No I/O, no clock: times are passed in, in ms."""
+"""Limits and estimates that the decision module consults.
+
+The modules do no I/O and read no clock: callers pass the times, in ms.
+"""
--- a/starlingthread/limits/budgets.py
+++ b/starlingthread/limits/budgets.py
@@ -1,6 +1,7 @@
-"""The budgets of file descriptors and memory: how the process's limits are shared out. No I/O, no clock.
+"""Budgets that divide the process's limits on file descriptors and memory among its uses. No I/O, no clock.
 
-During an upgrade two processes have a share of the limits each, and the sum of their budgets stays within the limits.
+During an upgrade the old and the new process each get a share of the limits, so that the sum of their budgets stays
+within the limits.
 """
 
 from __future__ import annotations
@@ -8,25 +9,35 @@
 from typing import NamedTuple
 
 BYTES_PER_MB = 1 << 20
-PROCESS_DESCRIPTORS = 20  # 12 at rest; calls to discovery, upgrades, and what is closed but not yet released
-MANAGEMENT_SHARE = 1 / 32  # of the descriptors, for concurrent calls of operators
+# Descriptors of the process itself: 12 without load, the rest for calls to discovery, for upgrades, and for connections
+# that are closed but not yet released.
+PROCESS_DESCRIPTORS = 20
+# Share of the descriptors that is reserved for concurrent management connections of operators.
+MANAGEMENT_SHARE = 1 / 32
 MIN_MANAGEMENT_CONNECTIONS = 4
 MIN_CONNECTIONS = 16
-CLIENT_SHARE = 0.5  # of the rest for clients, whose requests need a third of all; the other half for servers
-IDLE_CLIENT_SHARE = 0.16  # of all, for clients; they may take a third, and new requests need some that are free
-MEMORY_GROWTH_FACTOR = (
-    1.25  # memory of the process with full tables and some hundred connections, in terms of that at rest
-)
-BUFFERED_SHARE = 0.3  # of the remaining memory, for values that are buffered completely
-STREAMED_SHARE = 0.2  # of the remaining memory, for streamed values beyond one chunk each
-MIN_REMAINING_MB = 2.0  # budgeted in any case: a router that can buffer nothing serves nothing
+# Share of the other descriptors that clients get; the servers get the other half. The requests of clients need a third
+# of all descriptors.
+CLIENT_SHARE = 0.5
+# Share of all descriptors that clients may use before idle ones are closed sooner. Clients may use up to a third of all
+# descriptors, and new requests need free ones.
+IDLE_CLIENT_SHARE = 0.16
+# Ratio of the memory with full tables and some hundred connections to the memory without load.
+MEMORY_GROWTH_FACTOR = 1.25
+# Share of the remaining memory for values that are buffered completely.
+BUFFERED_SHARE = 0.3
+# Share of the remaining memory for the parts of streamed values beyond one chunk each.
+STREAMED_SHARE = 0.2
+# The remaining memory is taken to be at least this, as a router that cannot buffer any value cannot serve any request.
+MIN_REMAINING_MB = 2.0
 
 
 class ResourceBudgets(NamedTuple):
-    """The budgets: connections by count, values by bytes."""
+    """The budgets of one process: numbers of connections, and sizes of values in bytes."""
 
     max_clients: int
-    idle_client_threshold: int  # connected clients beyond which idle ones are closed sooner
+    # Idle clients are closed sooner while more clients than this are connected.
+    idle_client_threshold: int
     server_connections: int
     management_connections: int
     buffered_values: int
@@ -38,8 +49,8 @@
 ) -> ResourceBudgets:
     """Return the budgets of a process that may use a share (0 to 1) of the limits.
 
-    idle_mb: what the process uses at rest; has_management: whether operators may connect, else no descriptors are
-    reserved for them.
+    idle_mb: the memory (MB) that the process uses without load; has_management: whether operators may connect;
+    descriptors are reserved for them only if they may.
     """
     own_descriptors = int(descriptors * share)
     management = 0
--- a/starlingthread/limits/limit_adjustment.py
+++ b/starlingthread/limits/limit_adjustment.py
@@ -1,4 +1,4 @@
-"""How the outcome of an attempt adjusts the limits of its server and of the origin."""
+"""Adjustment of the limits of a server and of the origin by the outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from .concurrency import ConcurrencyLimit
 from .origin_limit import OriginLimit
 
-LATE_SHARE = 0.5  # of the latency objective; a longer wait at one server leaves no time for another attempt
+# Share of the latency objective; a longer response time at one server leaves no time for another attempt.
+LATE_SHARE = 0.5
 
 
 def adjust_limits(
@@ -21,11 +22,14 @@
 ) -> None:
     """Adjust the limits by the outcome of an attempt. Times are ms.
 
-    in_flight: the attempt's number among those in flight at the server; fetch_probability: that it had to fetch from
-    the origin, as estimated when it was sent; expected_time: as estimated then; latency_objective: of its class;
-    typical_fetch_time: infinite if the server has been silent since. An attempt that failed faster than a fetch never
-    reached the origin, and the silence of a server says nothing about the origin. Counted as failed fetches, a few
-    servers that fail at once, or a lost zone, would make all routers reject fetches.
+    in_flight: the attempts in flight at the server when this one was sent, including itself; fetch_probability: the
+    probability that it had to be fetched from the origin, as estimated when it was sent; expected_time: the service
+    time as estimated then; latency_objective: of the request's class; typical_fetch_time: infinite if the server has
+    sent no response since the attempt was sent.
+
+    An attempt that failed faster than a fetch did not reach the origin, and missing responses of a server are no
+    evidence about the origin. If they counted as failed fetches, a few servers that fail immediately, or a lost zone,
+    would make all routers reject fetches.
     """
     result = event.result
     if result == AttemptResult.FULL:
--- a/starlingthread/limits/origin_throttle.py
+++ b/starlingthread/limits/origin_throttle.py
@@ -1,4 +1,4 @@
-"""The pressure on the origin, as far as the responses that one router gets show it. Times are ms."""
+"""The pressure on the origin, estimated from the responses that one router receives. Times are ms."""
 
 from __future__ import annotations
 
@@ -6,23 +6,27 @@
 
 from ..events import AttemptResult
 
-FETCH_COUNT_HALF_LIFE_MS = 7000.0  # ms; of the counts of fetches
-FAILURE_PRESSURE_STEP = 0.25  # added to the alarm by each bad fetch
-FAILURE_PRESSURE_RECOVERY_FACTOR = 0.8  # factor on the alarm for each good fetch
-SLOW_FETCH_FACTOR = 4.0  # times the typical fetch time from which a fetch does not count as served
-MAX_REQUEST_RATIO = 1.5  # requested fetches per served one that put no pressure on the origin
-TYPICAL_GAIN = 0.1  # weight of a fetch in the typical fetch time; greater while there are few
-SLOW_FETCH_GAIN_FACTOR = (
-    0.2  # factor on the weight of a fetch slower than typical: fast ones show what the origin can do
-)
+FETCH_COUNT_HALF_LIFE_MS = 7000.0
+# Addition to the failure pressure for each failed or slow fetch.
+FAILURE_PRESSURE_STEP = 0.25
+# Factor on the failure pressure for each fetch served in time.
+FAILURE_PRESSURE_RECOVERY_FACTOR = 0.8
+# Multiple of the typical fetch time from which a fetch does not count as served.
+SLOW_FETCH_FACTOR = 4.0
+# Requested fetches per served fetch up to which there is no pressure on the origin.
+MAX_REQUEST_RATIO = 1.5
+# Weight of a fetch in the typical fetch time; the weight of the first fetches is greater.
+TYPICAL_GAIN = 0.1
+# Factor on the weight of a fetch slower than typical: fast fetches show what the origin can do.
+SLOW_FETCH_GAIN_FACTOR = 0.2
 
 
 class OriginThrottle:
-    """The pressure on the origin: the fetches requested against those served in time, with decaying counts."""
+    """The pressure on the origin, from decaying counts of the fetches requested and of those served in time."""
 
     def __init__(self, initial_fetch_time: float) -> None:
-        """Begin with a first guess of a fetch's time (ms), used until a fetch has succeeded."""
-        self.typical_fetch_time = initial_fetch_time  # ms; while the origin is not overloaded
+        """Set an initial estimate of the fetch time (ms), which the first successful fetch replaces."""
+        self.typical_fetch_time = initial_fetch_time  # ms, while the origin is not overloaded
         self._success_count = 0
         self._requested = 0.0
         self._served = 0.0
@@ -37,30 +41,30 @@
         self._updated_at = now
 
     def pressure(self, now: float) -> float:
-        """Return the present pressure: 0 while most fetches are served, near 1 when next to none is."""
+        """Return the current pressure: 0 while most fetches are served, near 1 when almost none are."""
         self._decay(now)
         return max(self._failure_pressure, (self._requested - MAX_REQUEST_RATIO * self._served) / (self._requested + 1))
 
     def on_rejection(self, now: float) -> None:
-        """Record a fetch that this router rejected itself, so that the pressure lasts as long as the demand."""
+        """Record a fetch that this router rejected, so that the pressure lasts as long as the demand."""
         self._decay(now)
         self._requested += 1
 
     def on_outcome(self, now: float, result: AttemptResult, elapsed: float) -> None:
-        """Record the outcome of a request that this router sent to the origin, and the ms that it took."""
+        """Record the outcome and the duration (ms) of a request that this router sent to the origin."""
         if result not in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             self.observe(now, result == AttemptResult.OK, elapsed)
 
     def observe(self, now: float, success: bool, elapsed: float, min_slow_time: float = 0.0) -> None:
-        """Record a fetch; one that took less than min_slow_time ms never counts as slow."""
+        """Record a fetch; one that took less than min_slow_time (ms) never counts as slow."""
         self._decay(now)
         self._requested += 1
         if success:
             self._learn_fetch_time(elapsed)
-        # An overload shows in the latency before fetches fail.
+        # An overload increases the latency before fetches fail.
         served = success and elapsed < max(min_slow_time, SLOW_FETCH_FACTOR * self.typical_fetch_time)
         self._served += served
-        # The counts react too late in a router that sends a fetch every other second; the alarm does not.
+        # With one fetch every other second the counts react too late; the failure pressure reacts at once.
         self._failure_pressure = (
             self._failure_pressure * FAILURE_PRESSURE_RECOVERY_FACTOR
             if served
@@ -68,10 +72,10 @@
         )
 
     def _learn_fetch_time(self, elapsed: float) -> None:
-        """Average the times (ms) of successful fetches; the first one replaces the guess.
+        """Average the times (ms) of successful fetches; the first one replaces the initial estimate.
 
-        A guess far below the time that a fetch takes would make a healthy origin look overloaded for good, as fetches
-        that count as slow are throttled and so hardly teach anything.
+        An initial estimate far below the real fetch time would make a healthy origin look overloaded permanently, as
+        fetches that count as slow are throttled and would hardly change the average.
         """
         self._success_count += 1
         gain = max(TYPICAL_GAIN, 1.0 / self._success_count)
