--- a/starlingthread/balance/__init__.py
+++ b/starlingthread/balance/__init__.py
@@ -1,1 +1,1 @@
-"""How load is spread over the servers, beyond the default owners of a key. No I/O, no clock; docs/design/balance.md."""
+"""Distribution of load over servers beyond the default owners of a key (docs/design/balance.md). No I/O, no clock."""
--- a/starlingthread/balance/popularity.py
+++ b/starlingthread/balance/popularity.py
@@ -1,44 +1,52 @@
-"""How many owners a key should have, from how often this router receives requests for it.
-
-One key of a Zipf distribution can take a tenth of all requests: with one owner that is a tenth of the load on one
-server of sixty. A further owner pays as long as each owner is requested often enough before it loses the key, be it to
-a write, which invalidates all replicas, or to a lack of requests: each loss is one more fetch, at every owner. A router
-of hundreds sees a hot key a few times only, so it keeps two decaying counts, a short one that follows a sudden crowd
-and a long one that tells rare keys apart, and uses the lower bound of a count: the count less its standard deviation as
-that of a Poisson variable.
+"""The number of owners of a key, from how often this router receives requests for it.
+
+One key of a Zipf distribution can get a tenth of all requests: with one owner that is a tenth of the load on one server
+of sixty. A further owner is worth its cost as long as each owner gets enough requests before it loses the key, either
+to a write, which invalidates all replicas, or to an eviction for lack of requests: each loss costs one more fetch at
+every owner.
+
+One router of hundreds sees only a few requests for a hot key. It therefore keeps two decaying counts, a short one that
+follows sudden surges and a long one that distinguishes rare keys, and uses the lower bound of a count: the count less
+its standard deviation as a Poisson variable.
 """
 
 from __future__ import annotations
 
 import math
 
-SHORT_HALF_LIFE_MS = 5000.0  # ms; of the count that follows a sudden crowd
-LONG_HALF_LIFE_MS = 60000.0  # ms; of the count that tells rare keys apart
-SHORT_MEAN_LIFE_MS = SHORT_HALF_LIFE_MS / math.log(2)  # ms; mean life
+# Half-life of the count that follows sudden surges.
+SHORT_HALF_LIFE_MS = 5000.0
+# Half-life of the count that distinguishes rare keys.
+LONG_HALF_LIFE_MS = 60000.0
+SHORT_MEAN_LIFE_MS = SHORT_HALF_LIFE_MS / math.log(2)
 LONG_MEAN_LIFE_MS = LONG_HALF_LIFE_MS / math.log(2)
-CACHED_TIME_MS = (
-    10000.0  # ms; about as long as a cache keeps an unrequested value (COUNT_HALF_LIFE_MS in state/records.py)
-)
-MIN_REQUESTS_PER_OWNER = 4.0  # by all routers to one owner, before it loses the key, that justify the owner's fetch
-RELEASE_SHARE = 0.5  # of the present number of owners; a lower wanted number reduces it (hysteresis)
-PRIOR_READ_COUNT = 10.0  # reads of a key that weigh as much in its share of writes as the share over all keys
-WRITE_SHARE_GAIN = 0.01  # weight of one request in the share of writes over all keys
+# Approximate time for which a cache keeps a value without requests (COUNT_HALF_LIFE_MS in state/records.py).
+CACHED_TIME_MS = 10000.0
+# Requests of all routers to one owner, before the owner loses the key, that justify the owner's fetch.
+MIN_REQUESTS_PER_OWNER = 4.0
+# Share of the current number of owners below which the wanted number reduces it; below 1 for hysteresis.
+RELEASE_SHARE = 0.5
+# Weight, in reads, of the write share over all keys in the write share of one key.
+PRIOR_READ_COUNT = 10.0
+# Weight of one request in the write share over all keys.
+WRITE_SHARE_GAIN = 0.01
 
 
 class FleetDemand:
-    """What this router knows of the fleet and of all its keys together."""
+    """The size of the fleet, and the share of writes over all keys."""
 
     __slots__ = ("routers", "routers_per_zone", "servers", "write_share")
 
     def __init__(self) -> None:
         self.set_fleet_size(1, 1, 1)
-        self.write_share = 0.0  # of all requests
+        self.write_share = 0.0  # share of writes in all requests
 
     def set_fleet_size(self, routers: int, servers: int, zones: int) -> None:
-        """Set the size of the fleet."""
+        """Set the numbers of routers, of servers and of zones."""
         self.routers = routers
         self.servers = servers
-        self.routers_per_zone = max(1.0, routers / max(1, zones))  # routers that share the owners of a zone
+        # Number of routers that share the owners of a zone.
+        self.routers_per_zone = max(1.0, routers / max(1, zones))
 
     def record(self, is_write: bool) -> None:
         """Record a request for any key."""
@@ -46,7 +54,7 @@
 
 
 class Popularity:
-    """The decaying counts of requests for one key, and the number of owners that follows from them."""
+    """The decaying counts of requests for one key, and the number of owners derived from them."""
 
     __slots__ = ("_long_reads", "_long_writes", "_short_reads", "_updated_at", "owner_count")
 
@@ -58,7 +66,7 @@
         self.owner_count = 0  # a power of two for a hot key; 0: the default owners
 
     def record(self, now: float, is_write: bool, demand: FleetDemand) -> bool:
-        """Record a request for the key; tell whether its number of owners changes."""
+        """Record a request for the key; return whether its number of owners changes."""
         self._count(now, is_write)
         demand.record(is_write)
         wanted = self._wanted_owners(demand)
@@ -79,13 +87,13 @@
         self._updated_at = now
 
     def _wanted_owners(self, demand: FleetDemand) -> float:
-        read_rate = self._min_read_rate() * demand.routers  # all routers get like parts of the traffic
+        read_rate = self._min_read_rate() * demand.routers  # all routers get equal parts of the traffic
         writes = self._long_writes + PRIOR_READ_COUNT * demand.write_share
         write_rate = read_rate * writes / (self._long_reads + PRIOR_READ_COUNT)
         return min(demand.servers, read_rate / (1.0 / CACHED_TIME_MS + write_rate) / MIN_REQUESTS_PER_OWNER)
 
     def _min_read_rate(self) -> float:
-        """Return the lower bound of the reads per ms at this router."""
+        """Return a lower bound of the reads per ms at this router."""
         return max(
             _lower_bound(self._short_reads) / SHORT_MEAN_LIFE_MS, _lower_bound(self._long_reads) / LONG_MEAN_LIFE_MS
         )
--- a/starlingthread/balance/rendezvous.py
+++ b/starlingthread/balance/rendezvous.py
@@ -1,9 +1,9 @@
-"""The owners of a key: weighted rendezvous hashing, the same at every router with the same endpoint list.
+"""The owners of a key by weighted rendezvous hashing, equal at all routers with the same endpoint list.
 
-A hot key has more owners than one router uses. All routers compute the same owners, and each uses a few of them,
-selected by a hash that includes its own index: so the key's load is spread evenly over its owners without coordination,
-each owner still sees the key often enough to keep it cached, and a router that considers the key less hot uses owners
-that the others use too.
+A hot key has more owners than one router uses. All routers compute the same owners, and each router uses a few of them,
+selected by a hash that includes the router's index. So the load of the key is distributed evenly over its owners
+without coordination, each owner gets enough requests to keep the key cached, and a router with a lower estimate of the
+key's popularity uses owners that the other routers use too.
 """
 
 from __future__ import annotations
@@ -13,11 +13,12 @@
 from typing import NamedTuple
 
 HASH_MASK = (1 << 64) - 1
-MIN_WEIGHT = 1e-3  # selects a server for next to no key; a weight of 0 would divide by zero
+# A server of this weight owns almost no keys; a weight of 0 would cause a division by zero.
+MIN_WEIGHT = 1e-3
 
 
 def mix(value: int) -> int:
-    """Hash a 64-bit number, the same at every router."""
+    """Return a hash of a 64-bit number; it is the same at every router."""
     value = (value ^ (value >> 31)) * 0x9E3779B97F4A7C15 & HASH_MASK
     value = (value ^ (value >> 29)) * 0xBF58476D1CE4E5B9 & HASH_MASK
     return value ^ (value >> 32)
@@ -32,7 +33,7 @@
 
 
 class Owner(NamedTuple):
-    """An owner of a key: its rank for this router, and whether it was selected among the zone's servers."""
+    """An owner of a key, its rank for this router, and whether it was selected among the servers of the zone."""
 
     number: int
     rank: int
@@ -46,13 +47,13 @@
 
     def __init__(self, router_index: int, default_owner_count: int) -> None:
         self.default_owner_count = default_owner_count  # owners of a key in each of the two groups
-        self.version = 0  # of the candidates
+        self.version = 0  # version of the candidates
         self._router_salt = mix(router_index + 1)
         self._fleet: list[Candidate] = []
         self._zone: list[Candidate] = []
 
     def update(self, fleet: list[Candidate], zone: list[Candidate]) -> None:
-        """Set the candidates; if all servers are in the zone there is only one group."""
+        """Set the candidates; if all servers are in the zone, only the fleet group is used."""
         self.version += 1
         self._fleet = _with_min_weight(fleet)
         self._zone = _with_min_weight(zone) if len(zone) < len(fleet) else []
@@ -60,7 +61,7 @@
     def owners(self, key: int, owner_count: int = 0) -> list[Owner]:
         """Return the owners that this router uses for a key (a 64-bit hash), those of the zone first.
 
-        owner_count: the owners of a hot key over the whole fleet; 0 for the default ones.
+        owner_count: the number of owners of a hot key in the whole fleet; 0 for the default owners.
         """
         return [
             *self._select(key, owner_count, self._zone, in_zone=True),
@@ -83,9 +84,10 @@
 
 
 def _score(key: int, group: list[Candidate]) -> list[tuple[float, int, Candidate]]:
-    """Return the score of each candidate, its number, which breaks ties, and the candidate.
+    """Return a tuple of the score, the number (which breaks ties) and the candidate for each candidate.
 
-    The greatest scores select the owners. These are plain tuples as there is one per server for each new key.
+    The candidates with the greatest scores become owners. Plain tuples are used for speed, as each new key needs one
+    per server.
     """
     return [
         (math.log((mix(key ^ candidate.salt) + 1) / HASH_MASK) / candidate.weight, candidate.number, candidate)
@@ -94,9 +96,9 @@
 
 
 def is_key_in_share(key: int, salt: int, share: float) -> bool:
-    """Return whether a key is in the share of the keys that a server takes; salt: of the server.
+    """Return whether a key is in the share of the keys that a server accepts; salt: the salt of the server.
 
-    Hashed twice: a key's owners are the servers with the greatest of its hashes, and of those none would be under a
-    share.
+    The key is hashed twice, because the owners of a key are the servers with its greatest hashes: these hashes would
+    always exceed the share.
     """
     return mix(mix(key ^ salt) ^ salt) < share * HASH_MASK
--- a/starlingthread/limits/service_time.py
+++ b/starlingthread/limits/service_time.py
@@ -1,29 +1,38 @@
-"""The service time of a class, learned from response times, and how far a client's cost hint is to be believed.
+"""The service time of a request class, learned from response times, and the weight given to a client's cost hint.
 
-A hint is in a unit of its own: work on some reference machine, or a count of anything else. So it is never compared to
-a time. What is learned is the time of a typical request, and by how much the time grows when the hint doubles: the
-slope of log(time) over log(hint), 0 for hints without information and 1 for exact ones, whatever their unit. Queueing
-and chance flatten that slope and so reduce the effect of a rough hint, as is desired.
+A hint is in an unknown unit, such as work on a reference machine or a count, so it is never compared to a time. The
+model learns the time of a typical request and the slope of log(time) over log(hint), which is 0 for hints without
+information and 1 for exact ones, whatever their unit. Queueing and noise flatten the slope and so reduce the effect of
+an inexact hint, as desired.
 
-The first guess of the typical time has no weight of its own: the first response replaces it, and the next ones are
-averaged until each has no more weight than in the long run (docs/incidents/first-guess-of-service-time.md).
-Least squares with decaying sums: Ljung and Söderström, "Theory and Practice of Recursive Identification" (1983).
+The initial estimate of the typical time has no weight: the first response replaces it, and the next responses are
+averaged until the weight of each has fallen to its long-term value (docs/incidents/first-guess-of-service-time.md).
+The slope is a least-squares estimate with decaying sums (Ljung and Söderström, "Theory and Practice of Recursive
+Identification", 1983).
 """
 
 from __future__ import annotations
 
 import math
 
-MIN_GAIN = 0.005  # weight of one response in the sums; greater while there are few
-MIN_HINTED_RESPONSES = 50  # before hints are used
-MIN_VARIANCE = 1e-6  # of the logarithms of hints, before hints are used
-TYPICAL_GAIN = 0.1  # weight of a response in the typical time; greater while there are few
-SLOW_RESPONSE_GAIN_FACTOR = 0.3  # factor on the weight of a response slower than typical, as queueing is not service
-MIN_RESPONSES = 10  # before the typical time tells that a request would be late
-MAX_DEVIATIONS = 2.5  # standard deviations of the logarithms of hints at which a hint is clamped
-MIN_HINT = 1e-9  # hints outside of these bounds, and NaN, count as none
+# Weight of one response in the statistics of hints; the weight of the first responses is greater.
+MIN_GAIN = 0.005
+# Responses with a hint before hints are used.
+MIN_HINTED_RESPONSES = 50
+# Variance of the logarithms of hints from which hints are used.
+MIN_VARIANCE = 1e-6
+# Weight of a response in the typical time; the weight of the first responses is greater.
+TYPICAL_GAIN = 0.1
+# Factor on the weight of a response slower than typical, as queueing is not part of the service time.
+SLOW_RESPONSE_GAIN_FACTOR = 0.3
+# Responses from which the typical time is reliable enough to predict that a request would be late.
+MIN_RESPONSES = 10
+# Distance from the mean, in standard deviations of the logarithms of hints, to which a hint is clamped.
+MAX_DEVIATIONS = 2.5
+# Hints below MIN_HINT or above MAX_HINT, and NaN, count as no hint.
+MIN_HINT = 1e-9
 MAX_HINT = 1e12
-MIN_RESPONSE_TIME_MS = 0.1  # ms
+MIN_RESPONSE_TIME_MS = 0.1
 
 
 class ServiceTime:
@@ -40,38 +49,38 @@
     )
 
     def __init__(self, initial_estimate: float) -> None:
-        """Begin with a first guess (ms), used until there is a response."""
+        """Set an initial estimate (ms), used until the first response."""
         self.typical_time = initial_estimate  # ms
         self.response_count = 0
-        self.hinted_count = 0  # responses to requests with a hint
+        self.hinted_count = 0  # number of responses to requests with a hint
         self.mean_log_hint = 0.0
         self.mean_log_time = 0.0
-        self.variance = 0.0  # of the logarithms of hints
-        self.covariance = 0.0  # of the logarithms of hints and times
+        self.variance = 0.0  # variance of the logarithms of hints
+        self.covariance = 0.0  # covariance of the logarithms of hints and times
 
     @property
     def is_learned(self) -> bool:
-        """Whether the typical time comes from a response, not from the first guess."""
+        """Whether the typical time comes from a response and not from the initial estimate."""
         return self.response_count > 0
 
     @property
     def has_converged(self) -> bool:
-        """Whether so many responses have been seen that a single one says little."""
+        """Whether there were enough responses for the typical time to be reliable."""
         return self.response_count >= MIN_RESPONSES
 
     def expected_time(self, hint: float) -> float:
-        """Return the expected time in ms of a request with this hint; 0 means none."""
+        """Return the expected time (ms) of a request with a hint; a hint of 0 stands for none."""
         return self.typical_time * self._hint_factor(hint)
 
     def observe(self, hint: float, elapsed: float) -> None:
-        """Record the hint of a request and the time in ms of its response."""
+        """Record the hint of a request and its response time (ms)."""
         elapsed = max(elapsed, MIN_RESPONSE_TIME_MS)
-        relative_elapsed = elapsed / self._hint_factor(hint)
+        normalized_time = elapsed / self._hint_factor(hint)
         self.response_count += 1
         gain = max(TYPICAL_GAIN, 1.0 / self.response_count)
-        if relative_elapsed > self.typical_time and self.response_count > 1:
+        if normalized_time > self.typical_time and self.response_count > 1:
             gain *= SLOW_RESPONSE_GAIN_FACTOR
-        self.typical_time += (relative_elapsed - self.typical_time) * gain
+        self.typical_time += (normalized_time - self.typical_time) * gain
         if _is_usable(hint):
             self._update_statistics(math.log(hint), math.log(elapsed))
 
@@ -87,13 +96,13 @@
 
     @property
     def slope(self) -> float:
-        """The growth of log(time) with log(hint): 0 for hints without information, 1 for exact ones."""
+        """The slope of log(time) over log(hint): 0 for hints without information, 1 for exact ones."""
         if self.hinted_count < MIN_HINTED_RESPONSES or self.variance < MIN_VARIANCE:
             return 0.0
         return min(1.0, max(0.0, self.covariance / self.variance))
 
     def _hint_factor(self, hint: float) -> float:
-        """Return the expected time of a request with this hint in terms of the typical time."""
+        """Return the ratio of the expected time of a request with a hint to the typical time."""
         slope = self.slope
         if slope <= 0 or not _is_usable(hint):
             return 1.0
--- a/starlingthread/limits/service_times.py
+++ b/starlingthread/limits/service_times.py
@@ -1,7 +1,8 @@
-"""The service times of all request classes, and their mean by what is served. Times are ms.
+"""The service times of all request classes, and their mean over all responses. Times are ms.
 
-Each begins with a first guess, a share of the class's latency objective. A guess serves until there is a response and
-decides nothing that outlasts it: docs/incidents/first-guess-of-service-time.md.
+Each service time starts with an initial estimate, a share of the latency objective of its class. The estimate is used
+only until the first response, and no decision that is based on it persists afterwards
+(docs/incidents/first-guess-of-service-time.md).
 """
 
 from __future__ import annotations
@@ -11,8 +12,10 @@
 from ..settings import RequestClass
 from .service_time import ServiceTime
 
-INITIAL_ESTIMATE_SHARE = 0.1  # of the latency objective
-MEAN_GAIN = 0.05  # weight of a response in the mean over all classes; greater while there are few
+# Initial estimate of a service time as a share of the latency objective.
+INITIAL_ESTIMATE_SHARE = 0.1
+# Weight of a response in the mean over all classes; the weight of the first responses is greater.
+MEAN_GAIN = 0.05
 
 
 class ServiceTimes(dict[str, ServiceTime]):
@@ -21,18 +24,18 @@
     def __init__(self, classes: Sequence[RequestClass]) -> None:
         super().__init__()
         self.apply_classes(classes)
-        self.mean_time = self[classes[0].name].typical_time  # a guess until the first response
+        self.mean_time = self[classes[0].name].typical_time  # an estimate until the first response
         self._response_count = 0
 
     def apply_classes(self, classes: Sequence[RequestClass]) -> None:
-        """Switch to other classes; what was learned for a class stays with its name."""
+        """Replace the classes; a class keeps the service time that was learned under its name."""
         initial_estimates = {c.name: ServiceTime(c.latency_objective * INITIAL_ESTIMATE_SHARE) for c in classes}
         learned = {name: self[name] for name in initial_estimates if name in self}
         self.clear()
         self.update(initial_estimates | learned)
 
     def observe(self, class_name: str, hint: float, elapsed: float) -> None:
-        """Record the hint of a request and the time of its response; a class that is gone by now is ignored."""
+        """Record the hint and the response time of a request; classes that no longer exist are ignored."""
         service_time = self.get(class_name)
         if service_time is None:
             return
@@ -42,21 +45,23 @@
         self.mean_time += (service_time.expected_time(hint) - self.mean_time) * gain
 
     def relative_cost(self, class_name: str, cost: float) -> float:
-        """Return a cost (ms) in requests of mean cost, at least 1; 1 while the class is not learned."""
+        """Return a cost (ms) relative to the mean cost of a request, at least 1; 1 until the class is learned."""
         service_time = self.get(class_name)
         return max(1.0, cost / self.mean_time) if service_time and service_time.is_learned else 1.0
 
     def has_converged(self, class_name: str) -> bool:
-        """Return whether one response of a class says little by now, so that its time may tell that one is late."""
+        """Return whether the service time of a class is reliable enough to predict that a request would be late."""
         service_time = self.get(class_name)
         return service_time is not None and service_time.has_converged
 
     def time_without_wait(self, class_name: str, hint: float, elapsed: float, expected: float, speed: float) -> float:
-        """Return the part of a response's time, elapsed, that was no wait.
+        """Return the part of a response time, elapsed, that was not spent waiting in a queue.
 
-        expected: as expected when it was sent; speed: of its server. The first guess may be far too low. Taken for
-        known, it would turn the first responses into waits and failures, and requests would be rejected. So the first
-        response shows no wait, and those sent before it are compared to what it has shown.
+        expected: the service time expected when the request was sent; speed: the speed of its server.
+
+        The initial estimate may be far too low. If it were taken as the service time, the first responses would count
+        as waits and failures, and requests would be rejected. So the first response counts as having no wait, and
+        requests sent before it are compared with the service time that it showed.
         """
         service_time = self.get(class_name)
         if service_time is None:
--- a/starlingthread/limits/trunk_reservation.py
+++ b/starlingthread/limits/trunk_reservation.py
@@ -1,23 +1,24 @@
-"""Capacity of a server that is reserved for requests that it can answer from its cache.
+"""Reservation of a part of a server's capacity for requests that it can answer from its cache.
 
-A fetch holds its slot while the origin is asked: on the second site for some 300 ms where a hit takes 90, and the
-client of either has the same priority. While there are free slots that makes no difference. Once servers reject
-requests, a fetch is admitted only while a part of the limit is free, so that the last slots go to hits. Telephone
-networks call this trunk reservation (Key, "Optimal control and trunk reservation in loss networks", 1990): the size of
-the reserved share matters little, as long as something is reserved only when it is needed.
+A fetch occupies a slot until the origin has responded: about 300 ms on the second site, where a hit takes 90 ms, and
+both have the same priority. This does not matter while there are free slots. Once servers reject requests, a fetch is
+admitted only while a part of the limit is free, so that the last slots are used for hits. The method is known as trunk
+reservation in telephone networks (Key, "Optimal control and trunk reservation in loss networks", 1990): the size of the
+reserved share matters little, as long as capacity is reserved only when it is needed.
 """
 
 from __future__ import annotations
 
-MAX_RESERVED_SHARE = 0.5  # of a server's limit
-FULL_RESERVATION_AT_LIMIT_SHARE = (
-    0.2  # share of requests that find their server at its limit from which all of that is reserved
-)
-AT_LIMIT_SHARE_GAIN = 0.02  # weight of one request in that share
+# Share of a server's limit.
+MAX_RESERVED_SHARE = 0.5
+# Share of requests whose server is at its limit from which MAX_RESERVED_SHARE is reserved.
+FULL_RESERVATION_AT_LIMIT_SHARE = 0.2
+# Weight of one request in the share of requests whose server is at its limit.
+AT_LIMIT_SHARE_GAIN = 0.02
 
 
 class TrunkReservation:
-    """The share of recent requests that found their server at its limit, and the reservation that follows from it."""
+    """The share of recent requests whose server was at its limit, and the reservation that results from it."""
 
     __slots__ = ("at_limit_share",)
 
@@ -25,11 +26,11 @@
         self.at_limit_share = 0.0
 
     def observe(self, at_limit: bool) -> None:
-        """Record whether a request found the server that was chosen for it at its limit."""
+        """Record whether the server chosen for a request was at its limit."""
         self.at_limit_share += (at_limit - self.at_limit_share) * AT_LIMIT_SHARE_GAIN
 
     def reserved_slots(self, limit: float, fetch_probability: float, is_write: bool) -> float:
-        """Return the slots of a limit that are closed to a read with this fetch probability; none are to a write."""
+        """Return the slots of a limit that a read with a fetch probability may not use; 0 for a write."""
         if is_write:
             return 0.0
         return (
--- a/starlingthread/state/fleet.py
+++ b/starlingthread/state/fleet.py
@@ -1,6 +1,6 @@
-"""State that all parts of the decision module share: settings, servers, open requests and pending actions.
+"""State shared by all parts of the decision module: settings, servers, open requests and pending actions.
 
-Which server is used or avoided and which request is rejected is decided in starlingthread/policy/.
+The modules in starlingthread/policy/ decide which server is used and which request is rejected.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 from ..settings import Settings
 from .records import RequestState, Server
 
-if TYPE_CHECKING:  # imported at run time only where failover is turned on
+if TYPE_CHECKING:  # imported at run time only if failover is enabled
     from ..failover.zones import ZoneFailover
 
-RETAINED_LIFETIMES = 3  # a removed server is forgotten after this many of the longest lifetime of a request
+# Time for which a removed server is kept, in multiples of the longest lifetime of a request.
+RETAINED_LIFETIMES = 3
 
 
 class Fleet:
-    """The servers, the open requests, and the actions that the present event calls for."""
+    """The servers, the open requests, and the actions that result from the current event."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin with no servers; raise ValueError on invalid settings."""
+        """Create a fleet without servers; raise ValueError if the settings are invalid."""
         self.rng = Random(seed)
         self.requests: dict[int, RequestState] = {}  # by request id
         self.actions: list[Action] = []
@@ -36,20 +37,20 @@
         self.ready: list[Server] = []  # cache servers that are listed as ready and not in maintenance
         self.origin: Server | None = None
         self.in_maintenance: set[int] = set()
-        self.list_version = 0  # counts changes of the ready servers
+        self.list_version = 0  # number of changes of the ready servers
         self.demand = FleetDemand()
-        self.zones: ZoneFailover | None = None  # health of the zones; None: failover is turned off
+        self.zones: ZoneFailover | None = None  # health of the zones; None: failover is disabled
 
     def apply_settings(self, settings: Settings) -> None:
-        """Replace the settings; invalid ones raise ValueError and change nothing."""
+        """Replace the settings; raise ValueError and change nothing if they are invalid."""
         self.settings = settings.validated()
         classes = settings.classes
-        self.read_through = settings.mode == "through"  # servers fetch from the origin what they lack
+        self.read_through = settings.mode == "through"  # servers fetch missing values from the origin
         self.min_priority_weight = max(1e-6, min(c.priority_weight for c in classes))
         self.retention = RETAINED_LIFETIMES * max(c.deadline + c.idempotency_window for c in classes)  # ms
 
     def apply_endpoint_list(self, now: float, event: EndpointList) -> None:
-        """Apply a complete endpoint list, or the changes to the last one."""
+        """Apply a complete endpoint list, or changes to the last one."""
         if event.kind != EndpointListKind.DELTA:
             self._mark_unlisted(event)
         for endpoint in event.endpoints:
@@ -76,7 +77,7 @@
         self.servers[endpoint.server] = server
 
     def _drop_removed_servers(self, now: float) -> None:
-        """Drop servers that were unavailable for so long that no attempt can be in flight; bounds memory."""
+        """Drop servers that were unavailable for so long that no attempt can be in flight, to bound memory."""
         for number, server in list(self.servers.items()):
             server.unavailable_since = min(server.unavailable_since, now) if server.unavailable else math.inf
             if now - server.unavailable_since > self.retention and number not in self.in_maintenance:
@@ -86,7 +87,7 @@
         return first_tokens(self.rng.random(), self.settings.router_count)
 
     def classify_servers(self) -> None:
-        """Determine anew the origin and the ready cache servers."""
+        """Recompute the origin and the ready cache servers."""
         self.ready = []
         self.origin = None
         self.list_version += 1
@@ -101,7 +102,7 @@
         self.demand.set_fleet_size(self.settings.router_count, len(self.ready), zone_count)
 
     def set_maintenance(self, now: float, event: Maintenance) -> None:
-        """Take a server out of service, or back into it; it may have been restarted meanwhile, so it warms up."""
+        """Start or end the maintenance of a server; afterwards it warms up, as it may have been restarted."""
         if event.in_maintenance:
             self.in_maintenance.add(event.server)
         elif event.server in self.in_maintenance:
--- a/starlingthread/state/records.py
+++ b/starlingthread/state/records.py
@@ -1,4 +1,4 @@
-"""Records of what is known of a server, a key, a request and an attempt. Times are clock times in ms."""
+"""Records of the state of a server, a key, a request and an attempt. Times are clock times in ms."""
 
 from __future__ import annotations
 
@@ -16,15 +16,20 @@
 from ..limits.slow_start import SlowStartBudget
 from ..settings import RequestClass
 
-COUNT_HALF_LIFE_MS = 10000.0  # ms; of counts: about as long as a cache keeps a value without requests
-HIT_BIAS_GAIN = 0.5  # how far one observed hit or miss moves the hit bias
-MAX_KEYS = 20000  # keys with counts; bounds memory, far above what one router sees in a cache's lifetime
-KEY_RETENTION_MS = 35000.0  # ms; the counts of a key without requests for so long have faded
-MAX_EVICTIONS_PER_NEW_KEY = 2  # for each new key: the table shrinks again after a crowd of keys
+# Half-life of counts, about the time for which a cache keeps a value without requests.
+COUNT_HALF_LIFE_MS = 10000.0
+# Weight of one observed hit or miss in the hit bias.
+HIT_BIAS_GAIN = 0.5
+# Keys with counts; bounds memory, and far exceeds the keys that one router sees during the lifetime of a cached value.
+MAX_KEYS = 20000
+# Time without requests after which the counts of a key have decayed so far that they no longer matter.
+KEY_RETENTION_MS = 35000.0
+# Above 1, so that the table shrinks again after a surge of keys.
+MAX_EVICTIONS_PER_NEW_KEY = 2
 
 
 class OwnerGroup(IntEnum):
-    """The group of owners for which a server was chosen that has no affinity count for the key yet."""
+    """The group of owners from which a server without an affinity count of the key was chosen."""
 
     FLEET = 0  # an owner among all servers
     ZONE = 1  # an owner among the servers of this router's zone
@@ -35,13 +40,13 @@
 
     server: int
     sent_at: float
-    expected_time: float  # ms of service time expected at that server
-    in_flight_at_server: int  # this router's attempts in flight there, this one included, as it was sent
-    fetch_probability: float  # that the server has to fetch the value from the origin
+    expected_time: float  # expected service time (ms) at the server
+    in_flight_at_server: int  # attempts of this router in flight at the server when this one was sent, including it
+    fetch_probability: float  # probability that the server has to fetch the value from the origin
 
 
 class PossibleExecution(NamedTuple):
-    """The first attempt of a request that the server may have executed."""
+    """The first attempt of a request that a server may have executed."""
 
     server: int
     sent_at: float
@@ -49,11 +54,11 @@
 
 
 class AffinityCount(NamedTuple):
-    """How often this router sent a key to one server lately."""
+    """How often this router recently sent requests for a key to one server."""
 
-    request_count: float  # decayed up to updated_at
+    request_count: float  # count of requests, decayed up to updated_at
     updated_at: float
-    hit_bias: float  # from observed hits and misses: -1 (missed lately) to 1 (hit lately)
+    hit_bias: float  # bias from observed hits and misses: -1 (recent miss) to 1 (recent hit)
 
     def at(self, now: float) -> AffinityCount:
         """Return the count decayed up to now."""
@@ -65,7 +70,7 @@
 
 
 class Server:
-    """What this router knows of one server."""
+    """The state of one server as observed by this router."""
 
     __slots__ = (
         "attempts_in_flight",
@@ -82,14 +87,17 @@
     )
 
     def __init__(self, endpoint: Endpoint, tokens: float, warming_since: float) -> None:
-        """Begin with a server that was as empty as at its start at warming_since (0: long ago)."""
+        """Create the state of a server.
+
+        tokens: the initial slow-start tokens; warming_since: the time at which its cache was empty (0: long ago).
+        """
         self.endpoint = endpoint
         self.warming_since = warming_since
         self.slow_start = SlowStartBudget(tokens)
         self.unavailable = endpoint.state != ServerState.READY
-        self.unavailable_since = math.inf  # when the endpoint list first called it draining or gone
+        self.unavailable_since = math.inf  # time from which the endpoint list does not list the server as ready
         self.attempts_in_flight = 0
-        self.cost_in_flight = 0.0  # ms of service time expected for all attempts in flight
+        self.cost_in_flight = 0.0  # sum of the expected service times (ms) of all attempts in flight
         self.concurrency = ConcurrencyLimit()
         self.load = ServerLoad()
         self.outliers = OutlierDetector()
@@ -97,27 +105,27 @@
 
 
 class KeyState:
-    """What this router knows of one key."""
+    """The state of one key as observed by this router."""
 
     __slots__ = ("counts", "fetching_request", "owners", "used_at", "waiting")
 
     def __init__(self) -> None:
         self.used_at = math.inf
         self.owners = KeyOwners()
-        self.counts: dict[int, AffinityCount] = {}  # by server
-        self.fetching_request = 0  # id of the request whose fetch from the origin is in flight
-        self.waiting: list[RequestState] = []  # requests that wait for that fetch
+        self.counts: dict[int, AffinityCount] = {}  # by server number
+        self.fetching_request = 0  # id of the request whose fetch from the origin is in flight; 0: none
+        self.waiting: list[RequestState] = []  # requests that wait for the fetch in flight
 
     def count_request(self, now: float, server: int) -> None:
-        """Count a request for the key that was sent to a server."""
+        """Record that a request for the key was sent to a server."""
         self._update(now, server, 1.0, 0.0)
 
     def count_hit(self, now: float, server: int) -> None:
-        """Note that a server has the key cached, or is about to."""
+        """Record that a server has the key cached, or will have it soon."""
         self._update(now, server, 0.0, 1.0)
 
     def count_miss(self, now: float, server: int, fetch_failed: bool) -> None:
-        """Note that a server did not have the key cached; take back its count if the fetch failed as well."""
+        """Record that a server did not have the key cached; if the fetch also failed, undo the count of the request."""
         self._update(now, server, -1.0 if fetch_failed else 0.0, -1.0)
 
     def _update(self, now: float, server: int, added_count: float, observation: float) -> None:
@@ -129,10 +137,10 @@
 
 
 class KeyTable(OrderedDict[int, KeyState]):
-    """The states of the keys requested lately, by key, the least recently used one first."""
+    """The states of recently requested keys, by key, the least recently used one first."""
 
     def get_or_add(self, now: float, key: int) -> KeyState:
-        """Return the state of a key that is requested now, a new one if it has none."""
+        """Return the state of a key that is requested now; a new state if the table has none."""
         state = self.get(key)
         if state is None:
             state = self[key] = KeyState()
@@ -152,7 +160,7 @@
 
 
 class RequestState:
-    """A request that is owed an answer, or whose attempts are still in flight."""
+    """A request that has not been answered, or whose attempts are still in flight."""
 
     __slots__ = (
         "attempts",
@@ -175,21 +183,22 @@
     )
 
     def __init__(self, request: Request, request_class: RequestClass, now: float, expected_cost: float) -> None:
-        """Begin with a request that comes in now and takes expected_cost ms at the fastest kind of server."""
+        """Create the state of a request that is received now; expected_cost: ms at the fastest machine kind."""
         self.request = request
         self.request_class = request_class
         self.expected_cost = expected_cost
         self.deadline = now + request.budget
         self.finished = False
-        self.streaming = False  # its answer has begun to reach the client
-        self.attempts: list[AttemptRecord | None] = []  # None: ended
+        self.streaming = False  # whether a part of the answer has been sent to the client
+        self.attempts: list[AttemptRecord | None] = []  # by attempt number; None: the attempt has ended
         self.attempts_in_flight = 0
         self.possible_execution: PossibleExecution | None = None
         self.missed_servers: list[int] = []  # servers that answered with a miss
-        self.failed_servers: list[int] = []  # servers that are not tried again
-        self.last_failed_server = -1  # the server of the last failed attempt, which may be tried once more
-        self.hit_probability = 1.0  # that the server chosen last has the key cached
-        self.owner_group: OwnerGroup | None = None  # of the server chosen last; None: it has a count, or is no owner
-        self.is_loss_sample = False  # its outcome shows whether slow requests are lost or late
-        self.resume_at = 0.0  # when it is routed again, while it waits
-        self.origin_waits = 0  # times that it waited for a full origin
+        self.failed_servers: list[int] = []  # servers that get no further attempt
+        self.last_failed_server = -1  # server of the last failed attempt, which may get one more attempt
+        self.hit_probability = 1.0  # probability that the server chosen last has the key cached
+        # Owner group of the server chosen last; None: that server has an affinity count or is not an owner.
+        self.owner_group: OwnerGroup | None = None
+        self.is_loss_sample = False  # whether the outcome shows if slow requests are lost or late
+        self.resume_at = 0.0  # time at which a waiting request is routed again
+        self.origin_waits = 0  # number of times the request has waited because the origin was full
