--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,8 @@
-"""Owners of keys: the same at all routers, as many as the load requires, released later, few keys remapped."""
+"""Tests of the owners of keys.
+
+The owners must be the same at all routers, as many as the load requires, released when the load falls, and a change of
+the server list must remap few keys.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 def rendezvous(
     router_index: int = 0, servers: int = 60, owner_count: int = 3, removed: int = 0, shuffle: int = 0
 ) -> Rendezvous:
-    """Return the hashing of a router over equal servers, but for a removed one, listed in a shuffled order."""
+    """Return the hashing of a router over servers of equal weight, without a removed one, in a shuffled order."""
     hashing = Rendezvous(router_index, owner_count)
     candidates = [Candidate(mix(n + 1), 1.0, n) for n in range(1, servers + 1) if n != removed]
     Random(shuffle).shuffle(candidates)
@@ -37,7 +41,7 @@
     begin: float = 0.0,
     seed: int = 1,
 ) -> tuple[Popularity, int]:
-    """Record requests for a key at a rate, from a time (ms); return its popularity and its owner count's changes."""
+    """Record requests for a key at a rate, from a time (ms); return its popularity and how often its owners changed."""
     rng = Random(seed)
     demand = FleetDemand()
     demand.set_fleet_size(routers, 60, 1)
@@ -67,12 +71,12 @@
     before = {owner.number for owner in rendezvous(router).owners(key, owner_count)}
     after = {owner.number for owner in rendezvous(router, removed=removed).owners(key, owner_count)}
     remapped = before - {removed} - after
-    # Of a hot key one owner replaces the removed one, and may come before one that this router used.
+    # For a hot key, one owner replaces the removed one and may get a higher rank than an owner that this router used.
     assert len(remapped) <= (1 if owner_count > 3 else 0)
 
 
 def test_a_hot_key_is_spread_evenly_over_its_owners_and_fewer_owners_are_a_subset_of_more() -> None:
-    """200 routers choose among the owners by their index, and by the weights of the servers."""
+    """The choice of 200 routers depends on their index and on the weights of the servers."""
     routers = [rendezvous(index) for index in range(200)]
     for key in (mix(k) for k in range(1, 6)):
         many, few = ({router.owners(key, owner_count)[0].number for router in routers} for owner_count in (32, 8))
@@ -85,25 +89,24 @@
 
 def test_a_key_has_owners_by_its_load_and_no_more_for_a_single_request() -> None:
     """The load of the fleet is extrapolated from the rate at one router."""
-    assert (
-        request_key(0.01)[0].owner_count == 0
-    )  # 2 a second over 200 routers: 20 in the time that a replica stays cached
+    # 200 routers send 2 requests per second, that is 20 during the time for which a replica stays cached.
+    assert request_key(0.01)[0].owner_count == 0
     popular, hot = request_key(0.06, duration_s=400.0)[0].owner_count, request_key(1.5)[0].owner_count
-    assert 8 <= popular < hot == 32  # the greatest power of two that 60 servers hold
-    assert request_key(1.5, routers=1)[0].owner_count <= 4  # the same at a single router
+    assert 8 <= popular < hot == 32  # the greatest power of two up to 60 servers
+    assert request_key(1.5, routers=1)[0].owner_count <= 4  # the same rate at a single router
 
 
 def test_a_written_key_has_as_many_owners_as_are_read_often_between_two_writes() -> None:
-    """Each write invalidates the replicas, so that more of them would cost more fetches."""
+    """Each write invalidates all replicas, so more replicas would cost more fetches."""
     counts = [request_key(1.5, write_share=share, duration_s=200.0)[0].owner_count for share in (0.0, 0.01, 0.06, 0.3)]
     assert counts[0] == 32 and 8 <= counts[1] <= 32 and counts[2] <= 4 and counts[3] == 0
     assert counts == sorted(counts, reverse=True)
 
 
 def test_owners_are_released_with_the_load_and_do_not_oscillate_under_a_steady_or_a_pulsed_load() -> None:
-    """Hysteresis: each change costs fetches from the origin."""
+    """Each change costs fetches from the origin, which hysteresis avoids."""
     hot, changes = request_key(1.5, duration_s=120.0)
-    assert changes <= 6  # up, one power of two at a time
+    assert changes <= 6  # increases by one power of two at a time
     _, more_changes = request_key(1.5, duration_s=300.0, popularity=hot, begin=120e3, seed=2)
     assert more_changes <= 4
     unpopular, _ = request_key(0.005, duration_s=1200.0, popularity=hot, begin=420e3)
@@ -115,8 +118,8 @@
     assert pulsed.owner_count == 32 and changes <= 6
 
 
-def test_times_that_go_backwards_are_harmless() -> None:
-    """A clock that is set back causes no error and no absurd number of owners."""
+def test_a_clock_that_is_set_back_is_tolerated() -> None:
+    """A clock that is set back does not cause an error or an invalid number of owners."""
     popularity, demand = Popularity(), FleetDemand()
     demand.set_fleet_size(200, 60, 3)
     for now in (1000.0, 0.0, -5.0, 2000.0):
@@ -142,20 +145,20 @@
 
 
 def test_routers_spread_a_hot_key_over_its_owners_and_each_uses_the_same_ones_again() -> None:
-    """Without the setting nearly all requests go to one server."""
+    """Without the setting, nearly all requests go to one server."""
     plain = Counter[int]()
     spread = Counter[int]()
     for router in range(30):
         plain += servers_used(router, hot_keys=False)
         used = servers_used(router, hot_keys=True)
-        assert used.most_common(1)[0][1] > 40  # it returns to one of them
+        assert used.most_common(1)[0][1] > 40  # most of its requests go to one owner
         spread += used
     assert plain.most_common(1)[0][1] > 0.8 * plain.total()
     assert spread.most_common(1)[0][1] < 0.3 * spread.total() and len(spread) >= 12
 
 
 def test_the_operators_file_enables_hot_keys_and_a_reload_disables_them() -> None:
-    """The setting is off by default, and must be a boolean."""
+    """The setting is disabled by default and must be a boolean."""
     assert not options.parse("", "f").apply_to(THROUGH).hot_keys
     operator_options = options.parse("[hot_keys]\nenabled = true\n", "f")
     assert operator_options.apply_to(THROUGH).hot_keys
@@ -170,7 +173,7 @@
 
 
 def test_a_fleet_size_changed_by_a_reload_takes_effect_at_once() -> None:
-    """The demand of a key is extrapolated to the new number of routers."""
+    """The demand for a key is extrapolated to the new number of routers."""
     driver = BalancerDriver(THROUGH._replace(hot_keys=True), members(24, zones=3))
     driver.do(SettingsChanged(driver.set._replace(router_count=90)))
     demand = driver.balancer.fleet.demand
--- a/tests/test_core_overload.py
+++ b/tests/test_core_overload.py
@@ -1,4 +1,4 @@
-"""An overloaded core: requests beyond what it can carry in time are shed as they are read, the oldest first."""
+"""Tests that an overloaded core rejects requests that it cannot serve in time as they are read, the oldest first."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from .balancer_driver import IDEMPOTENCY_KEY, READ, THROUGH, BalancerDriver
 from .peers import read_command, running_router, until, value_answer
 
-LONG_WAIT = 4 * TARGET_QUEUE_TIME_MS
+LONG_WAIT_MS = 4 * TARGET_QUEUE_TIME_MS
 
 
 def observe(limit: QueueLimit, begin: float, length: float, wait: float, queued: int = 100) -> float:
-    """Let requests wait for a while; return the time at its end."""
+    """Record requests with a queueing time (wait) for a duration (length); return the time at its end."""
     for at in range(0, int(length), 10):
         limit.allows(queued, 1.0)
         limit.observe(begin + at, wait)
     return begin + length
 
 
-def test_a_core_that_others_use_is_saturated_though_this_process_uses_little_of_it(
+def test_a_core_used_by_other_processes_counts_as_saturated_at_little_own_cpu_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against an overload that went unseen: the CPU time used was small, as the core was shared."""
+    """Guards against an undetected overload: on a shared core the process itself uses little CPU time."""
     idle, monitor = 0.0, CpuMonitor()
     monitor.idle_seconds = lambda: idle
     monkeypatch.setattr(time, "process_time", lambda: 0.0)
@@ -46,15 +46,15 @@
 def test_a_burst_and_short_waits_set_no_limit() -> None:
     limit = QueueLimit()
     now = observe(limit, 0.0, 5000.0, TARGET_QUEUE_TIME_MS)
-    now = observe(limit, now, SUSTAINED_OVERLOAD_MS - 2 * ADJUSTMENT_INTERVAL_MS, LONG_WAIT)
+    now = observe(limit, now, SUSTAINED_OVERLOAD_MS - 2 * ADJUSTMENT_INTERVAL_MS, LONG_WAIT_MS)
     observe(limit, now, 1000.0, 0.0)
     assert not limit.is_limited and limit.allows(10**6, 0.01)
 
 
-def test_a_standing_queue_is_limited_and_the_limit_lifted_once_waits_are_short() -> None:
-    """Guards against requests that all wait until they are late, as the router rejects nothing."""
+def test_a_standing_queue_is_limited_and_the_limit_removed_once_waits_are_short() -> None:
+    """Guards against requests that all wait until they are late because the router rejects none."""
     limit = QueueLimit()
-    now = observe(limit, 0.0, SUSTAINED_OVERLOAD_MS + 2 * ADJUSTMENT_INTERVAL_MS, LONG_WAIT)
+    now = observe(limit, 0.0, SUSTAINED_OVERLOAD_MS + 2 * ADJUSTMENT_INTERVAL_MS, LONG_WAIT_MS)
     assert limit.is_limited and not limit.allows(100, 1.0) and limit.allows(0, 1.0)
     observe(limit, now, 10000.0, 0.0)
     assert not limit.is_limited
@@ -67,34 +67,34 @@
     return driver
 
 
-def test_the_freshest_and_the_weightiest_requests_are_queued_first() -> None:
-    """Guards against a core whose work all goes to requests that clients have waited for too long."""
+def test_requests_with_most_time_left_and_greatest_weight_are_queued_first() -> None:
+    """Guards against a core that spends its time on requests whose clients have waited for too long."""
     driver = overloaded_driver()
     read, keyed = THROUGH.classes[READ], THROUGH.classes[IDEMPOTENCY_KEY]
-    shed = driver.balancer.admission.check_queue
-    assert shed(driver.now, read, read.deadline, 7) is None
-    assert shed(driver.now, read, read.deadline, 8) is not None
-    assert shed(driver.now, read, read.deadline * 0.5, 0) is not None
-    assert shed(driver.now, keyed, keyed.deadline, 30) is None
+    check_queue = driver.balancer.admission.check_queue
+    assert check_queue(driver.now, read, read.deadline, 7) is None
+    assert check_queue(driver.now, read, read.deadline, 8) is not None
+    assert check_queue(driver.now, read, read.deadline * 0.5, 0) is not None
+    assert check_queue(driver.now, keyed, keyed.deadline, 30) is None
 
 
 def test_the_retry_after_of_an_overload_grows_with_its_length_and_is_spread() -> None:
     driver = overloaded_driver()
     read = THROUGH.classes[READ]
 
-    def advice(overloaded_for: float) -> list[float]:
-        now = driver.now + overloaded_for
+    def retry_afters(overload_duration: float) -> list[float]:
+        now = driver.now + overload_duration
         return [driver.balancer.admission.check_queue(now, read, read.deadline, 100) or 0.0 for _ in range(50)]
 
-    short, long = advice(0.0), advice(5000.0)
+    short, long = retry_afters(0.0), retry_afters(5000.0)
     assert 50.0 <= min(short) < max(short) <= 150.0 and len(set(short)) > 25
     assert 500.0 <= min(long) < max(long) <= 1500.0
 
 
-def test_a_read_is_rejected_before_it_takes_a_turn_and_all_else_is_left_to_the_reader(tmp_path: Path) -> None:
-    """Guards against rejections that cost a third of a request and so take the core themselves."""
+def test_a_read_is_rejected_before_it_is_dispatched_and_other_commands_are_left_to_the_reader(tmp_path: Path) -> None:
+    """Guards against rejections that cost a third of a served request and so overload the core themselves."""
 
-    async def play() -> None:
+    async def run_commands() -> None:
         async with running_router(tmp_path) as harness:
             limit = harness.router.balancer.admission.core.queue_limit
             limit.limit, limit.limited_since = 0.5, 0.0
@@ -102,7 +102,7 @@
             await client.send(read_command(1))
             assert (await client.until(b"\r\n")).startswith(b"SERVER_ERROR busy")
             assert harness.actor_of(client).state.commands == 1
-            await client.send(read_command(2)[:10])  # amid a command the next bytes are no read of their own
+            await client.send(read_command(2)[:10])  # the next bytes continue this command
             await until(lambda: harness.actor_of(client).state.partial_since is not None)
             await client.send(read_command(2)[10:] + b"mn\r\n")
             assert (await client.until(b"MN\r\n")).startswith(b"SERVER_ERROR busy")
@@ -117,4 +117,4 @@
             await server.send(value_answer(4))
             assert await client.until(b"x\r\n") == b"VA 1 O4\r\nx\r\n"
 
-    asyncio.run(play())
+    asyncio.run(run_commands())
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -1,4 +1,4 @@
-"""The origin throttle: what it allows while the origin is healthy, overloaded, and recovered."""
+"""Tests of the fetches that the origin throttle allows while the origin is healthy, overloaded or recovered."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def fetch_result(driver: BalancerDriver, key: int, result: AttemptResult, elapsed: float) -> bool:
-    """Read a key that is cached nowhere and end its fetch with a result; tell whether there was a fetch."""
+    """Read a key that is not cached and end its fetch with a result; return whether a fetch was sent."""
     first = only_send(driver.ask(key))
     if first.server != ORIGIN:
-        done = driver.end(first, AttemptResult.MISS)
-        if not sends(done):
-            assert answers(done) == [Reject(first.id)]
+        actions = driver.end(first, AttemptResult.MISS)
+        if not sends(actions):
+            assert answers(actions) == [Reject(first.id)]
             return False
-        fetch = only_send(done)
+        fetch = only_send(actions)
     else:
         fetch = first
     assert fetch.server == ORIGIN
@@ -31,7 +31,7 @@
 
 
 def test_an_overloaded_origin_gets_few_fetches() -> None:
-    """Incident if95e43: fetches went on unchecked while 97% of them failed."""
+    """Guards against incident if95e43: fetches were not limited while 97% of them failed."""
     driver = BalancerDriver()
     fetched = [fetch_result(driver, key, AttemptResult.TIMEOUT, 400.0) for key in range(1, 60)]
     assert sum(fetched[20:]) < 0.4 * len(fetched[20:])
@@ -57,13 +57,13 @@
     driver = BalancerDriver()
     send = only_send(driver.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
     assert not answers(driver.end(send, AttemptResult.FULL))
-    final, number = [], 0
+    final_answers, attempt_number = [], 0
     for _ in range(60):
-        done = driver.pass_time(50.0)
-        for again in sends(done):
-            assert again.server == ORIGIN
-            number += 1
-            done = done + driver.end(again, AttemptResult.FULL, number)
-        final += answers(done)
-    assert number >= 1
-    assert final == [Reject(send.id)]
+        actions = driver.pass_time(50.0)
+        for retry in sends(actions):
+            assert retry.server == ORIGIN
+            attempt_number += 1
+            actions = actions + driver.end(retry, AttemptResult.FULL, attempt_number)
+        final_answers += answers(actions)
+    assert attempt_number >= 1
+    assert final_answers == [Reject(send.id)]
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -1,4 +1,4 @@
-"""Servers that fail repeatedly are ejected, single failures eject none."""
+"""Tests that servers are ejected for repeated failures and not for single ones."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_single_failures_eject_no_server_and_consecutive_ones_do() -> None:
-    """Guards against corrupt responses that eject half a fleet and scatter its keys."""
+    """Guards against corrupt responses that eject half of the fleet and scatter its keys."""
     for result, max_failures in ((AttemptResult.ERROR, 3), (AttemptResult.RESET, 3), (AttemptResult.CONNECT_FAILED, 2)):
         driver = BalancerDriver(THROUGH)
         owner = [driver.read(7) for _ in range(12)][-1]
@@ -32,7 +32,7 @@
 
 
 def test_a_silent_server_is_ejected_before_the_deadline() -> None:
-    """Guards against machines that vanish without closing their connections."""
+    """Guards against machines that fail without closing their connections."""
     driver = BalancerDriver(HEDGED)
     owner = warmed_up(driver)
     for _ in range(30):
