--- a/starlingthread/limits/budgets.py
+++ b/starlingthread/limits/budgets.py
@@ -16,8 +16,8 @@
 MANAGEMENT_SHARE = 1 / 32
 MIN_MANAGEMENT_CONNECTIONS = 4
 MIN_CONNECTIONS = 16
-# Share of the other descriptors that clients get; the servers get the other half. The requests of clients need a third
-# of all descriptors.
+# Share of the connections, without those of the management, that clients get; the servers get the other half. The
+# requests of clients need a third of all descriptors.
 CLIENT_SHARE = 0.5
 # Share of all descriptors that clients may use before idle ones are closed sooner. Clients may use up to a third of all
 # descriptors, and new requests need free ones.
--- a/starlingthread/limits/limit_adjustment.py
+++ b/starlingthread/limits/limit_adjustment.py
@@ -6,7 +6,7 @@
 from .concurrency import ConcurrencyLimit
 from .origin_limit import OriginLimit
 
-# Share of the latency objective; a longer response time at one server leaves no time for another attempt.
+# Share of the latency objective above which a response is late, as it would leave no time for another attempt.
 LATE_SHARE = 0.5
 
 
--- a/starlingthread/limits/origin_limit.py
+++ b/starlingthread/limits/origin_limit.py
@@ -17,7 +17,7 @@
 
 # Minimum of the limit on concurrent fetches; above 0, to detect that the origin has recovered.
 MIN_LIMIT_FETCHES = 0.2
-# Share of the latency objective; a slower fetch shows that the origin is overloaded.
+# Share of the latency objective above which a fetch shows that the origin is overloaded.
 LATE_SHARE = 0.9
 # Weight of one likely fetch in the share of likely fetches that is rejected.
 REJECTED_SHARE_GAIN = 0.05
--- a/starlingthread/limits/trunk_reservation.py
+++ b/starlingthread/limits/trunk_reservation.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-# Share of a server's limit.
+# Share of a server's limit that is reserved at most.
 MAX_RESERVED_SHARE = 0.5
 # Share of requests whose server is at its limit from which MAX_RESERVED_SHARE is reserved.
 FULL_RESERVATION_AT_LIMIT_SHARE = 0.2
--- a/starlingthread/state/records.py
+++ b/starlingthread/state/records.py
@@ -24,7 +24,7 @@
 MAX_KEYS = 20000
 # Time without requests after which the counts of a key have decayed so far that they no longer matter.
 KEY_RETENTION_MS = 35000.0
-# Above 1, so that the table shrinks again after a surge of keys.
+# Evictions for each new key; more than one, so that the table shrinks again after a surge of keys.
 MAX_EVICTIONS_PER_NEW_KEY = 2
 
 
