--- a/starlingthread/core/attempts.py
+++ b/starlingthread/core/attempts.py
@@ -52,7 +52,7 @@
             return
         attempt = self._add(request, action)
         if request.finished or request.cancelled or request.attempts_started > max_attempts:
-            self._mailbox.must_put(AttemptEnded(attempt, AttemptResult.NOT_SENT))
+            self._mailbox.force_put(AttemptEnded(attempt, AttemptResult.NOT_SENT))
             return
         self._counters.increment("attempts.started")
         self._set_deadline(attempt, attempt.deadline)
@@ -75,7 +75,7 @@
         for attempt in self.by_request.get(request.id, ()):
             if attempt.pending:
                 attempt.sent_at = now
-                attempt.idle_time_before = self._core_load.idle_time()
+                attempt.idle_time_at_start = self._core_load.idle_time()
                 self._set_deadline(attempt, request.deadline)
 
     def _set_deadline(self, attempt: Attempt, deadline: float) -> None:
@@ -123,7 +123,7 @@
             attempt.request.finished,
             message.cache_status,
             message.load_report,
-            self._core_load.own_delay(elapsed, attempt.idle_time_before),
+            self._core_load.own_delay(elapsed, attempt.idle_time_at_start),
         )
 
     def cancel(self, action: Cancel) -> None:
@@ -134,4 +134,4 @@
         attempt = attempts[action.attempt]
         if attempt.pending:
             self.fleet.abandon(attempt)
-            self._mailbox.must_put(AttemptEnded(attempt, AttemptResult.CANCELLED))
+            self._mailbox.force_put(AttemptEnded(attempt, AttemptResult.CANCELLED))
--- a/starlingthread/core/core_load.py
+++ b/starlingthread/core/core_load.py
@@ -48,12 +48,12 @@
         """Return for how long (ms) this process has been idle; where that is not measured, it always is."""
         return self.cpu.idle_seconds() * 1000.0 if self.cpu.idle_seconds is not None else self._clock.now()
 
-    def own_delay(self, elapsed: float, idle_time_before: float) -> float:
+    def own_delay(self, elapsed: float, idle_time_at_start: float) -> float:
         """Return how much of a time (ms) that has elapsed until now is to be put down to this process.
 
-        idle_time_before: what :meth:`idle_time` was at its begin.
+        idle_time_at_start: what :meth:`idle_time` was at its begin.
         """
-        busy = elapsed - (self.idle_time() - idle_time_before)
+        busy = elapsed - (self.idle_time() - idle_time_at_start)
         return min(elapsed, max(0.0, busy - OWN_DELAY_ALLOWANCE))
 
     def sample_cpu(self) -> None:
--- a/starlingthread/core/mailbox.py
+++ b/starlingthread/core/mailbox.py
@@ -24,10 +24,10 @@
         """Append a message; return False if the mailbox is full and the message was not accepted."""
         if len(self._messages) >= self.limit:
             return False
-        self.must_put(message)
+        self.force_put(message)
         return True
 
-    def must_put(self, message: T) -> None:
+    def force_put(self, message: T) -> None:
         """Append a message whatever the limit: one that ends something already accepted, such as an outcome."""
         self._messages.append(message)
         self.wake()
--- a/starlingthread/core/messages.py
+++ b/starlingthread/core/messages.py
@@ -81,7 +81,7 @@
     number: int  # 0 for the first attempt of the request
     server: int
     sent_at: float
-    idle_time_before: float  # ms for which this process had been idle when it was sent
+    idle_time_at_start: float  # ms for which this process had been idle when it was sent
     deadline: float  # when we stop waiting for it
     write_deadline: float = math.inf  # from then on it must not be written any more
     pending: bool = True  # it has no outcome yet; once it has one it must not be written any more
--- a/starlingthread/core/pipe.py
+++ b/starlingthread/core/pipe.py
@@ -59,7 +59,7 @@
             return False
         return self.buffered >= WINDOW or self._budget.used > self._budget.limit
 
-    async def until_not_full(self) -> None:
+    async def wait_until_not_full(self) -> None:
         """Wait until the producer may read on."""
         while self.is_full():
             self._producer = asyncio.get_running_loop().create_future()
@@ -84,7 +84,7 @@
         """Return whether there is nothing more to take, now or later."""
         return self.abandoned or (self.complete is not None and not self._pieces)
 
-    async def until_more(self) -> None:
+    async def wait_for_data(self) -> None:
         """Wait for a piece or the end."""
         while not self._pieces and not self.is_finished():
             self._consumer = asyncio.get_running_loop().create_future()
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -74,7 +74,7 @@
         self.telemetry = Telemetry(cls.name for cls in settings.classes)
         self.mailbox: Mailbox[Message] = Mailbox(MAILBOX_LIMIT)
         self.discovery_reached = asyncio.Event()  # a list has come from discovery itself, not from the configuration
-        self.listed = False  # a list with at least one server has reached the module
+        self.has_endpoints = False  # a list with at least one server has reached the module
         self.discovery: Discovery
         self.peers: Peers
         self._table = RequestTable(deadlines, counters, self.telemetry)
@@ -156,7 +156,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Switch to new settings; requests that are in the mailbox already are decided under the old ones."""
         self.telemetry.register_classes(cls.name for cls in settings.classes)
-        self.mailbox.must_put(SettingsChanged(settings))
+        self.mailbox.force_put(SettingsChanged(settings))
 
     def _on_settings(self, message: SettingsChanged) -> None:
         self.settings = message.settings
@@ -164,7 +164,7 @@
         self._decide(message)
 
     def _on_endpoints(self, message: EndpointsReceived) -> None:
-        self.listed = self.listed or bool(message.event.endpoints)
+        self.has_endpoints = self.has_endpoints or bool(message.event.endpoints)
         if message.event.kind in (EndpointListKind.FULL, EndpointListKind.DELTA):
             self.discovery_reached.set()
         self.fleet.apply_endpoint_list(message, self.clock.now())
--- a/starlingthread/net/clients/reader.py
+++ b/starlingthread/net/clients/reader.py
@@ -98,7 +98,7 @@
     async def _wait_for_pipe(self, pipe: Pipe) -> None:
         """Wait until more of the incoming value may be read."""
         self._listener.watch_for_disconnect(self)
-        await pipe.until_not_full()
+        await pipe.wait_until_not_full()
         self._state.partial_since = self._listener.clock.now()
 
     def check_for_disconnect(self) -> bool:
--- a/starlingthread/net/clients/requests.py
+++ b/starlingthread/net/clients/requests.py
@@ -173,7 +173,7 @@
             self._respond(slot, slot.deferred_answer)
         elif not request.finished and isinstance(request.payload, meta.Command):
             timeout = min(request.payload.timeout_ms, request.request_class.deadline, self._listener.answer_by - now)
-            self._listener.router.mailbox.must_put(BodyReceived(request, now + timeout - RESPONSE_MARGIN_MS))
+            self._listener.router.mailbox.force_put(BodyReceived(request, now + timeout - RESPONSE_MARGIN_MS))
 
     def _fail_incoming_value(self, malformed: meta.MalformedCommand) -> None:
         """Withdraw the request whose value will never be complete, and answer it as malformed."""
@@ -231,7 +231,7 @@
         request.cancelled = True  # at once: other messages precede the one that reports it
         self._release_id(request)
         if request is not self.unsubmitted:
-            self._listener.router.mailbox.must_put(ClientDisconnected(request))
+            self._listener.router.mailbox.force_put(ClientDisconnected(request))
         elif request.body is not None:
             request.body.abandon()
             self.unsubmitted = None
--- a/starlingthread/net/clients/responses.py
+++ b/starlingthread/net/clients/responses.py
@@ -63,7 +63,7 @@
         """Hand a slot's response to the writer."""
         self.reserve(slot, sum(map(len, parts)))
         # A slot gets one message in its life, so there are never more of them than slots.
-        self.mailbox.must_put(ResponseReady(slot, parts))
+        self.mailbox.force_put(ResponseReady(slot, parts))
 
     def collect_ready(self) -> None:
         """Move the responses that have arrived to their slots."""
--- a/starlingthread/net/clients/writer.py
+++ b/starlingthread/net/clients/writer.py
@@ -49,7 +49,7 @@
                 self._writer.write(chunk)
                 if self._has_much_unsent():
                     await self._drain()
-            await pipe.until_more()
+            await pipe.wait_for_data()
         self._streaming = None
         self._state.last_used_at = self._listener.clock.now()
         if not pipe.complete or pipe.abandoned:
--- a/starlingthread/net/discovery/actor.py
+++ b/starlingthread/net/discovery/actor.py
@@ -99,7 +99,7 @@
         listing = self.parser.parse(raw, EndpointListKind.CACHED)
         self.version = listing.event.version
         self._listed = {endpoint.server for endpoint in listing.event.endpoints}
-        self.router.mailbox.must_put(listing)
+        self.router.mailbox.force_put(listing)
 
     def watch(self, active: bool) -> None:
         """Start watching for changes, or stop."""
@@ -112,13 +112,13 @@
 
     def set_address(self, address: tuple[str, int]) -> None:
         """Leave discovery's old address and repeat all pending calls at the new one, at once."""
-        self.mailbox.must_put(ChangeAddress(address))
+        self.mailbox.force_put(ChangeAddress(address))
 
     def report_failure(self, reason: str) -> None:
         """Report a failed call to the router; where lists are pushed, retry the watch after a backoff."""
         self.counters.increment("discovery.failures")
         log.info("discovery-failed", reason=reason)
-        self.router.mailbox.must_put(EndpointsReceived(EndpointList(EndpointListKind.FAILED, self.version), {}))
+        self.router.mailbox.force_put(EndpointsReceived(EndpointList(EndpointListKind.FAILED, self.version), {}))
         if self.pushed:
             self.deadlines.set(self.clock.now() + self._next_backoff(), self._retry_watch)
 
@@ -219,7 +219,7 @@
         self.parser.ids.retain(self._listed)
         self._consecutive_failures = 0
         self.counters.increment("discovery.lists")
-        self.router.mailbox.must_put(listing)
+        self.router.mailbox.force_put(listing)
 
     def _parse_json(self, text: bytes) -> object:
         try:
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -62,7 +62,7 @@
 
     def post(self, message: Message) -> None:
         """Put a message that must not be lost into the mailbox."""
-        self.mailbox.must_put(message)
+        self.mailbox.force_put(message)
 
     def close(self) -> None:
         """Close all connections, pending ones too."""
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -67,7 +67,7 @@
         """Start an attempt; AttemptEnded follows unless it is abandoned."""
         actor = self.actors.get(attempt.server)
         if actor is None or not actor.mailbox.put(StartExchange(attempt)):
-            self.context.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.CONNECT_FAILED))
+            self.context.router.mailbox.force_put(AttemptEnded(attempt, AttemptResult.CONNECT_FAILED))
 
     def abandon(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt that has its outcome."""
@@ -80,7 +80,7 @@
         actor = self.actors.get(server)
         if actor is None:
             result = HealthCheckResult(server, AttemptResult.CONNECT_FAILED, 0.0)
-            self.context.router.mailbox.must_put(result)
+            self.context.router.mailbox.force_put(result)
             return
         now = self.context.clock.now()
         check = PendingHealthCheck(now)
--- a/starlingthread/net/upstreams/reader.py
+++ b/starlingthread/net/upstreams/reader.py
@@ -39,7 +39,7 @@
         """Wait until more of a streamed value may be read; False if its reader has abandoned it."""
         if pipe.is_full():
             self._clear_read_timeout(connection)
-            await pipe.until_not_full()
+            await pipe.wait_until_not_full()
             self.set_read_timeout(connection, connection.parser.has_partial_input(), is_recheck=False)
         return not pipe.abandoned
 
--- a/starlingthread/net/upstreams/results.py
+++ b/starlingthread/net/upstreams/results.py
@@ -59,7 +59,7 @@
         self._context.deadlines.clear(check.timeout_timer)
         load_report = self._load_report(check.load)
         elapsed = self._context.clock.now() - check.sent_at
-        self._context.router.mailbox.must_put(HealthCheckResult(self._server, result, elapsed, load_report))
+        self._context.router.mailbox.force_put(HealthCheckResult(self._server, result, elapsed, load_report))
 
     def _report_attempt(
         self, attempt: Attempt, result: AttemptResult, answer: meta.ServerAnswer | None, pipe: Pipe | None
@@ -70,7 +70,7 @@
             cache_status = CACHE_STATUS_BY_NOTE.get(answer.cache_note, CacheStatus.NONE)
             load_report = self._load_report(answer.load)
         message = AttemptEnded(attempt, result, cache_status, load_report, answer, pipe)
-        self._context.router.mailbox.must_put(message)
+        self._context.router.mailbox.force_put(message)
 
     def _load_report(self, load: dict[str, float] | None) -> tuple[float, ...]:
         """Return the configured fields of a load report; none if any is missing, as a missing figure is not zero."""
--- a/starlingthread/net/upstreams/writer.py
+++ b/starlingthread/net/upstreams/writer.py
@@ -58,6 +58,6 @@
                         self._context.router.telemetry.backend_calls += 1
                     connection.writer.write(chunk)
                     await connection.writer.drain()
-                await body.until_more()
+                await body.wait_for_data()
         except OSError:
             self._post(ConnectionLost(connection))
--- a/starlingthread/router_process/actors.py
+++ b/starlingthread/router_process/actors.py
@@ -42,7 +42,7 @@
 
     def has_endpoints(self) -> bool:
         """Return whether an endpoint list with at least one server is in force, so that requests can be served."""
-        return self.router.listed
+        return self.router.has_endpoints
 
     def apply_budgets(self, budgets: ResourceBudgets) -> None:
         """Set the limits on connections and buffered values."""
--- a/starlingthread/router_process/control.py
+++ b/starlingthread/router_process/control.py
@@ -59,4 +59,4 @@
         """Have the server's actor write nothing more, and the decision module choose other servers; or the reverse."""
         server = self._actors.discovery.parser.ids.assign(name)
         self._actors.fleet.set_maintenance(server, in_maintenance)
-        self._actors.router.mailbox.must_put(Maintenance(server, in_maintenance))
+        self._actors.router.mailbox.force_put(Maintenance(server, in_maintenance))
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -20,7 +20,7 @@
 from .router_harness import RouterHarness
 
 
-class Transport:
+class FakeTransport:
     """A fake transport that records what is done to it."""
 
     def __init__(self) -> None:
@@ -50,16 +50,16 @@
         self.paused = False
 
 
-class Writer:
+class FakeWriter:
     """A fake StreamWriter."""
 
     def __init__(self) -> None:
-        self.transport = Transport()
-        self.mine, self.other = socket.socketpair()  # for bytes that lie unread in the system
+        self.transport = FakeTransport()
+        self.local_socket, self.remote_socket = socket.socketpair()  # for bytes that lie unread in the system
         self.on_eof: Callable[[], None] = lambda: None  # the peer's reaction to our end of file
 
     def get_extra_info(self, name: str) -> socket.socket:
-        return self.mine
+        return self.local_socket
 
     def writelines(self, parts: tuple[bytes, ...]) -> None:
         assert not self.transport.closed
@@ -74,8 +74,8 @@
 
     def close(self) -> None:
         self.transport.closed = True
-        self.mine.close()
-        self.other.close()
+        self.local_socket.close()
+        self.remote_socket.close()
 
 
 async def settle() -> None:
@@ -91,9 +91,9 @@
         harness = RouterHarness()
         self.router, self.supervisor = harness.router, TaskSupervisor()
         self.listener = ClientListener(
-            THROUGH, self.router, self.supervisor, 10, 8, 1 << 20, lambda: harness.router.listed
+            THROUGH, self.router, self.supervisor, 10, 8, 1 << 20, lambda: harness.router.has_endpoints
         )
-        self.reader, self.writer = asyncio.StreamReader(), Writer()
+        self.reader, self.writer = asyncio.StreamReader(), FakeWriter()
         self.writer.on_eof = self.reader.feed_eof  # the peer closes in turn
         self.actor = ClientConnectionActor(
             self.listener,
@@ -136,7 +136,7 @@
         self.router_harness = RouterHarness()
         self.fleet = ServerFleet(THROUGH, self.router_harness.router, TaskSupervisor(), 10, 15000.0)
         self.actor = ServerActor(self.fleet.context, 1, ("127.0.0.1", 1))
-        self.reader, self.writer = asyncio.StreamReader(), Writer()
+        self.reader, self.writer = asyncio.StreamReader(), FakeWriter()
         self.connection = Connection(self.reader, self.writer, self.actor.pool.address)  # type: ignore[arg-type]
         self.connection.idle_since = self.router_harness.clock.now()
         self.actor.pool.idle.append(self.connection)
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -59,7 +59,7 @@
 
     def deliver(self, message: Message) -> None:
         """Deliver a message and handle all that result from it."""
-        self.router.mailbox.must_put(message)
+        self.router.mailbox.force_put(message)
         self.run_until_idle()
 
     def submit_request(self, class_index: int = READ, deadline_in: float = 900.0) -> PendingRequest:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -106,7 +106,7 @@
             (request,) = harness.router.requests.values()
             (attempt,) = harness.router.attempts.by_request[request.id]
             (actor,) = harness.program.actors.clients.connections
-            harness.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.RESET))
+            harness.router.mailbox.force_put(AttemptEnded(attempt, AttemptResult.RESET))
             actor.on_disconnect()
             began = harness.counters["attempts.started"]
             harness.router.turn()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -10,7 +10,7 @@
 from starlingthread.net import meta
 from starlingthread.net.clients import ClientConnectionActor, key_number
 
-from .fakes import READS, ClientHarness, Writer, run_client_script
+from .fakes import READS, ClientHarness, FakeWriter, run_client_script
 
 
 def test_responses_come_in_the_order_of_the_commands() -> None:
@@ -118,7 +118,7 @@
     async def script(harness: ClientHarness) -> None:
         def connect(sent: bytes) -> ClientConnectionActor:
             reader = asyncio.StreamReader()
-            harness.listener._accept(reader, Writer())  # type: ignore[arg-type]
+            harness.listener._accept(reader, FakeWriter())  # type: ignore[arg-type]
             reader.feed_data(sent)
             return next(a for a in harness.listener.connections if a.reader is reader)
 
@@ -136,7 +136,7 @@
         active.append(connect(b"mg d v O4 Pc=read,d=5\r\n"))
         await harness.settle()
         assert {harness.actor, *active} == harness.listener.connections
-        harness.listener._accept(asyncio.StreamReader(), (last := Writer()))  # type: ignore[arg-type]
+        harness.listener._accept(asyncio.StreamReader(), (last := FakeWriter()))  # type: ignore[arg-type]
         assert last.transport.closed and harness.listener.counters["clients.rejected"] == 1
 
     run_client_script(script)
@@ -150,7 +150,7 @@
         harness.reader.feed_data(READS[:25])
         readers = [asyncio.StreamReader() for _ in range(3)]
         for reader in readers:
-            harness.listener._accept(reader, Writer())  # type: ignore[arg-type]
+            harness.listener._accept(reader, FakeWriter())  # type: ignore[arg-type]
             reader.feed_data(b"mn\r\n")
             await harness.settle()
             harness.router.clock.time += 10.0  # type: ignore[attr-defined]
@@ -167,11 +167,11 @@
 
 def test_a_connection_is_not_closed_while_bytes_lie_unread_in_its_socket() -> None:
     async def script(harness: ClientHarness) -> None:
-        harness.writer.other.send(b"mg a v O1 Pc=read,d=500")  # the system has them, the reader has not
+        harness.writer.remote_socket.send(b"mg a v O1 Pc=read,d=500")  # the system has them, the reader has not
         harness.actor.close_when_idle()
         await harness.settle()
         assert not harness.writer.transport.closed
-        harness.writer.mine.recv(100)
+        harness.writer.local_socket.recv(100)
         harness.actor.responses.mailbox.wake()
         await harness.settle()
         assert harness.writer.transport.closed
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -227,10 +227,10 @@
     async def script(now: ClientHarness) -> None:
         now.listener.pause_accepting()
         now.reader.feed_data(b"mn\r\n")
-        now.writer.other.send(b"x")  # the next command is on its way already
+        now.writer.remote_socket.send(b"x")  # the next command is on its way already
         await now.settle()
         assert not now.writer.transport.closed
-        now.writer.mine.recv(1)
+        now.writer.local_socket.recv(1)
         now.reader.feed_data(b"mn\r\n")
         await now.settle()
         assert now.writer.transport.closed
--- a/tests/test_maintenance_and_reload.py
+++ b/tests/test_maintenance_and_reload.py
@@ -254,7 +254,7 @@
     """An idempotent request may still be retried after its class is gone; a later one follows the new settings."""
     harness = RouterHarness()
     before = [harness.submit_request(cls) for cls in (READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)]
-    harness.router.mailbox.must_put(HealthCheckResult(1, AttemptResult.OK, 1.0))
+    harness.router.mailbox.force_put(HealthCheckResult(1, AttemptResult.OK, 1.0))
     harness.router.apply_settings(FEWER_CLASSES)
     # "read" is gone, but this request is idempotent still.
     harness.deliver(AttemptEnded(harness.started[0], AttemptResult.RESET))
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -17,7 +17,7 @@
 from starlingthread.net.management import MAX_HEAD, REQUEST_TIMEOUT_MS, ManagementServer
 
 from .balancer_driver import THROUGH
-from .fakes import Writer
+from .fakes import FakeWriter
 from .router_harness import RouterHarness
 
 
@@ -43,7 +43,7 @@
         return name == "s-1"
 
 
-class Caller(Writer):
+class Caller(FakeWriter):
     """A caller's end, with what a StreamWriter has for one."""
 
     def __init__(self) -> None:
--- a/tests/test_pipe.py
+++ b/tests/test_pipe.py
@@ -63,17 +63,17 @@
         slow, quick = Pipe(budget), Pipe(budget)
         slow.put(b"x" * 11)  # all the budget there is
         quick.put(b"y")
-        reading = asyncio.ensure_future(quick.until_not_full())
+        reading = asyncio.ensure_future(quick.wait_until_not_full())
         await asyncio.sleep(0)
         assert not reading.done()
         assert quick.take() == [b"y"]
         await reading
-        taking = asyncio.ensure_future(quick.until_more())
+        taking = asyncio.ensure_future(quick.wait_for_data())
         await asyncio.sleep(0)
         assert not taking.done()
         quick.finish(False)
         await taking
-        waiting = asyncio.ensure_future(slow.until_not_full())
+        waiting = asyncio.ensure_future(slow.wait_until_not_full())
         await asyncio.sleep(0)
         slow.abandon()
         await waiting
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -52,7 +52,7 @@
     """Guards the order of a turn: after a pause of the process both are due at once."""
     harness = RouterHarness()
     request = harness.submit_request()
-    harness.router.mailbox.must_put(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"v"))
+    harness.router.mailbox.force_put(AttemptEnded(harness.started[0], AttemptResult.OK, payload=b"v"))
     harness.clock.time += 2000.0
     harness.router.turn()
     assert harness.answers == [(request, Served(b"v"))]
@@ -160,7 +160,7 @@
 def test_a_full_mailbox_accepts_only_what_it_must() -> None:
     mailbox: Mailbox[int] = Mailbox(1)
     assert mailbox.put(1) and not mailbox.put(2)
-    mailbox.must_put(3)
+    mailbox.force_put(3)
     assert list(mailbox.take()) == [1, 3]
 
 
