--- a/starlingthread/core/__init__.py
+++ b/starlingthread/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every dialect shares: the router's actor, its requests and messages, deadlines, mailboxes and counters."""
+"""The protocol-independent part of a router: its actor, requests, messages, deadlines, mailboxes and counters."""
--- a/starlingthread/core/attempts.py
+++ b/starlingthread/core/attempts.py
@@ -1,7 +1,7 @@
-"""The attempts of the router's requests: their start, their deadlines, their one outcome, and their cancellation.
+"""The attempts of the router's requests: their start, their deadlines, their outcomes and their cancellation.
 
-Each attempt has one outcome, which :meth:`Attempts.on_ended` accepts; each request has one final answer, which
-:meth:`RequestTable.finish` gives. Nothing else does either.
+Each attempt has exactly one outcome, which only :meth:`Attempts.on_ended` records. Each request has at most one final
+answer, which only :meth:`RequestTable.finish` gives.
 """
 
 from __future__ import annotations
@@ -33,9 +33,13 @@
         counters: Counters,
         decide: Callable[[Outcome], None],
     ) -> None:
-        """Begin without attempts; decide passes an outcome to the decision module and carries out its actions."""
+        """Create an empty set of attempts.
+
+        ``decide`` passes an outcome to the decision module and executes the resulting actions.
+        """
         self.fleet: CacheServers
-        self.by_request = table.attempts  # by request id, in order of their numbers
+        # The attempts of each request, by request id and in order of their numbers.
+        self.by_request = table.attempts
         self._table = table
         self._core_load = core_load
         self._mailbox = mailbox
@@ -45,7 +49,7 @@
         self._decide = decide
 
     def start(self, action: Send, max_attempts: int) -> None:
-        """Start an attempt; it ends as not sent if its request is over or has had its attempts."""
+        """Start an attempt; it ends as not sent if its request has ended or has no attempts left."""
         request = self._table.requests.get(action.id)
         if request is None:
             self._counters.increment("attempts.unknown_request")
@@ -71,7 +75,7 @@
         return attempt
 
     def on_body_received(self, request: PendingRequest, now: float) -> None:
-        """Restart the deadlines of a request's attempts, which count from the last byte of its value."""
+        """Restart the deadlines of a request's pending attempts once the last byte of its value has been received."""
         for attempt in self.by_request.get(request.id, ()):
             if attempt.pending:
                 attempt.sent_at = now
@@ -87,10 +91,10 @@
         self.on_ended(AttemptEnded(attempt, AttemptResult.TIMEOUT), abandon=True)
 
     def on_ended(self, message: AttemptEnded, abandon: bool = False) -> None:
-        """Record the one outcome of an attempt: the one place that does. Later ones are dropped."""
+        """Record the outcome of an attempt and discard any later one; ``abandon`` also stops the attempt."""
         attempt = message.attempt
         if not attempt.pending:
-            self._drop(message)
+            self._discard_late_outcome(message)
             return
         attempt.pending = False
         self._deadlines.clear(attempt.timeout_timer)
@@ -106,10 +110,10 @@
         self._decide(self._outcome(message))
         self._table.remove_if_done(request)
 
-    def _drop(self, late: AttemptEnded) -> None:
+    def _discard_late_outcome(self, message: AttemptEnded) -> None:
         self._counters.increment("attempts.late_outcomes")
-        if late.pipe is not None:
-            late.pipe.abandon()
+        if message.pipe is not None:
+            message.pipe.abandon()
 
     def _outcome(self, message: AttemptEnded) -> Outcome:
         attempt = message.attempt
@@ -127,7 +131,7 @@
         )
 
     def cancel(self, action: Cancel) -> None:
-        """Cancel an attempt; it is abandoned at once, and its outcome follows. Ignored if it has ended."""
+        """Cancel an attempt at once; its outcome follows as a message. An attempt that has ended is ignored."""
         attempts = self.by_request.get(action.id, [])
         if action.attempt >= len(attempts):
             return
--- a/starlingthread/core/clock.py
+++ b/starlingthread/core/clock.py
@@ -1,4 +1,4 @@
-"""The router's clock."""
+"""The monotonic clock of a router."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class Clock:
-    """A monotonic clock in milliseconds, anchored at the Unix time of the start.
+    """A monotonic clock in milliseconds since the Unix epoch.
 
-    Discovery's since_ms is Unix time too, so it compares with this clock as it is.
+    The system clock is read only once, at the start. Discovery reports ``since_ms`` as Unix time, so it can be compared
+    with this clock without conversion.
     """
 
     def __init__(self) -> None:
@@ -19,5 +20,5 @@
         return self._base + time.monotonic() * 1000.0
 
     def to_loop_time(self, at: float) -> float:
-        """Convert a time of this clock to the event loop's time (seconds, monotonic)."""
+        """Convert a time of this clock to the event loop's monotonic time in seconds."""
         return (at - self._base) / 1000.0
--- a/starlingthread/core/counters.py
+++ b/starlingthread/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters of the router's requests, attempts, answers and faults."""
+"""Event counters of a router."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class Counters(Counter[str]):
-    """Counts by dotted name; the topic comes first, so that a sorted list groups by topic."""
+    """Counts by dotted name. Names begin with the topic, so that a sorted list groups them by topic."""
 
     def increment(self, name: str, by: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter, which starts at 0."""
         self[name] += by
--- a/starlingthread/core/cpu_monitor.py
+++ b/starlingthread/core/cpu_monitor.py
@@ -1,31 +1,36 @@
-"""How much of its CPU share this process uses."""
+"""Measurement of the CPU usage of this process, relative to its CPU share."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-SATURATED_SHARE = 0.9  # of the CPU share, above which it counts as saturated
-MAX_IDLE_SHARE = 0.1  # of the time; a loop that is idle for less is saturated, whoever uses the CPU
+# The process is saturated if it uses more than this part of its CPU share.
+SATURATED_SHARE = 0.9
+# The process is also saturated if its event loop is idle for less than this part of the time: other processes may use
+# the CPU.
+MIN_IDLE_SHARE = 0.1
 
 
 class CpuMonitor:
-    """Compares the CPU time used between two samples with the time that passed."""
+    """Compares the CPU time used between two samples with the elapsed time."""
 
     def __init__(self) -> None:
-        self.idle_seconds: Callable[[], float] | None = None  # of the event loop, where that is measured
-        self.used_share = 0.0  # of the CPU share, between the last two samples
-        self.idle_share = 1.0  # of the time, between the last two samples
+        # Returns the event loop's total idle time; None if that is not measured.
+        self.idle_seconds: Callable[[], float] | None = None
+        self.used_share = 0.0  # The part of the CPU share that was used between the last two samples.
+        self.idle_share = 1.0  # The part of the time between the last two samples in which the event loop was idle.
         self._is_first_sample = True
-        self._sampled_at = 0.0  # ms of the router's clock
+        self._sampled_at = 0.0  # The time of the last sample, in ms of the router's clock.
         self._cpu_seconds = 0.0
         self._idle_seconds = 0.0
 
     def sample(self, now: float, cores: float) -> bool:
-        """Return whether the CPU was saturated since the last sample, with so many cores to use.
+        """Take a sample at the time ``now`` (ms), and return whether the CPU was saturated since the last one.
 
-        The process decides in one thread, which uses one core at most. Where other processes use the core, little CPU
-        time is used and yet the loop is never idle.
+        ``cores`` is the number of cores that the process may use. Its event loop runs in one thread, so more than one
+        core does not help. If other processes use the core, this one uses little CPU time although its event loop is
+        never idle.
         """
         cpu_seconds = time.process_time()
         idle_seconds = self.idle_seconds() if self.idle_seconds is not None else None
@@ -39,4 +44,4 @@
         self._sampled_at = now
         self._cpu_seconds = cpu_seconds
         self._idle_seconds = idle_seconds or 0.0
-        return self.used_share > SATURATED_SHARE or self.idle_share < MAX_IDLE_SHARE
+        return self.used_share > SATURATED_SHARE or self.idle_share < MIN_IDLE_SHARE
--- a/starlingthread/core/deadline_timer.py
+++ b/starlingthread/core/deadline_timer.py
@@ -1,4 +1,4 @@
-"""The one timer of the event loop that serves all deadlines of the router."""
+"""A single event loop timer that serves all deadlines of a router."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class DeadlineTimer:
-    """Calls back at the earliest deadline.
+    """Calls ``on_expired`` at the earliest deadline.
 
-    The timer is only replaced for an earlier deadline: one that expires too early, as its deadline was cleared
-    meanwhile, costs less than a new timer for each change.
+    The timer is replaced only by an earlier one. A timer whose deadline was cleared expires too early, which costs less
+    than a new timer for each change.
     """
 
     def __init__(self, clock: Clock, deadlines: Deadlines, on_expired: Callable[[], None]) -> None:
@@ -25,7 +25,7 @@
         self._expires_at = math.inf
 
     def arm(self) -> None:
-        """Set the timer to the earliest deadline, unless it expires before that anyway."""
+        """Set the timer to the earliest deadline, unless it already expires by then."""
         earliest = self._deadlines.first()
         if earliest is None or earliest >= self._expires_at:
             return
@@ -37,4 +37,5 @@
     def _expired(self) -> None:
         self._handle = None
         self._expires_at = math.inf
-        self._on_expired()  # the turn that follows arms the timer again
+        # The router's actor arms the timer again after the turn that this starts.
+        self._on_expired()
--- a/starlingthread/core/mailbox.py
+++ b/starlingthread/core/mailbox.py
@@ -1,4 +1,4 @@
-"""The bounded mailbox of an actor."""
+"""The bounded message queue of an actor."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Mailbox(Generic[T]):
-    """A bounded queue with one reader, which takes all waiting messages at once."""
+    """A bounded queue with a single reader, which takes all queued messages at once."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -28,23 +28,23 @@
         return True
 
     def force_put(self, message: T) -> None:
-        """Append a message whatever the limit: one that ends something already accepted, such as an outcome."""
+        """Append a message regardless of the limit; for messages that must not be lost, such as outcomes."""
         self._messages.append(message)
         self.wake()
 
     def wake(self) -> None:
-        """Wake the reader, even without a message."""
+        """Wake up the reader, even without a message."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def take(self) -> deque[T]:
-        """Remove and return all waiting messages."""
+        """Remove and return all queued messages."""
         messages = self._messages
         self._messages = deque()
         return messages
 
     async def wait(self) -> None:
-        """Wait for a message or a wake()."""
+        """Wait for a message or a call of :meth:`wake`."""
         if self._messages:
             return
         self._waiter = asyncio.get_running_loop().create_future()
--- a/starlingthread/core/messages.py
+++ b/starlingthread/core/messages.py
@@ -1,4 +1,4 @@
-"""What the router's actor exchanges with its clients and servers: requests, attempts, answers and mailbox messages.
+"""The data that the router's actor exchanges with clients and servers: requests, attempts, answers and messages.
 
 Times are in milliseconds of the router's clock, sizes in bytes.
 """
@@ -24,67 +24,68 @@
 
 
 class Served(NamedTuple):
-    """Final answer: a server's response, in the dialect's own form."""
+    """Final answer: a server's response, in a form that depends on the protocol."""
 
     payload: object
-    pipe: Pipe | None = None  # the rest of the value, where the response is streamed
+    pipe: Pipe | None = None  # The rest of the value if the response is streamed.
 
 
 class Rejected(NamedTuple):
-    """Final answer: rejected before it ran; the client may retry."""
+    """Final answer: the request was rejected before it was executed; the client may retry it."""
 
-    retry_after: float = 0.0  # 0: no advice
+    retry_after: float = 0.0  # The client should retry no earlier than after this time (ms); 0: no advice.
 
 
 class Failed(NamedTuple):
-    """Final answer: failed, and it may have run."""
+    """Final answer: the request failed, and may have been executed."""
 
 
 Answer: TypeAlias = Served | Rejected | Failed
 
 
 class Requester(Protocol):
-    """The owner of a request, who is owed its final answer."""
+    """The sender of a request, which receives its final answer."""
 
     def answer(self, request: PendingRequest, answer: Answer) -> None:
-        """Receive the one final answer of a request."""
+        """Receive the final answer of a request; called at most once for each."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that was accepted and is owed one final answer."""
+    """A request that was accepted and gets at most one final answer."""
 
     requester: Requester
     request_class: RequestClass
     key: int
-    deadline: float  # when the client gives up
-    payload: object  # in the dialect's own form
-    received_at: float  # when its last byte was read; of a streamed value, that of its head
+    deadline: float  # The client stops waiting at this time.
+    payload: object  # The request in a form that depends on the protocol.
+    received_at: float  # The time when the last byte was read; if the value is streamed, the last byte of the head.
     size: float = 0.0
-    cost_hint: float = 0.0  # the client's estimate of the work, in a unit of its own; 0: none
+    cost_hint: float = 0.0  # The client's estimate of the work, in an arbitrary unit; 0: no hint.
     is_retry: bool = False
     is_write: bool = False
-    id: int = 0  # 0 until the actor has processed its arrival
-    finished: bool = False  # it was answered, or its client has disconnected
-    cancelled: bool = False  # its client has disconnected and ClientDisconnected is under way: start no attempt
+    id: int = 0  # The request has the id 0 until the actor has processed its arrival.
+    finished: bool = False  # The request was answered, or its client has disconnected.
+    # The client has disconnected, and ClientDisconnected is in the mailbox: no further attempt may start.
+    cancelled: bool = False
     attempts_started: int = 0
     attempts_in_flight: int = 0
     deadline_timer: Deadline | None = None
-    body: Pipe | None = None  # its value, where that is streamed: it can be sent only once
+    body: Pipe | None = None  # The value if it is streamed; it can be sent only once.
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at one server."""
+    """One attempt to have a request answered by one server."""
 
     request: PendingRequest
-    number: int  # 0 for the first attempt of the request
+    number: int  # The first attempt of a request has the number 0.
     server: int
     sent_at: float
-    idle_time_at_start: float  # ms for which this process had been idle when it was sent
-    deadline: float  # when we stop waiting for it
-    write_deadline: float = math.inf  # from then on it must not be written any more
-    pending: bool = True  # it has no outcome yet; once it has one it must not be written any more
+    idle_time_at_start: float  # The total idle time of this process (ms) when the attempt was sent.
+    deadline: float  # The attempt times out at this time.
+    write_deadline: float = math.inf  # The attempt must not be written to the server after this time.
+    pending: bool = True  # The attempt has no outcome yet; once it has one, it must not be written to the server.
     timeout_timer: Deadline | None = None
 
 
@@ -95,7 +96,7 @@
 
 
 class BodyReceived(NamedTuple):
-    """Message: the last byte of a request's streamed value was read; its deadline counts from there."""
+    """Message: the last byte of a request's streamed value was read, which sets the request's deadline."""
 
     request: PendingRequest
     deadline: float
@@ -119,7 +120,7 @@
 
 
 class EndpointsReceived(NamedTuple):
-    """Message: an endpoint list or a change to it, with the servers' addresses as far as they are known."""
+    """Message: an endpoint list or a change to it, with the known addresses of the servers by their ids."""
 
     event: EndpointList
     addresses: dict[int, tuple[str, int]]
--- a/starlingthread/core/overload_log.py
+++ b/starlingthread/core/overload_log.py
@@ -1,4 +1,4 @@
-"""A log line for each second in which this process has used its whole CPU share: where the time of requests goes."""
+"""Logs a summary for each second in which the CPU was saturated, with the time that requests were queued."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .cpu_monitor import CpuMonitor
 
 LOG_INTERVAL_MS = 1000.0
-# Counters whose growth in the second is logged.
+# The counters whose increase during the interval is logged.
 LOGGED_COUNTERS = (
     "requests.received",
     "requests.shed",
@@ -24,9 +24,9 @@
 
 @dataclass(slots=True)
 class _Interval:
-    """What is summed up between two looks at whether to log. Times in ms."""
+    """The totals of one log interval. Times are in ms."""
 
-    begun_at: float = 0.0  # of the router's clock
+    started_at: float = 0.0  # The start of the interval, in ms of the router's clock.
     counts_before: dict[str, int] = field(default_factory=dict)
     samples: int = 0
     saturated_samples: int = 0
@@ -40,7 +40,7 @@
 
 
 class OverloadLog:
-    """Collects how long requests were queued in this process, and logs it while the CPU is saturated."""
+    """Records how long requests were queued in this process, and logs it while the CPU is saturated."""
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
@@ -51,7 +51,7 @@
         self._interval.turns += 1
 
     def on_arrival(self, queue_time: float, remaining_share: float) -> None:
-        """Record a request: how long it was queued here (ms), and the share of its class's deadline still left."""
+        """Record a request: its queue time (ms), and the share of its class's deadline that is left."""
         interval = self._interval
         interval.arrivals += 1
         interval.queue_time_sum += queue_time
@@ -59,13 +59,13 @@
         interval.remaining_share_sum += remaining_share
 
     def on_cpu_sample(self, now: float, is_saturated: bool, cpu: CpuMonitor, open_requests: int) -> None:
-        """Take in a sample of the CPU's use; log and begin anew once a second is over."""
+        """Record a sample of the CPU usage; at the end of an interval, log it if needed and start the next one."""
         interval = self._interval
         interval.samples += 1
         interval.saturated_samples += is_saturated
         interval.used_share_sum += cpu.used_share
         interval.idle_share_sum += cpu.idle_share
-        if now - interval.begun_at < LOG_INTERVAL_MS:
+        if now - interval.started_at < LOG_INTERVAL_MS:
             return
         if interval.saturated_samples:
             self._log(now, open_requests)
@@ -77,7 +77,7 @@
         growth = {name: self._counters[name] - interval.counts_before.get(name, 0) for name in LOGGED_COUNTERS}
         log.info(
             "cpu-saturated",
-            interval_ms=round(now - interval.begun_at),
+            interval_ms=round(now - interval.started_at),
             cpu=round(interval.used_share_sum / interval.samples, 2),
             idle=round(interval.idle_share_sum / interval.samples, 2),
             turns=interval.turns,
--- a/starlingthread/core/pipe.py
+++ b/starlingthread/core/pipe.py
@@ -1,7 +1,7 @@
-"""A value streamed in pieces, from the producer that reads it off a socket to the consumer that writes it to another.
+"""A value streamed in pieces, from the producer that reads it from a socket to the consumer that writes it to another.
 
-The producer waits for the byte budget before it reads on, so a slow consumer delays its own value and no other. A pipe
-may always buffer one piece; more only within its window and within the budget that all pipes share.
+The producer stops reading while the pipe is full, so a slow consumer delays its own value and no other. A pipe may
+always buffer one piece; it buffers more only within its window and within the budget that all pipes share.
 """
 
 from __future__ import annotations
@@ -10,11 +10,12 @@
 from collections import deque
 from collections.abc import Callable
 
-WINDOW = 131072  # bytes that one pipe may buffer before its producer waits, where the budget allows
+# The producer of a pipe waits while this much is buffered, and earlier while the shared budget is exceeded.
+WINDOW_BYTES = 131072
 
 
 class ByteBudget:
-    """The bytes that all pipes together buffer, and may buffer beyond one piece each."""
+    """The number of bytes that all pipes buffer together, and the limit above which each may buffer only one piece."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -22,90 +23,90 @@
 
 
 class Pipe:
-    """One value. The producer puts and finishes; the consumer takes, or abandons."""
+    """The stream of one value: the producer puts pieces and finishes it; the consumer takes pieces or abandons it."""
 
     def __init__(self, budget: ByteBudget) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
-        self.buffered = 0  # bytes
-        self._consumer: asyncio.Future[None] | None = None  # waits for a piece or the end
-        self._producer: asyncio.Future[None] | None = None  # waits for room
+        self.buffered = 0  # The number of buffered bytes.
+        self._consumer_waiter: asyncio.Future[None] | None = None  # The consumer waits for a piece or the end.
+        self._producer_waiter: asyncio.Future[None] | None = None  # The producer waits until the pipe is not full.
         self._on_settled: list[Callable[[], None]] = []
-        self.complete: bool | None = None  # whether all of the value was put; None until that is known
-        self.abandoned = False  # the consumer takes no more
+        self.complete: bool | None = None  # Whether the whole value was put; None until that is known.
+        self.abandoned = False  # The consumer takes no further pieces.
 
-    # the producer's side
+    # The interface for the producer.
 
     def put(self, piece: bytes) -> None:
-        """Add a piece; it is dropped once the pipe is finished or abandoned."""
+        """Append a piece; it is dropped if the pipe is finished or abandoned."""
         if self.abandoned or self.complete is not None or not piece:
             return
         self._pieces.append(piece)
-        self._account(len(piece))
-        self._wake(self._consumer)
+        self._add_buffered(len(piece))
+        self._wake(self._consumer_waiter)
 
     def finish(self, complete: bool) -> None:
-        """End the value: all of it was put, or the rest will not come. Only the first call counts."""
+        """End the value, which is complete or truncated. Only the first call has an effect."""
         if self.complete is not None:
             return
         self.complete = complete
-        self._wake(self._consumer)
-        self._wake(self._producer)
+        self._wake(self._consumer_waiter)
+        self._wake(self._producer_waiter)
         self._notify_settled()
 
     def is_full(self) -> bool:
-        """Return whether the producer should wait before it reads on."""
+        """Return whether the producer should wait before it continues to read."""
         if self.abandoned or self.complete is not None or not self.buffered:
             return False
-        return self.buffered >= WINDOW or self._budget.used > self._budget.limit
+        return self.buffered >= WINDOW_BYTES or self._budget.used > self._budget.limit
 
     async def wait_until_not_full(self) -> None:
-        """Wait until the producer may read on."""
+        """Wait until the producer may continue to read."""
         while self.is_full():
-            self._producer = asyncio.get_running_loop().create_future()
+            self._producer_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._producer
+                await self._producer_waiter
             finally:
-                self._producer = None
+                self._producer_waiter = None
 
-    # the consumer's side
+    # The interface for the consumer.
 
     def take(self) -> list[bytes]:
         """Remove and return the buffered pieces."""
         pieces = list(self._pieces)
-        self._release()
+        self._drop_buffered()
         return pieces
 
     def has_more(self) -> bool:
-        """Return whether there is a piece to take now."""
+        """Return whether a piece is buffered."""
         return bool(self._pieces)
 
     def is_finished(self) -> bool:
-        """Return whether there is nothing more to take, now or later."""
+        """Return whether no piece is buffered and none will follow."""
         return self.abandoned or (self.complete is not None and not self._pieces)
 
     async def wait_for_data(self) -> None:
-        """Wait for a piece or the end."""
+        """Wait for a piece or the end of the value."""
         while not self._pieces and not self.is_finished():
-            self._consumer = asyncio.get_running_loop().create_future()
+            self._consumer_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._consumer
+                await self._consumer_waiter
             finally:
-                self._consumer = None
+                self._consumer_waiter = None
 
     def abandon(self) -> None:
-        """Take no more, and release what is buffered."""
+        """Stop taking pieces, and drop the buffered ones."""
         if self.abandoned:
             return
         self.abandoned = True
-        self._release()
-        self._wake(self._consumer)
+        self._drop_buffered()
+        self._wake(self._consumer_waiter)
         self._notify_settled()
 
-    # both sides
+    # The interface for both sides.
 
     def on_settled(self, callback: Callable[[], None]) -> None:
-        """Call back once the pipe is finished or abandoned; at once if it is."""
+        """Call a function once the pipe is finished or abandoned; immediately if it already is."""
         if self.complete is not None or self.abandoned:
             callback()
         else:
@@ -117,13 +118,13 @@
         for callback in callbacks:
             callback()
 
-    def _release(self) -> None:
-        """Drop the buffered pieces, give their bytes back to the budget and let the producer go on."""
+    def _drop_buffered(self) -> None:
+        """Drop the buffered pieces, return their bytes to the budget and wake up the producer."""
         self._pieces.clear()
-        self._account(-self.buffered)
-        self._wake(self._producer)
+        self._add_buffered(-self.buffered)
+        self._wake(self._producer_waiter)
 
-    def _account(self, size: int) -> None:
+    def _add_buffered(self, size: int) -> None:
         self.buffered += size
         self._budget.used += size
 
--- a/starlingthread/core/ports.py
+++ b/starlingthread/core/ports.py
@@ -1,4 +1,4 @@
-"""The parts of the program that the router's actor drives, as it sees them."""
+"""The interfaces of the components that the router's actor calls."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     """The connections to the cache servers."""
 
     def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
-        """Apply an endpoint list; called before the decision module sees it."""
+        """Apply an endpoint list; called before the list is passed to the decision module."""
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt; an AttemptEnded message follows unless it is abandoned."""
 
     def abandon(self, attempt: Attempt) -> None:
-        """Stop an attempt that has its outcome already."""
+        """Stop an attempt whose outcome is already determined."""
 
     def check_health(self, server: int) -> None:
         """Check a server's health; a HealthCheckResult follows."""
@@ -30,14 +30,14 @@
     """The client of the discovery service."""
 
     def watch(self, active: bool) -> None:
-        """Start or stop to watch the endpoint list."""
+        """Start or stop watching the endpoint list."""
 
     def fetch(self) -> None:
         """Fetch the whole endpoint list once."""
 
 
 class Peers(Protocol):
-    """The messages to the other routers."""
+    """The sender of messages to other routers."""
 
     def send(self, peer: int | None, payload: bytes) -> None:
         """Send a message to one router, or to all of them (None)."""
--- a/starlingthread/core/request_table.py
+++ b/starlingthread/core/request_table.py
@@ -1,4 +1,4 @@
-"""The router's open requests: exactly one final status per request, and at most one final answer."""
+"""The open requests of a router: each gets exactly one final status and at most one final answer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RequestTable:
-    """The requests that are owed an answer or have an attempt in flight, with their attempts."""
+    """The requests that are not finished or have an attempt in flight, with their attempts."""
 
     def __init__(self, deadlines: Deadlines, counters: Counters, telemetry: Telemetry) -> None:
         self._deadlines = deadlines
@@ -24,10 +24,11 @@
         self._telemetry = telemetry
         self._last_id = 0
         self.requests: dict[int, PendingRequest] = {}
-        self.attempts: dict[int, list[Attempt]] = {}  # by request, in order of their numbers
+        # The attempts of each request, by request id and in order of their numbers.
+        self.attempts: dict[int, list[Attempt]] = {}
 
     def add(self, request: PendingRequest) -> None:
-        """Give a request its id and keep it until remove_if_done()."""
+        """Assign an id to a request, and keep the request until :meth:`remove_if_done` removes it."""
         self._last_id += 1
         request.id = self._last_id
         self.requests[request.id] = request
@@ -35,7 +36,7 @@
         self._counters.increment("requests.received")
 
     def finish(self, request: PendingRequest, answer: Answer) -> None:
-        """Give a request its final answer: the one place that does. Ignored if it is finished."""
+        """Send the final answer of a request; ignored if it is finished. No other method sends answers."""
         if request.finished:
             return
         self._close(request)
@@ -45,13 +46,13 @@
         self.remove_if_done(request)
 
     def cancel(self, request: PendingRequest) -> None:
-        """Finish a request whose client has disconnected, without an answer."""
+        """Finish a request without an answer, as its client has disconnected."""
         self._close(request)
         self._counters.increment("requests.cancelled")
         self._telemetry.on_finished(request.request_class.name, FinalStatus.ABANDONED)
 
     def remove_if_done(self, request: PendingRequest) -> None:
-        """Forget a request that is finished and has no attempt in flight."""
+        """Remove a request if it is finished and has no attempt in flight."""
         if request.finished and request.attempts_in_flight == 0:
             self.requests.pop(request.id, None)
             self.attempts.pop(request.id, None)
@@ -63,7 +64,7 @@
             request.body.abandon()
 
     def _count_status(self, class_name: str, answer: Answer) -> None:
-        """Count the final status of a request; that of a streamed value once it is known."""
+        """Count the final status of a request; if its value is streamed, once the stream has ended."""
         pipe = answer.pipe if isinstance(answer, Served) else None
         if pipe is None:
             self._telemetry.on_finished(class_name, STATUS_BY_ANSWER[type(answer)])
@@ -72,7 +73,7 @@
 
 
 def _status_of(pipe: Pipe) -> FinalStatus:
-    """Return the final status of a request whose streamed value is settled."""
+    """Return the final status of a request whose streamed value was finished or abandoned."""
     if pipe.complete is None:
         return FinalStatus.ABANDONED
     return FinalStatus.SUCCESS if pipe.complete else FinalStatus.FAILURE
--- a/starlingthread/core/router.py
+++ b/starlingthread/core/router.py
@@ -1,7 +1,8 @@
-"""The router's actor: feeds the decision module with events and carries out its actions.
+"""The router's actor: passes events to the decision module and executes its actions.
 
-Whatever the module decides, each attempt has one outcome (core/attempts.py) and each request one final answer
-(core/request_table.py). The router knows no dialect: the payloads of requests and answers pass through it unread.
+Whatever the module decides, each attempt has exactly one outcome (core/attempts.py) and each request at most one final
+answer (core/request_table.py). The router is independent of the protocol: it does not read the payloads of requests and
+answers.
 """
 
 from __future__ import annotations
@@ -57,13 +58,15 @@
 from .request_table import RequestTable
 from .telemetry import Telemetry
 
-OVERDUE_GRACE = 15.0  # ms past a request's deadline after which we answer in place of the module
-MAILBOX_LIMIT = 20000  # messages; beyond it new requests are rejected unseen
+# A request that the decision module has not answered this long after its deadline is answered as failed.
+OVERDUE_GRACE_MS = 15.0
+# While the mailbox holds this many messages, new requests are rejected without asking the decision module.
+MAX_MAILBOX_MESSAGES = 20000
 MAX_ERRORS_LOGGED = 50
 
 
 class Router:
-    """Hosts the one instance of the decision module."""
+    """The actor that owns the decision module and all open requests."""
 
     def __init__(self, settings: Settings, seed: int, clock: Clock, deadlines: Deadlines, counters: Counters) -> None:
         self.settings = settings
@@ -71,10 +74,12 @@
         self.deadlines = deadlines
         self.counters = counters
         self.balancer = Balancer(settings, seed)
-        self.telemetry = Telemetry(cls.name for cls in settings.classes)
-        self.mailbox: Mailbox[Message] = Mailbox(MAILBOX_LIMIT)
-        self.discovery_reached = asyncio.Event()  # a list has come from discovery itself, not from the configuration
-        self.has_endpoints = False  # a list with at least one server has reached the module
+        self.telemetry = Telemetry(request_class.name for request_class in settings.classes)
+        self.mailbox: Mailbox[Message] = Mailbox(MAX_MAILBOX_MESSAGES)
+        # Set once discovery has sent an endpoint list; the cached list from the configuration does not count.
+        self.discovery_reached = asyncio.Event()
+        # Whether the decision module has received a list with at least one server.
+        self.has_endpoints = False
         self.discovery: Discovery
         self.peers: Peers
         self._table = RequestTable(deadlines, counters, self.telemetry)
@@ -86,22 +91,22 @@
 
     @property
     def fleet(self) -> CacheServers:
-        """The connections to the cache servers; they are set once the router is there, as they need its mailbox."""
+        """The connections to the cache servers; set after the router is created, as they need its mailbox."""
         return self.attempts.fleet
 
     @fleet.setter
     def fleet(self, fleet: CacheServers) -> None:
         self.attempts.fleet = fleet
 
-    # turns
+    # The turns of the actor.
 
     def begin(self) -> None:
-        """Start the decision module."""
+        """Start the decision module and the sampling of the CPU usage."""
         self._execute(self.balancer.start(self.clock.now()))
         self.core_load.sample_cpu()
 
     async def run(self) -> None:
-        """Take turns for ever, each time that a message has come or a deadline has expired."""
+        """Run a turn whenever a message has arrived or a deadline has expired; never return."""
         self.deadlines.on_earlier_deadline = self._timer.arm
         while True:
             self.turn()
@@ -109,7 +114,11 @@
             await self.mailbox.wait()
 
     def turn(self) -> None:
-        """Take one turn. Messages go first, so that after a pause no waiting answer loses to its deadline."""
+        """Run one turn: process all queued messages, then all expired deadlines.
+
+        Messages come first, so that after a pause of the process an answer that has already arrived is used, although
+        its deadline has expired.
+        """
         self.core_load.on_turn(len(self.requests))
         for message in self.mailbox.take():
             self._process(message)
@@ -133,9 +142,9 @@
                 self._decide(message)
 
     def _decide(self, event: Event, now: float | None = None) -> None:
-        """Pass an event to the decision module and carry out its actions.
+        """Pass an event to the decision module and execute its actions.
 
-        An exception of the module costs one request, never the router.
+        An exception in the module fails at most one request; the router goes on.
         """
         try:
             actions = self.balancer.handle(self.clock.now() if now is None else now, event)
@@ -151,11 +160,11 @@
         if isinstance(event, Request | Outcome) and event.id in self.requests:
             self._table.finish(self.requests[event.id], Failed())
 
-    # settings and endpoints
+    # Settings and endpoint lists.
 
     def apply_settings(self, settings: Settings) -> None:
-        """Switch to new settings; requests that are in the mailbox already are decided under the old ones."""
-        self.telemetry.register_classes(cls.name for cls in settings.classes)
+        """Switch to new settings; requests that are already in the mailbox are handled under the old ones."""
+        self.telemetry.register_classes(request_class.name for request_class in settings.classes)
         self.mailbox.force_put(SettingsChanged(settings))
 
     def _on_settings(self, message: SettingsChanged) -> None:
@@ -170,7 +179,7 @@
         self.fleet.apply_endpoint_list(message, self.clock.now())
         self._decide(message.event)
 
-    # requests
+    # Requests from clients.
 
     def submit(self, request: PendingRequest) -> None:
         """Accept a request, or reject it if the mailbox is full."""
@@ -180,24 +189,26 @@
             self._table.finish(request, Rejected())
 
     def reject(self, request: PendingRequest) -> None:
-        """Reject a request unseen, as there is no memory to buffer it."""
+        """Reject a request without asking the decision module, as there is no memory to buffer it."""
         self.telemetry.on_received()
         self._table.finish(request, Rejected())
 
     def fail_all(self) -> None:
-        """Answer every open request as failed: this process ends."""
+        """Answer every open request as failed, before this process exits."""
         for request in list(self.requests.values()):
             self._table.finish(request, Failed())
             self._decide(RequestCancelled(request.id))
 
     def _on_request(self, request: PendingRequest) -> None:
-        if request.finished or request.cancelled:  # its client disconnected while the message was in the mailbox
+        # The client may have disconnected while the message was in the mailbox.
+        if request.finished or request.cancelled:
             return
         now = self.clock.now()
         self._table.add(request)
         class_index = self._class_indexes.get(request.request_class.name)
         if request.deadline <= now or class_index is None:
-            # It came too late, or its class was removed since: a streamed value is submitted some time after its head.
+            # The deadline has passed, or a reload has removed the class: a request with a streamed value is submitted
+            # some time after its head was read.
             self._table.finish(request, Failed())
             return
         self._set_request_deadline(request)
@@ -218,10 +229,12 @@
 
     def _set_request_deadline(self, request: PendingRequest) -> None:
         self.deadlines.clear(request.deadline_timer)
-        request.deadline_timer = self.deadlines.set(request.deadline + OVERDUE_GRACE, lambda: self._on_overdue(request))
+        request.deadline_timer = self.deadlines.set(
+            request.deadline + OVERDUE_GRACE_MS, lambda: self._on_overdue(request)
+        )
 
     def _on_body(self, request: PendingRequest, deadline: float) -> None:
-        """Restart the deadlines of a request and its attempt, which count from its last byte."""
+        """Restart the deadlines of a request and its attempts once its last byte has been received."""
         if request.finished:
             return
         now = self.clock.now()
@@ -230,7 +243,7 @@
         self.attempts.on_body_received(request, now)
 
     def _on_overdue(self, request: PendingRequest) -> None:
-        """Answer a request that the module has forgotten."""
+        """Fail a request that the decision module has not answered in time."""
         if request.finished:
             return
         self.counters.increment("requests.overdue")
@@ -251,7 +264,7 @@
             self._decide(RequestCancelled(request.id))
             self._table.remove_if_done(request)
 
-    # actions
+    # Actions of the decision module.
 
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
@@ -290,4 +303,4 @@
 
 
 def _class_indexes(settings: Settings) -> dict[str, int]:
-    return {cls.name: index for index, cls in enumerate(settings.classes)}
+    return {request_class.name: index for index, request_class in enumerate(settings.classes)}
--- a/tests/test_pipe.py
+++ b/tests/test_pipe.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from starlingthread.core.pipe import WINDOW, ByteBudget, Pipe
+from starlingthread.core.pipe import WINDOW_BYTES, ByteBudget, Pipe
 
 
 @settings(max_examples=80, deadline=None)
@@ -16,14 +16,14 @@
         st.tuples(
             st.integers(0, 2),
             st.sampled_from(["put", "take", "end", "break", "abandon"]),
-            st.integers(1, 3 * WINDOW // 2),
+            st.integers(1, 3 * WINDOW_BYTES // 2),
         ),
         max_size=60,
     )
 )
-@example([(2, "put", WINDOW + 1), (2, "end", 1), (2, "put", 1)])  # dropped while more than the window is buffered
+@example([(2, "put", WINDOW_BYTES + 1), (2, "end", 1), (2, "put", 1)])  # dropped while more than the window is buffered
 def test_a_pipe_preserves_its_bytes_and_releases_its_budget(steps: list[tuple[int, str, int]]) -> None:
-    budget = ByteBudget(WINDOW)
+    budget = ByteBudget(WINDOW_BYTES)
     pipes = [Pipe(budget) for _ in range(3)]
     put, got = [b"", b"", b""], [b"", b"", b""]
     settled = [0, 0, 0]
@@ -38,7 +38,7 @@
             if is_taking:
                 put[which] += b"x" * size
                 # One piece always; more only within the window, and only while the budget allows.
-                assert pipe.buffered < WINDOW + size
+                assert pipe.buffered < WINDOW_BYTES + size
             else:
                 assert pipe.buffered == buffered_before
         elif what == "take":
