--- a/starlingthread/handover/__init__.py
+++ b/starlingthread/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Socket handover: during an upgrade an old process passes its listening sockets on to a new one."""
+"""Socket handover: during an upgrade, the old process passes its listening sockets to the new one."""
--- a/starlingthread/handover/actor.py
+++ b/starlingthread/handover/actor.py
@@ -1,4 +1,4 @@
-"""Both sides of a socket handover: towards the old process (predecessor) and towards a new one (successor)."""
+"""Both sides of a socket handover: a process takes over from its predecessor, and hands over to its successor."""
 
 from __future__ import annotations
 
@@ -12,30 +12,29 @@
 from ..core.counters import Counters
 from ..core.task_supervisor import TaskSupervisor
 from ..logs import log
-from .channel import MAX_LINE, HandoverListener, HandoverStatus, InheritedSockets, send_offer
+from .channel import MAX_LINE_BYTES, HandoverListener, HandoverStatus, InheritedSockets, send_offer
 
 
 class ServingProcess(Protocol):
-    """The resources of a process that it shares with another one during a handover."""
+    """The interface to the resources that a process shares with another one during a handover."""
 
     def sockets(self) -> dict[str, socket.socket]:
-        """Return the listening sockets to hand over, by use and address."""
+        """Return the listening sockets to hand over, each by its use and address."""
 
     def apply_resource_share(self, share: float) -> None:
-        """Use at most this part, 0 to 1, of the configured limits."""
+        """Limit the process to this part (0 to 1) of the configured resource limits."""
 
     def pause_accepting(self) -> None:
-        """Stop accepting: the successor accepts on the same sockets from now on."""
+        """Stop accepting connections, as the successor accepts them on the same sockets from now on."""
 
     def resume_accepting(self) -> None:
-        """Accept again: the successor has ended before this process did."""
+        """Accept connections again, as the successor exited before this process."""
 
 
 class Handover:
-    """One process's handovers: it takes over from its predecessor, and hands over to one successor at a time.
+    """The handovers of a process, which takes over from its predecessor and hands over to one successor at a time.
 
-    Predecessor and successor use half of the resource limits each while both live. When either ends, the other doubles
-    its share.
+    While both processes run, each uses half of the resource limits. When one exits, the other doubles its share.
     """
 
     def __init__(
@@ -49,23 +48,23 @@
         self.process = process
         self.supervisor = supervisor
         self.counters = counters
-        self.folder = folder  # None: no handover to a successor
+        self.folder = folder  # The folder of the handover socket; None disables the handover to a successor.
         self.inherited = inherited
         self.resource_share = inherited.resource_share if inherited is not None else 1.0
-        self.has_yielded = False  # the successor accepts connections in place of this process
+        self.has_handed_over = False  # Whether the successor accepts connections in place of this process.
         self._predecessor: asyncio.StreamWriter | None = None
         self._successor: asyncio.StreamWriter | None = None
         self._has_successor = False
         self._listener: HandoverListener | None = None
 
-    # towards the predecessor
+    # The channel to the predecessor.
 
     async def start(self) -> None:
-        """Watch the predecessor, if there is one, for its end."""
+        """Begin to wait for the exit of the predecessor, if there is one."""
         if self.inherited is not None:
-            reader, self._predecessor = await asyncio.open_connection(sock=self.inherited.channel, limit=MAX_LINE)
+            reader, self._predecessor = await asyncio.open_connection(sock=self.inherited.channel, limit=MAX_LINE_BYTES)
             self.supervisor.start(
-                self._await_predecessor_end(reader), "handover-predecessor", lambda _: self._on_predecessor_gone()
+                self._wait_for_predecessor_exit(reader), "handover-predecessor", lambda _: self._on_predecessor_exited()
             )
 
     def on_serving(self) -> None:
@@ -74,15 +73,15 @@
             self._predecessor.write(msgspec.json.encode(HandoverStatus(serving=True)) + b"\n")
         self._start_listening()
 
-    async def _await_predecessor_end(self, reader: asyncio.StreamReader) -> None:
+    async def _wait_for_predecessor_exit(self, reader: asyncio.StreamReader) -> None:
         try:
-            while await reader.read(MAX_LINE):
+            while await reader.read(MAX_LINE_BYTES):
                 pass
         except OSError:
             pass
-        self._on_predecessor_gone()
+        self._on_predecessor_exited()
 
-    def _on_predecessor_gone(self) -> None:
+    def _on_predecessor_exited(self) -> None:
         if self._predecessor is not None:
             self._predecessor.transport.abort()
             self._predecessor = None
@@ -93,7 +92,7 @@
         log.info(log_event, share=self.resource_share)
         self.process.apply_resource_share(self.resource_share)
 
-    # towards a successor
+    # The channel to a successor.
 
     def _start_listening(self) -> None:
         if self.folder is None:
@@ -101,7 +100,7 @@
         try:
             self._listener = HandoverListener(self.folder)
         except (OSError, AttributeError) as error:
-            # No handover then: a new process binds its own sockets beside these.
+            # Without a handover, a new process binds its own sockets to the same addresses.
             log.info("handover-disabled", reason=repr(error))
             return
         asyncio.get_running_loop().add_reader(self._listener.socket.fileno(), self._accept_successor)
@@ -113,7 +112,7 @@
             self._listener = None
 
     def _accept_successor(self) -> None:
-        """Hand over to a new process. Only one at a time, as a second one would need a part of the same half."""
+        """Offer the sockets to a new process, to only one at a time: a second one would get a part of the same half."""
         assert self._listener is not None
         try:
             channel, _ = self._listener.socket.accept()
@@ -135,25 +134,25 @@
         log.info("successor-connected", share=self.resource_share)
         self.process.apply_resource_share(self.resource_share)
         self.supervisor.start(
-            self._follow_successor(channel), "handover-successor", lambda _: self._on_successor_gone()
+            self._read_successor_status(channel), "handover-successor", lambda _: self._on_successor_exited()
         )
 
-    async def _follow_successor(self, channel: socket.socket) -> None:
-        """Read the successor's status lines until it ends."""
-        reader, self._successor = await asyncio.open_connection(sock=channel, limit=MAX_LINE)
+    async def _read_successor_status(self, channel: socket.socket) -> None:
+        """Read the status messages of the successor until it exits."""
+        reader, self._successor = await asyncio.open_connection(sock=channel, limit=MAX_LINE_BYTES)
         try:
             while line := await reader.readline():
                 status = msgspec.json.decode(line, type=HandoverStatus)
-                if status.serving and not self.has_yielded:
-                    self.has_yielded = True
+                if status.serving and not self.has_handed_over:
+                    self.has_handed_over = True
                     log.info("handed-over")
                     self.process.pause_accepting()
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             log.warning("handover-failed", reason=repr(error))
-        self._on_successor_gone()
+        self._on_successor_exited()
 
-    def _on_successor_gone(self) -> None:
-        """Return to the state before the handover, whether the successor had begun to serve or not."""
+    def _on_successor_exited(self) -> None:
+        """Return to the state before the handover, whether or not the successor has accepted connections."""
         if not self._has_successor:
             return
         self._has_successor = False
@@ -161,9 +160,10 @@
             self._successor.transport.abort()
             self._successor = None
         self._double_resource_share("successor-exited")
-        if self.has_yielded:
-            self.has_yielded = False
-            # The successor took the socket's name over, and the next new process would find no listener behind it.
+        if self.has_handed_over:
+            self.has_handed_over = False
+            # The path belongs to the successor's socket, which no process listens on now. Bind a new one, so that the
+            # next new process can connect.
             self._stop_listening()
             self._start_listening()
             self.process.resume_accepting()
@@ -171,7 +171,7 @@
     def close(self) -> None:
         """Stop waiting for a successor.
 
-        The channels stay open until the process ends, as its descriptors count against the limits until then.
+        The channels stay open until the process exits, as its descriptors count against the limits until then.
         """
         self._stop_listening()
         self.folder = None
--- a/starlingthread/handover/channel.py
+++ b/starlingthread/handover/channel.py
@@ -1,8 +1,9 @@
-"""The channel between an old process and the new one that takes over from it, and the messages on it.
+"""The channel between an old process and the new one that takes over from it, and the messages on the channel.
 
-It is a Unix socket in a folder that both share. The old process sends first: a :class:`HandoverOffer` as one line of
-JSON, with the listening sockets attached as ancillary data. The new process answers with a :class:`HandoverStatus` once
-it serves. Either process notices the end of the other by the end of the channel.
+The channel is a connection over a Unix socket in a folder that both processes share. The old process first sends a
+:class:`HandoverOffer` as one line of JSON, with the listening sockets attached as ancillary data. The new process
+replies with a :class:`HandoverStatus` once it accepts connections. Each process detects the exit of the other by the
+end of the channel.
 """
 
 from __future__ import annotations
@@ -18,37 +19,38 @@
 
 SOCKET_NAME = "starlingthread.handover"
 PROTOCOL_VERSION = 1
-OFFER_TIMEOUT_S = 1.0  # for each read of the offer; an old process that hangs has nothing to hand over
-MAX_LINE = 4096  # bytes
+# The time limit for each read of the offer. An old process that takes longer hangs, and cannot hand over its sockets.
+OFFER_TIMEOUT_S = 1.0
+MAX_LINE_BYTES = 4096
 MAX_SOCKETS = 8
 BACKLOG = 4
 
 
 class HandoverOffer(msgspec.Struct, frozen=True):
-    """The first line, from the old process. The attached sockets come in the order of 'sockets'."""
+    """The first message, from the old process. The sockets are attached in the order of ``sockets``."""
 
     version: int
-    share: float  # part of the resource limits that the new process may use while both live
-    sockets: list[str]  # the use of each socket and its address
+    share: float  # The part of the resource limits that the new process may use while both processes run.
+    sockets: list[str]  # The use and the address of each socket.
 
 
 class HandoverStatus(msgspec.Struct, frozen=True):
-    """Any later line, from the new process."""
+    """Each later message, from the new process."""
 
-    serving: bool = False  # the new process accepts connections from now on
+    serving: bool = False  # The new process accepts connections from now on.
 
 
 class InheritedSockets(NamedTuple):
-    """What a new process got, and the channel to the old process, which ends when that does."""
+    """The sockets that a new process received, and its channel to the old process, which ends when that one exits."""
 
     channel: socket.socket
     resource_share: float
-    sockets: dict[str, socket.socket]  # by use and address
+    sockets: dict[str, socket.socket]  # The listening sockets by use and address.
 
 
 @contextlib.contextmanager
 def _short_path(folder: Path) -> Iterator[str]:
-    """Give a short path of the folder, as the path of a Unix socket is limited to 107 bytes."""
+    """Provide a short alias path of the folder, as the path of a Unix socket is limited to 107 bytes."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{descriptor}"
@@ -57,9 +59,9 @@
 
 
 def request_handover(folder: Path | None) -> InheritedSockets | None:
-    """Ask the old process for its sockets, and wait for them; None if there is no old process.
+    """Request the sockets of the old process and wait for them; return None if there is no old process.
 
-    Raise an OSError if there is one whose offer does not come in time or is invalid.
+    Raise an OSError if the offer of the old process is invalid or does not arrive in time.
     """
     if folder is None or not (folder / SOCKET_NAME).is_socket():
         return None
@@ -70,7 +72,8 @@
         with _short_path(folder) as short_folder:
             try:
                 channel.connect(f"{short_folder}/{SOCKET_NAME}")
-            except ConnectionRefusedError:  # its process was killed and left the name behind
+            # The old process was killed, so it has not removed the socket file.
+            except ConnectionRefusedError:
                 channel.close()
                 return None
         offer = _decode_offer(_receive_offer(channel, descriptors), len(descriptors))
@@ -87,32 +90,38 @@
 
 
 def _receive_offer(channel: socket.socket, descriptors: list[int]) -> bytes:
-    """Return the first line, and append the attached descriptors, which the caller closes also after an OSError."""
+    """Return the first line, and append the attached descriptors to a list.
+
+    The caller has to close the descriptors, also after an OSError.
+    """
     line = b""
     while not line.endswith(b"\n"):
-        data, received, _, _ = socket.recv_fds(channel, MAX_LINE, MAX_SOCKETS)
+        data, received, _, _ = socket.recv_fds(channel, MAX_LINE_BYTES, MAX_SOCKETS)
         descriptors += received
-        if not data or len(line) > MAX_LINE:
-            raise OSError("the old process handed nothing over")
+        if not data or len(line) > MAX_LINE_BYTES:
+            raise OSError(f"handover offer truncated or too long: got {len(line) + len(data)} bytes")
         line += data
     return line
 
 
 def _decode_offer(line: bytes, socket_count: int) -> HandoverOffer:
-    """Return the validated offer. Raise an OSError if it is invalid."""
+    """Decode and validate an offer. Raise an OSError if it is invalid."""
     try:
         offer = msgspec.json.decode(line, type=HandoverOffer)
     except msgspec.MsgspecError as error:
-        raise OSError(f"not understood: {error}") from None
+        raise OSError(f"invalid handover offer: {error}") from None
     if offer.version != PROTOCOL_VERSION or len(offer.sockets) != socket_count or not 0 < offer.share <= 1:
-        raise OSError("not understood: another version")
+        raise OSError(
+            f"invalid handover offer: version {offer.version}, share {offer.share},"
+            f" {socket_count} of {len(offer.sockets)} sockets received"
+        )
     return offer
 
 
 def send_offer(channel: socket.socket, resource_share: float, sockets: dict[str, socket.socket]) -> None:
     """Send an offer with its sockets. Raise an OSError if that fails.
 
-    It never blocks: the line is short and fits the send buffer of a new channel.
+    This never blocks, as the line is shorter than the send buffer of a new channel.
     """
     offer = HandoverOffer(PROTOCOL_VERSION, resource_share, list(sockets))
     line = msgspec.json.encode(offer) + b"\n"
@@ -120,7 +129,7 @@
 
 
 class HandoverListener:
-    """The listening Unix socket of a process that can hand over. The name belongs to the newest process."""
+    """The listening Unix socket of a process that can hand over. Its path belongs to the newest process."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / SOCKET_NAME
@@ -134,18 +143,18 @@
             raise
 
     def _bind(self, folder: Path) -> None:
-        """Bind and listen under a name of this process, then rename it, so that the name always has a listener."""
-        own_name = f"{SOCKET_NAME}.{os.getpid()}"
+        """Bind and listen on a temporary path, then rename it, so that the final path always has a listener."""
+        temporary_name = f"{SOCKET_NAME}.{os.getpid()}"
         with _short_path(folder) as short_folder:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(f"{short_folder}/{own_name}")
-            self.socket.bind(f"{short_folder}/{own_name}")
+                os.unlink(f"{short_folder}/{temporary_name}")
+            self.socket.bind(f"{short_folder}/{temporary_name}")
         self.socket.listen(BACKLOG)
-        os.chmod(folder / own_name, 0o600)
-        os.replace(folder / own_name, self._path)
+        os.chmod(folder / temporary_name, 0o600)
+        os.replace(folder / temporary_name, self._path)
 
     def close(self) -> None:
-        """Close the socket, and remove the name unless another process has taken it over."""
+        """Close the socket, and remove its file unless another process has replaced it."""
         self.socket.close()
         with contextlib.suppress(OSError):
             if self._path.stat().st_ino == self._inode:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -88,7 +88,7 @@
             accepted.sendall(b"x")
             assert client.recv(1) == b"x"
             accepted.close()
-        old.handover._on_successor_gone()  # as its process's end does
+        old.handover._on_successor_exited()  # as its process's end does
         await until(lambda: new.calls == [1.0])
         assert (tmp_path / SOCKET_NAME).is_socket()  # the new one's own, for the next
         inherited_socket.close()
@@ -113,7 +113,7 @@
         new.handover._predecessor.transport.abort()
         await until(lambda: not old.handover._has_successor)
         assert old.calls == ([0.5, "pause", 1.0, "resume"] if serves else [0.5, 1.0])
-        assert old.handover.resource_share == 1.0 and not old.handover.has_yielded
+        assert old.handover.resource_share == 1.0 and not old.handover.has_handed_over
         # Another one may come: the old process is behind the name again, as the dead one was.
         again = await asyncio.to_thread(request_handover, tmp_path)
         assert again is not None and again.resource_share == 0.5
