--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of sockets and harnesses of client and server actors, fed by hand: no network, no waiting."""
+"""Fake sockets, and test harnesses for client and server actors that need no network and no waiting."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeTransport:
-    """A fake transport that records what is done to it."""
+    """A fake asyncio transport that records its state and the bytes sent."""
 
     def __init__(self) -> None:
         self.sent = bytearray()
@@ -51,12 +51,12 @@
 
 
 class FakeWriter:
-    """A fake StreamWriter."""
+    """A fake asyncio.StreamWriter."""
 
     def __init__(self) -> None:
         self.transport = FakeTransport()
-        self.local_socket, self.remote_socket = socket.socketpair()  # for bytes that lie unread in the system
-        self.on_eof: Callable[[], None] = lambda: None  # the peer's reaction to our end of file
+        self.local_socket, self.remote_socket = socket.socketpair()  # For unread bytes in the receive buffer.
+        self.on_eof: Callable[[], None] = lambda: None  # Called when the end of file is sent to the peer.
 
     def get_extra_info(self, name: str) -> socket.socket:
         return self.local_socket
@@ -79,13 +79,13 @@
 
 
 async def settle() -> None:
-    """Let the event loop take some turns."""
+    """Run the event loop for some iterations, which is enough for all tasks to wait."""
     for _ in range(12):
         await asyncio.sleep(0)
 
 
 class ClientHarness:
-    """A client's connection to a listener whose router is never run: tests answer the requests."""
+    """A client connection to a listener whose router does not run; tests answer the requests in its place."""
 
     def __init__(self) -> None:
         harness = RouterHarness()
@@ -94,7 +94,7 @@
             THROUGH, self.router, self.supervisor, 10, 8, 1 << 20, lambda: harness.router.has_endpoints
         )
         self.reader, self.writer = asyncio.StreamReader(), FakeWriter()
-        self.writer.on_eof = self.reader.feed_eof  # the peer closes in turn
+        self.writer.on_eof = self.reader.feed_eof  # The peer closes its side in response.
         self.actor = ClientConnectionActor(
             self.listener,
             self.reader,
@@ -105,15 +105,15 @@
         self.supervisor.start(self.actor.run(), "client", lambda _: None)
 
     async def settle(self) -> list[Any]:
-        """Let all tasks proceed; return the messages to the router."""
+        """Run all tasks until they wait; return the messages to the router."""
         await settle()
         return list(self.router.mailbox.take())
 
 
 def run_client_script(script: Callable[[ClientHarness], Any]) -> bytes:
-    """Run a script against a client actor; return what was written to the client."""
+    """Run a script with a client actor; return the bytes that were written to the client."""
 
-    async def play() -> bytes:
+    async def run() -> bytes:
         harness = ClientHarness()
         await script(harness)
         await harness.settle()
@@ -121,17 +121,17 @@
         assert harness.listener.buffered == 0
         return bytes(harness.writer.transport.sent)
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
 READS = b"mg a v O1 Pc=read,d=500\r\nmg b v O2 Pc=read,d=500\r\nmn\r\n"
 
 
 class ServerActorHarness:
-    """A server actor with one idle connection in its pool, driven message by message."""
+    """A server actor with one idle connection in its pool, to which tests pass each message."""
 
     def __init__(self) -> None:
-        with contextlib.suppress(RuntimeError):  # streams want a loop, though none is run here
+        with contextlib.suppress(RuntimeError):  # Streams need an event loop, even one that does not run.
             asyncio.set_event_loop(asyncio.new_event_loop())
         self.router_harness = RouterHarness()
         self.fleet = ServerFleet(THROUGH, self.router_harness.router, TaskSupervisor(), 10, 15000.0)
@@ -156,7 +156,7 @@
         return list(self.router_harness.router.mailbox.take())
 
     def receive(self, data: bytes) -> list[Any]:
-        """Feed bytes to the connection's reader, and its messages to the actor; return the messages to the router."""
+        """Pass bytes to the connection's reader and its messages to the actor; return the messages to the router."""
         if not self.actor.reader.on_data(self.connection, data):
             self.actor.post(messages.ConnectionLost(self.connection))
         for message in self.actor.mailbox.take():
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -1,4 +1,4 @@
-"""A router without sockets whose clients, cache servers and discovery only record what it does."""
+"""A test harness for the router's actor without sockets, and a clock that tests control."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class ManualClock(Clock):
-    """A clock that tests set, in ms."""
+    """A clock whose time is set by tests, in ms."""
 
     time = 1000.0
 
     def now(self) -> float:
-        """Return the time that was set."""
+        """Return the time that the test has set."""
         return self.time
 
 
 class RouterHarness:
-    """A router whose clients, cache servers and discovery only record what it does."""
+    """A router whose clients, cache servers, discovery and peers are replaced by this object, which records calls."""
 
     def __init__(self, settings: Settings = THROUGH) -> None:
-        """Create a router that has a cached endpoint list."""
+        """Create a router that has received a cached endpoint list."""
         self.clock = ManualClock()
         self.router = Router(settings, 1, self.clock, Deadlines(), Counters())
         self.router.fleet = self.router.discovery = self.router.peers = self  # type: ignore[assignment]
@@ -38,18 +38,18 @@
         self.deliver(EndpointsReceived(EndpointList(EndpointListKind.CACHED, 1, endpoints), {}))
 
     def answer(self, request: PendingRequest, answer: Answer) -> None:
-        """Record an answer, in place of the client."""
+        """Record an answer to a client."""
         self.answers.append((request, answer))
 
     def apply_endpoint_list(self, listing: EndpointsReceived, now: float) -> None:
-        """Ignore the list, in place of the actors of cache servers."""
+        """Ignore the endpoint list, as there are no actors of cache servers."""
 
     def start(self, attempt: Attempt) -> None:
-        """Record the start of an attempt, in place of the cache server's actor."""
+        """Record the start of an attempt at a cache server."""
         self.started.append(attempt)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Record that an attempt was abandoned."""
+        """Record that the router abandoned an attempt."""
         self.abandoned.append(attempt)
 
     def run_until_idle(self) -> None:
@@ -58,12 +58,12 @@
             self.router.turn()
 
     def deliver(self, message: Message) -> None:
-        """Deliver a message and handle all that result from it."""
+        """Deliver a message to the router, and process it with all messages that result from it."""
         self.router.mailbox.force_put(message)
         self.run_until_idle()
 
     def submit_request(self, class_index: int = READ, deadline_in: float = 900.0) -> PendingRequest:
-        """Submit a request of a class, by its index, whose deadline is that many ms from now."""
+        """Submit a request of the class with an index; its deadline is ``deadline_in`` ms from now."""
         now = self.clock.time
         request_class = self.router.settings.classes[class_index]
         is_write = class_index != READ
@@ -73,7 +73,7 @@
         return request
 
     def advance_time(self, duration: float) -> None:
-        """Advance the clock by a duration in ms, and run each deadline at its time."""
+        """Advance the clock by a duration in ms, and run a turn of the router at each deadline."""
         until = self.clock.time + duration
         while (first := self.router.deadlines.first()) is not None and first <= until:
             self.clock.time = max(self.clock.time, first)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Socket handover: what an old process offers, the resource shares while both live, and the end of either."""
+"""Tests of the socket handover: the offer, the resource shares while both processes run, and the exit of either."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FakeProcess:
-    """A serving process that records the calls of its handover, with one socket to hand over."""
+    """A serving process with one socket to hand over; it records the calls of its handover."""
 
     def __init__(self, folder: Path, inherited: Any = None) -> None:
         self.calls: list[object] = []
@@ -55,16 +55,16 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Run the loop until a condition holds; fail if it does not within some seconds."""
+    """Run the event loop until a condition holds; fail if it does not hold within some seconds."""
     for _ in range(2000):
         if condition():
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("the condition never held")
+    raise AssertionError("the condition did not hold in 2000 iterations")
 
 
 async def start_both(folder: Path) -> tuple[FakeProcess, FakeProcess]:
-    """Return an old process and a new one that has its sockets."""
+    """Return an old process and a new one that has received its sockets."""
     old = FakeProcess(folder)
     old.handover.on_serving()
     new = FakeProcess(folder, await asyncio.to_thread(request_handover, folder))
@@ -73,7 +73,7 @@
 
 
 def test_each_process_has_half_of_the_limits_until_the_other_ends(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run() -> None:
         old, new = await start_both(tmp_path)
         assert new.handover.inherited is not None
         inherited_socket = new.handover.inherited.sockets["clients"]
@@ -81,32 +81,33 @@
         assert old.calls == [0.5] and new.handover.resource_share == 0.5
         new.handover.on_serving()
         await until(lambda: "pause" in old.calls)
-        # What waits to be accepted when the old one closes is not reset: the queue is the new one's too.
+        # Connections that wait to be accepted when the old process closes are not reset, as both share the queue.
         with socket.create_connection(inherited_socket.getsockname()) as client:
             await old.close()
             accepted, _ = inherited_socket.accept()
             accepted.sendall(b"x")
             assert client.recv(1) == b"x"
             accepted.close()
-        old.handover._on_successor_exited()  # as its process's end does
+        old.handover._on_successor_exited()  # In a real upgrade the exit of the process causes this.
         await until(lambda: new.calls == [1.0])
-        assert (tmp_path / SOCKET_NAME).is_socket()  # the new one's own, for the next
+        assert (tmp_path / SOCKET_NAME).is_socket()  # The socket of the new process, for the next upgrade.
         inherited_socket.close()
         await new.close()
         assert not (tmp_path / SOCKET_NAME).exists()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("serves", [False, True])
 def test_an_old_process_serves_as_before_after_its_successor_crashed(tmp_path: Path, serves: bool) -> None:
-    async def play() -> None:
+    async def run() -> None:
         old, new = await start_both(tmp_path)
         if serves:
             new.handover.on_serving()
             await until(lambda: "pause" in old.calls)
         assert new.handover._predecessor is not None
-        if (listener := new.handover._listener) is not None:  # as by a crash: the name stays, with nobody behind it
+        # After a crash the socket file stays, but no process listens on it.
+        if (listener := new.handover._listener) is not None:
             asyncio.get_running_loop().remove_reader(listener.socket.fileno())
             listener.socket.close()
             new.handover._listener = None
@@ -114,19 +115,19 @@
         await until(lambda: not old.handover._has_successor)
         assert old.calls == ([0.5, "pause", 1.0, "resume"] if serves else [0.5, 1.0])
         assert old.handover.resource_share == 1.0 and not old.handover.has_handed_over
-        # Another one may come: the old process is behind the name again, as the dead one was.
-        again = await asyncio.to_thread(request_handover, tmp_path)
-        assert again is not None and again.resource_share == 0.5
-        for each in (again.channel, *again.sockets.values()):
+        # Another successor can connect, as the old process listens on the path again.
+        inherited = await asyncio.to_thread(request_handover, tmp_path)
+        assert inherited is not None and inherited.resource_share == 0.5
+        for each in (inherited.channel, *inherited.sockets.values()):
             each.close()
         await new.close()
         await old.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_a_second_successor_is_rejected(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run() -> None:
         old, new = await start_both(tmp_path)
         with pytest.raises(OSError):
             await asyncio.to_thread(request_handover, tmp_path)
@@ -134,7 +135,7 @@
         await new.close()
         await old.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_a_missing_or_dead_predecessor_gives_no_handover(tmp_path: Path) -> None:
@@ -142,7 +143,7 @@
     (tmp_path / SOCKET_NAME).write_text("a file")
     assert request_handover(tmp_path) is None
     listener = HandoverListener(tmp_path)
-    listener.socket.close()  # as by SIGKILL: the name stays, nobody is behind it
+    listener.socket.close()  # As after SIGKILL: the socket file stays, but no process listens on it.
     assert (tmp_path / SOCKET_NAME).is_socket() and request_handover(tmp_path) is None
 
 
@@ -162,18 +163,18 @@
     gc.collect()
     descriptors = len(os.listdir("/proc/self/fd"))
 
-    def answer() -> None:
+    def send_invalid_offer() -> None:
         listener.socket.setblocking(True)
         channel, _ = listener.socket.accept()
         channel.sendall(offer)
         channel.close()
 
-    async def play() -> None:
-        asked = asyncio.to_thread(request_handover, tmp_path)
-        _, got = await asyncio.gather(asyncio.to_thread(answer), asked, return_exceptions=True)
-        assert isinstance(got, OSError)
+    async def run() -> None:
+        pending_request = asyncio.to_thread(request_handover, tmp_path)
+        _, result = await asyncio.gather(asyncio.to_thread(send_invalid_offer), pending_request, return_exceptions=True)
+        assert isinstance(result, OSError)
 
-    asyncio.run(play())
+    asyncio.run(run())
     gc.collect()
     assert len(os.listdir("/proc/self/fd")) == descriptors
     listener.close()
@@ -183,18 +184,18 @@
     folder = tmp_path / ("a" * 120)
     folder.mkdir()
     listener = HandoverListener(folder)
-    got: list[Any] = []
+    results: list[Any] = []
     listening = socket.create_server(("127.0.0.1", 0))
 
-    async def play() -> None:
-        asked = asyncio.get_running_loop().run_in_executor(None, request_handover, folder)
+    async def run() -> None:
+        pending_request = asyncio.get_running_loop().run_in_executor(None, request_handover, folder)
         await until(lambda: _offer_if_connected(listener, listening))
-        got.append(await asked)
+        results.append(await pending_request)
 
-    asyncio.run(play())
-    (inherited_socket,) = got[0].sockets.values()
+    asyncio.run(run())
+    (inherited_socket,) = results[0].sockets.values()
     assert inherited_socket.getsockname() == listening.getsockname()
-    for each in (inherited_socket, got[0].channel, listening):
+    for each in (inherited_socket, results[0].channel, listening):
         each.close()
     listener.close()
 
@@ -209,59 +210,59 @@
     return True
 
 
-def test_after_pausing_each_connection_is_closed_behind_its_answer() -> None:
-    async def script(now: ClientHarness) -> None:
-        now.reader.feed_data(READS.split(b"\r\n")[0] + b"\r\n")
-        (asked,) = await now.settle()
-        now.listener.pause_accepting()
-        await now.settle()
-        assert not now.writer.transport.closed
-        now.actor.requests.answer(asked.request, Rejected(0.0))
-        await now.settle()
-        assert now.writer.transport.closed
+def test_after_a_pause_each_connection_is_closed_once_its_answer_is_written() -> None:
+    async def script(harness: ClientHarness) -> None:
+        harness.reader.feed_data(READS.split(b"\r\n")[0] + b"\r\n")
+        (received,) = await harness.settle()
+        harness.listener.pause_accepting()
+        await harness.settle()
+        assert not harness.writer.transport.closed
+        harness.actor.requests.answer(received.request, Rejected(0.0))
+        await harness.settle()
+        assert harness.writer.transport.closed
 
     assert run_client_script(script) == b"SERVER_ERROR busy\r\n"
 
 
 def test_unread_commands_are_answered_before_the_close() -> None:
-    async def script(now: ClientHarness) -> None:
-        now.listener.pause_accepting()
-        now.reader.feed_data(b"mn\r\n")
-        now.writer.remote_socket.send(b"x")  # the next command is on its way already
-        await now.settle()
-        assert not now.writer.transport.closed
-        now.writer.local_socket.recv(1)
-        now.reader.feed_data(b"mn\r\n")
-        await now.settle()
-        assert now.writer.transport.closed
+    async def script(harness: ClientHarness) -> None:
+        harness.listener.pause_accepting()
+        harness.reader.feed_data(b"mn\r\n")
+        harness.writer.remote_socket.send(b"x")  # The next command is already in the receive buffer.
+        await harness.settle()
+        assert not harness.writer.transport.closed
+        harness.writer.local_socket.recv(1)
+        harness.reader.feed_data(b"mn\r\n")
+        await harness.settle()
+        assert harness.writer.transport.closed
 
     assert run_client_script(script) == 2 * meta.READY_LINE
 
 
 def test_a_paused_listener_accepts_again_once_resumed() -> None:
-    async def play() -> None:
+    async def run() -> None:
         harness = RouterHarness()
-        front = ClientListener(THROUGH, harness.router, TaskSupervisor(), 4, 4, 1 << 20, lambda: True)
-        await front.listen("127.0.0.1", 0)
-        assert front.socket is not None
-        address = front.socket.getsockname()
-        front.pause_accepting()
-        with socket.create_connection(address):  # it waits in the queue, for whoever accepts
+        listener = ClientListener(THROUGH, harness.router, TaskSupervisor(), 4, 4, 1 << 20, lambda: True)
+        await listener.listen("127.0.0.1", 0)
+        assert listener.socket is not None
+        address = listener.socket.getsockname()
+        listener.pause_accepting()
+        with socket.create_connection(address):  # The connection waits in the accept queue.
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert not front.connections
-            await front.resume_accepting()
-            await until(lambda: len(front.connections) == 1)
-        actor: ClientConnectionActor = next(iter(front.connections))
+            assert not listener.connections
+            await listener.resume_accepting()
+            await until(lambda: len(listener.connections) == 1)
+        actor: ClientConnectionActor = next(iter(listener.connections))
         actor.close()
-        await front.drain()
-        await front.supervisor.stop()
+        await listener.drain()
+        await listener.supervisor.stop()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_datagrams_reach_the_serving_process() -> None:
-    async def play() -> None:
+    async def run() -> None:
         old, new = (PeerActor(RouterHarness().router, [], None, 0) for _ in range(2))
         await old.listen("127.0.0.1", 0)
         assert old.socket is not None
@@ -274,7 +275,7 @@
         old.close()
         new.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_two_processes_can_bind_the_same_address_without_a_handover() -> None:
--- a/tests/test_maintenance_and_reload.py
+++ b/tests/test_maintenance_and_reload.py
@@ -1,4 +1,4 @@
-"""Operators' actions: servers in maintenance, and a reload of the settings while requests are in flight."""
+"""Tests of operators' actions: servers in maintenance, and a reload of the settings while requests are in flight."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def servers_used(driver: BalancerDriver, count: int = 200) -> set[int]:
-    """Return the servers that reads of many keys are sent to."""
+    """Return the servers to which reads of many keys are sent."""
     used = set()
     for key in range(1, count + 1):
         for send in sends(driver.ask(key=key)):
@@ -58,17 +58,17 @@
 
 
 def test_a_server_in_maintenance_gets_no_requests_whatever_the_lists_say_until_its_maintenance_ends() -> None:
-    """Lists that change, remove and add it again do not end the maintenance; only the operator does."""
+    """Endpoint lists that change, remove or add the server do not end its maintenance; only an operator does."""
     driver = BalancerDriver(THROUGH)
     assert servers_used(driver) == {1, 2, 3, 4}
     driver.do(Maintenance(2, True))
-    driver.do(Maintenance(2, True))  # the call may come twice
+    driver.do(Maintenance(2, True))  # An operator may repeat the call.
     assert servers_used(driver) == {1, 3, 4} and driver.balancer.excluded_servers(driver.now) == [2]
     endpoints = tuple(endpoint for endpoint in members() if endpoint.kind != 3)
     driver.do(EndpointList(EndpointListKind.FULL, 2, endpoints))
     driver.do(EndpointList(EndpointListKind.DELTA, 3, (endpoints[1]._replace(started=driver.now - 50.0),)))
     assert servers_used(driver) == {1, 3, 4}
-    driver.do(EndpointList(EndpointListKind.FULL, 4, tuple(e for e in endpoints if e.server != 2)))
+    driver.do(EndpointList(EndpointListKind.FULL, 4, tuple(endpoint for endpoint in endpoints if endpoint.server != 2)))
     driver.pass_time(60000.0)
     driver.do(EndpointList(EndpointListKind.FULL, 5, endpoints))
     assert servers_used(driver) == {1, 3, 4}
@@ -79,21 +79,21 @@
 
 
 def test_retries_and_hedged_requests_avoid_servers_in_maintenance_too() -> None:
-    """The server of the first attempt goes into maintenance before the retry or the hedged request."""
+    """The server of the first attempt is put in maintenance before the retry or the hedged request."""
     settings = THROUGH._replace(hedging_allowed=True)
     for result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET, AttemptResult.NOT_SENT):
         for key in range(1, 40):
             driver = BalancerDriver(settings, seed=key)
             first = only_send(driver.ask(key=key))
             driver.do(Maintenance(first.server, True))
-            assert all(s.server != first.server for s in sends(driver.end(first, result)))
+            assert all(send.server != first.server for send in sends(driver.end(first, result)))
             second = only_send(driver.ask(key=key + 100))
             driver.do(Maintenance(second.server, True))
-            assert not {s.server for s in sends(driver.pass_time(900.0))} & {first.server, second.server}
+            assert not {send.server for send in sends(driver.pass_time(900.0))} & {first.server, second.server}
 
 
 def test_with_all_servers_in_maintenance_a_request_is_rejected_at_once() -> None:
-    """A request that no server may get does not wait for its deadline."""
+    """A request that can be sent to no server does not wait for its deadline."""
     driver = BalancerDriver(THROUGH)
     for number in range(1, 5):
         driver.do(Maintenance(number, True))
@@ -101,30 +101,33 @@
     assert isinstance(rejection, Reject)
 
 
-def test_a_server_after_maintenance_warms_up_from_the_end_of_it_until_the_list_has_its_start() -> None:
-    """The list may show its restart only seconds after the maintenance ended: the slow-start budget must hold."""
+def test_a_server_warms_up_from_the_end_of_its_maintenance_even_if_the_list_reports_its_start_later() -> None:
+    """The list may report the restart only seconds after the end of the maintenance; slow start must apply at once."""
     driver = BalancerDriver(THROUGH)
     driver.do(Maintenance(2, True))
     driver.pass_time(2000.0)
     driver.do(Maintenance(2, False))
     server = driver.balancer.fleet.servers[2]
     assert server.warming_since == driver.now and server.endpoint.started == 0.0
-    began = driver.now
+    maintenance_ended_at = driver.now
     sent_to_server = 0
     for key in range(1, 201):
         send = only_send(driver.ask(key=key))
         sent_to_server += send.server == 2
         driver.now += 10.0
         driver.end(send, AttemptResult.OK)
-    assert 0 < sent_to_server < 35  # a quarter would be 50; it starts at 0.3 of its capacity, and is at 0.5 by now
-    driver.do(EndpointList(EndpointListKind.DELTA, 9, (server.endpoint._replace(started=began - 500.0),)))
-    assert driver.balancer.fleet.servers[2].warming_since == began  # never assumed to be warmer than it may be
+    assert 0 < sent_to_server < 35  # An equal share is 50; the capacity starts at 0.3 and is 0.5 by now.
+    driver.do(
+        EndpointList(EndpointListKind.DELTA, 9, (server.endpoint._replace(started=maintenance_ended_at - 500.0),))
+    )
+    # The earlier start in the list does not shorten the warm-up.
+    assert driver.balancer.fleet.servers[2].warming_since == maintenance_ended_at
     driver.pass_time(8001.0)
     assert servers_used(driver) == {1, 2, 3, 4}
 
 
-def test_an_attempt_that_waits_for_a_connection_to_a_server_in_maintenance_is_handed_back() -> None:
-    """It ends with a result that lets the router retry it at another server."""
+def test_an_attempt_that_waits_for_a_connection_to_a_server_in_maintenance_can_be_retried() -> None:
+    """The attempt ends with a result that lets the router retry the request at another server."""
     for is_idle in (True, False):
         harness = ServerActorHarness()
         attempt = harness.attempt()
@@ -137,7 +140,7 @@
         message = messages.StartExchange(attempt) if is_idle else messages.ConnectCompleted(attempt, None)
         results = harness.deliver(message)
         expected = AttemptResult.NOT_SENT if is_idle else AttemptResult.CONNECT_FAILED
-        assert [m.result for m in results] == [expected]
+        assert [ended.result for ended in results] == [expected]
         assert not harness.writer.transport.sent
         harness.fleet.set_maintenance(1, False)
         if is_idle:
@@ -146,20 +149,20 @@
 
 
 class FakeTask:
-    """Stands in for the task of a connect."""
+    """A fake of the task that opens a connection."""
 
     def cancel(self) -> None:
-        """Do nothing."""
+        """Ignore the cancellation."""
 
 
-# The maintenance set outlives the process, and both processes of an upgrade share it.
+# The maintenance set is stored in a file, which both processes of an upgrade share.
 
 
 class RouterProcess:
-    """One process's servers in maintenance, and the changes that it was notified of."""
+    """The maintenance set of one process, and the changes that it reported."""
 
     def __init__(self, folder: Path | None) -> None:
-        """Open the maintenance set of a folder, or one in memory only."""
+        """Open the maintenance set in a folder, or one in memory if there is no folder."""
         self.changes: list[tuple[str, bool]] = []
         self.maintenance = MaintenanceSet(
             folder, lambda name, in_maintenance: self.changes.append((name, in_maintenance))
@@ -167,11 +170,11 @@
 
 
 def test_both_processes_of_an_upgrade_share_the_maintenance_set(tmp_path: Path) -> None:
-    """A change made through either process reaches the other, and a process that starts later."""
+    """A change made in one process reaches the other one, and a process that starts later."""
     old = RouterProcess(tmp_path)
     new = RouterProcess(tmp_path)
     old.maintenance.set_maintenance("a", True)
-    new.maintenance.set_maintenance("b", True)  # without a reload before: the other's change is not lost
+    new.maintenance.set_maintenance("b", True)  # This process has not reloaded, and must not overwrite the change.
     old.maintenance.reload_if_changed()
     assert old.maintenance.names == new.maintenance.names == {"a", "b"}
     assert old.changes == [("a", True), ("b", True)] and new.changes == [("a", True), ("b", True)]
@@ -198,21 +201,21 @@
     ],
 )
 def test_an_invalid_maintenance_file_changes_nothing_and_is_replaced(text: str, tmp_path: Path) -> None:
-    """A truncated file, or one in another format, does not end a maintenance."""
+    """A truncated file, or one in an unknown format, does not end any maintenance."""
     process = RouterProcess(tmp_path)
     process.maintenance.set_maintenance("a", True)
     (tmp_path / FILE_NAME).write_text(text)
     process.maintenance.reload_if_changed()
     process.maintenance.reload_if_changed()
     assert process.maintenance.names == {"a"} and process.changes == [("a", True)]
-    process.maintenance.set_maintenance("b", True)  # the next change writes a complete file
+    process.maintenance.set_maintenance("b", True)  # The next change writes a valid file.
     later = RouterProcess(tmp_path)
     later.maintenance.reload_if_changed()
     assert later.maintenance.names == {"a", "b"}
 
 
 def test_without_a_usable_folder_the_maintenance_set_is_in_memory(tmp_path: Path) -> None:
-    """A maintenance must take effect even if it cannot be stored."""
+    """Maintenance must take effect even if it cannot be stored."""
     for folder in (None, tmp_path / "nowhere"):
         process = RouterProcess(folder)
         process.maintenance.reload_if_changed()
@@ -222,7 +225,7 @@
 
 
 def test_a_process_that_hangs_with_the_lock_does_not_block_another(tmp_path: Path) -> None:
-    """The lock is waited for only briefly; the change is stored without it."""
+    """The process waits for the lock only briefly, and then stores the change without it."""
     lock = os.open(tmp_path / f"{FILE_NAME}.lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(lock, fcntl.LOCK_EX)
     process = RouterProcess(tmp_path)
@@ -232,7 +235,7 @@
 
 
 def test_only_listed_names_have_a_server_id() -> None:
-    """An operator's call for an unknown name can so be answered with an error."""
+    """This lets an operator's call for an unknown name be answered with an error."""
     harness = RouterHarness()
     discovery = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), None)  # type: ignore[arg-type]
     entry = {"name": "s-1", "address": "127.0.0.1:1", "status": "in_service"}
@@ -251,21 +254,23 @@
 
 
 def test_requests_in_flight_keep_their_class_and_later_ones_have_the_new_classes() -> None:
-    """An idempotent request may still be retried after its class is gone; a later one follows the new settings."""
+    """An idempotent request may be retried after its class was removed; a later one follows the new settings."""
     harness = RouterHarness()
-    before = [harness.submit_request(cls) for cls in (READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)]
+    before = [harness.submit_request(class_index) for class_index in (READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT)]
     harness.router.mailbox.force_put(HealthCheckResult(1, AttemptResult.OK, 1.0))
     harness.router.apply_settings(FEWER_CLASSES)
-    # "read" is gone, but this request is idempotent still.
+    # The class "read" was removed, but this request is still idempotent.
     harness.deliver(AttemptEnded(harness.started[0], AttemptResult.RESET))
-    assert len(harness.started) == 3  # though no more attempts are allowed now
+    assert len(harness.started) == 3  # The retry is allowed, although the new settings allow only one attempt.
     for attempt in harness.started[1:3]:
         harness.deliver(AttemptEnded(attempt, AttemptResult.OK, payload=b"x"))
     new = harness.submit_request(1)
     assert new.request_class.name == "read-2" and len(harness.started) == 4
-    harness.deliver(AttemptEnded(harness.started[3], AttemptResult.RESET))  # not idempotent: it may have run
+    harness.deliver(AttemptEnded(harness.started[3], AttemptResult.RESET))  # It is not idempotent and may have run.
     assert len(harness.started) == 4
-    answer_counts = [len([a for r, a in harness.answers if r is request]) for request in [*before, new]]
+    answer_counts = [
+        len([answer for answered, answer in harness.answers if answered is request]) for request in [*before, new]
+    ]
     assert answer_counts == [1, 1, 1, 1]
     telemetry = harness.router.telemetry
     assert (
@@ -277,7 +282,7 @@
 
 
 def test_a_request_received_before_the_reload_is_handled_under_the_old_settings() -> None:
-    """Its class index is that of the old settings."""
+    """The class index of the request refers to the old settings."""
     harness = RouterHarness()
     now = harness.clock.time
     harness.router.submit(PendingRequest(harness, THROUGH.classes[0], 7, now + 900.0, b"p", now))
@@ -290,7 +295,7 @@
 
 
 def test_the_service_time_of_a_class_that_remains_is_preserved() -> None:
-    """A class is found again by its name, though its index changed; a new one begins with the default."""
+    """A class keeps its service time by name, although its index changes; a new class starts with the default."""
     driver = BalancerDriver(THROUGH)
     driver.balancer.load.service_times["unsafe"].typical = 77.0
     driver.do(SettingsChanged(FEWER_CLASSES))
@@ -300,8 +305,8 @@
     }
 
 
-def test_a_removed_class_is_an_error_and_a_new_one_is_served() -> None:
-    """Clients get an error for a class that the reload removed."""
+def test_a_request_of_a_removed_class_gets_an_error_and_one_of_a_new_class_is_served() -> None:
+    """Clients get an error for a class that a reload has removed."""
 
     async def script(client: ClientHarness) -> None:
         client.listener.apply_settings(FEWER_CLASSES)
@@ -320,7 +325,7 @@
     "seed": "5",
     "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
     "settings": {
-        "grades": [{"name": n, "effect": "once", "promiseMs": 80.0, "hardLimitMs": 400.0} for n in ("a", "b")],
+        "grades": [{"name": name, "effect": "once", "promiseMs": 80.0, "hardLimitMs": 400.0} for name in ("a", "b")],
         "permissions": {"tryLimit": 4},
         "rules": {"drainGraceMs": 400.0},
     },
@@ -328,7 +333,7 @@
 
 
 def config_with(*path: Any, to: Any = None) -> str:
-    """Return the text of the valid file with the value at a path replaced, or removed if there is no new value."""
+    """Return the text of the valid file with the value at a path replaced, or removed if ``to`` is None."""
     config = copy.deepcopy(VALID_CONFIG)
     parent: Any = config
     for key in path[:-1]:
@@ -369,7 +374,7 @@
     ],
 )
 def test_an_invalid_config_file_is_rejected_completely(text: str, tmp_path: Path) -> None:
-    """The error is one line; nothing of the file takes effect."""
+    """The error message is one line, and no part of the file takes effect."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(VALID_CONFIG))
     shape = read_config(str(path)).shape
--- a/tests/test_pipe.py
+++ b/tests/test_pipe.py
@@ -1,4 +1,4 @@
-"""The pipe of a chunked value: back-pressure, the shared budget, and its end."""
+"""Tests of the pipe for streamed values: back-pressure, the shared byte budget, and its end."""
 
 from __future__ import annotations
 
@@ -21,57 +21,61 @@
         max_size=60,
     )
 )
-@example([(2, "put", WINDOW_BYTES + 1), (2, "end", 1), (2, "put", 1)])  # dropped while more than the window is buffered
+@example(
+    [(2, "put", WINDOW_BYTES + 1), (2, "end", 1), (2, "put", 1)]
+)  # The last piece is dropped while the pipe is over its window.
 def test_a_pipe_preserves_its_bytes_and_releases_its_budget(steps: list[tuple[int, str, int]]) -> None:
     budget = ByteBudget(WINDOW_BYTES)
     pipes = [Pipe(budget) for _ in range(3)]
-    put, got = [b"", b"", b""], [b"", b"", b""]
+    put, taken = [b"", b"", b""], [b"", b"", b""]
     settled = [0, 0, 0]
     for number, pipe in enumerate(pipes):
         pipe.on_settled(lambda number=number: settled.__setitem__(number, settled[number] + 1))  # type: ignore[misc]
-    for which, what, size in steps:
+    for which, step, size in steps:
         pipe = pipes[which]
-        if what == "put" and not pipe.is_full():
-            is_taking = not pipe.abandoned and pipe.complete is None
+        if step == "put" and not pipe.is_full():
+            accepts_pieces = not pipe.abandoned and pipe.complete is None
             buffered_before = pipe.buffered
             pipe.put(b"x" * size)
-            if is_taking:
+            if accepts_pieces:
                 put[which] += b"x" * size
-                # One piece always; more only within the window, and only while the budget allows.
+                # The pipe always accepts one piece; it accepts more only below its window and within the budget.
                 assert pipe.buffered < WINDOW_BYTES + size
             else:
                 assert pipe.buffered == buffered_before
-        elif what == "take":
-            got[which] += b"".join(pipe.take())
-            assert not pipe.is_full()  # so that none ever waits for another one's writer
-        elif what in ("end", "break"):
-            pipe.finish(what == "end")
-        elif what == "abandon":
+        elif step == "take":
+            taken[which] += b"".join(pipe.take())
+            assert (
+                not pipe.is_full()
+            )  # An empty pipe is never full, so its producer never waits for another pipe's consumer.
+        elif step in ("end", "break"):
+            pipe.finish(step == "end")
+        elif step == "abandon":
             pipe.abandon()
-        assert budget.used == sum(p.buffered for p in pipes) >= 0
+        assert budget.used == sum(each.buffered for each in pipes) >= 0
     for which, pipe in enumerate(pipes):
         if not pipe.abandoned:
-            assert got[which] + b"".join(pipe.take()) == put[which]
+            assert taken[which] + b"".join(pipe.take()) == put[which]
         pipe.abandon()
         assert settled[which] == 1 and pipe.is_finished()
     assert budget.used == 0
 
 
 def test_back_pressure_affects_only_its_own_pipe() -> None:
-    async def play() -> None:
+    async def run() -> None:
         budget = ByteBudget(10)
-        slow, quick = Pipe(budget), Pipe(budget)
-        slow.put(b"x" * 11)  # all the budget there is
-        quick.put(b"y")
-        reading = asyncio.ensure_future(quick.wait_until_not_full())
+        slow, fast = Pipe(budget), Pipe(budget)
+        slow.put(b"x" * 11)  # This exceeds the shared budget.
+        fast.put(b"y")
+        reading = asyncio.ensure_future(fast.wait_until_not_full())
         await asyncio.sleep(0)
         assert not reading.done()
-        assert quick.take() == [b"y"]
+        assert fast.take() == [b"y"]
         await reading
-        taking = asyncio.ensure_future(quick.wait_for_data())
+        taking = asyncio.ensure_future(fast.wait_for_data())
         await asyncio.sleep(0)
         assert not taking.done()
-        quick.finish(False)
+        fast.finish(False)
         await taking
         waiting = asyncio.ensure_future(slow.wait_until_not_full())
         await asyncio.sleep(0)
@@ -79,4 +83,4 @@
         await waiting
         assert budget.used == 0
 
-    asyncio.run(play())
+    asyncio.run(run())
