--- a/tests/test_pipe.py
+++ b/tests/test_pipe.py
@@ -21,9 +21,8 @@
         max_size=60,
     )
 )
-@example(
-    [(2, "put", WINDOW_BYTES + 1), (2, "end", 1), (2, "put", 1)]
-)  # The last piece is dropped while the pipe is over its window.
+# The last piece is dropped while the pipe buffers more than its window.
+@example([(2, "put", WINDOW_BYTES + 1), (2, "end", 1), (2, "put", 1)])
 def test_a_pipe_preserves_its_bytes_and_releases_its_budget(steps: list[tuple[int, str, int]]) -> None:
     budget = ByteBudget(WINDOW_BYTES)
     pipes = [Pipe(budget) for _ in range(3)]
@@ -31,33 +30,32 @@
     settled = [0, 0, 0]
     for number, pipe in enumerate(pipes):
         pipe.on_settled(lambda number=number: settled.__setitem__(number, settled[number] + 1))  # type: ignore[misc]
-    for which, step, size in steps:
-        pipe = pipes[which]
+    for index, step, size in steps:
+        pipe = pipes[index]
         if step == "put" and not pipe.is_full():
             accepts_pieces = not pipe.abandoned and pipe.complete is None
             buffered_before = pipe.buffered
             pipe.put(b"x" * size)
             if accepts_pieces:
-                put[which] += b"x" * size
+                put[index] += b"x" * size
                 # The pipe always accepts one piece; it accepts more only below its window and within the budget.
                 assert pipe.buffered < WINDOW_BYTES + size
             else:
                 assert pipe.buffered == buffered_before
         elif step == "take":
-            taken[which] += b"".join(pipe.take())
-            assert (
-                not pipe.is_full()
-            )  # An empty pipe is never full, so its producer never waits for another pipe's consumer.
+            taken[index] += b"".join(pipe.take())
+            # An empty pipe is never full, so its producer never waits for another pipe's consumer.
+            assert not pipe.is_full()
         elif step in ("end", "break"):
             pipe.finish(step == "end")
         elif step == "abandon":
             pipe.abandon()
         assert budget.used == sum(each.buffered for each in pipes) >= 0
-    for which, pipe in enumerate(pipes):
+    for index, pipe in enumerate(pipes):
         if not pipe.abandoned:
-            assert taken[which] + b"".join(pipe.take()) == put[which]
+            assert taken[index] + b"".join(pipe.take()) == put[index]
         pipe.abandon()
-        assert settled[which] == 1 and pipe.is_finished()
+        assert settled[index] == 1 and pipe.is_finished()
     assert budget.used == 0
 
 
