--- a/starlingthread/core/core_load.py
+++ b/starlingthread/core/core_load.py
@@ -83,7 +83,7 @@
     def shed(self, now: float, request_class: RequestClass, budget: float) -> Rejected | None:
         """Return a rejection if a request that has just been read must be shed; else count it as queued, return None.
 
-        budget: ms until its client gives up.
+        budget: ms until the client stops waiting.
         """
         retry_after = self._admission.check_queue(now, request_class, budget, self._queued_requests)
         if retry_after is None:
--- a/starlingthread/core/request_table.py
+++ b/starlingthread/core/request_table.py
@@ -39,7 +39,7 @@
         """Send the final answer of a request; ignored if it is finished. No other method sends answers."""
         if request.finished:
             return
-        self._close(request)
+        self._mark_finished(request)
         self._counters.increment(f"answers.{type(answer).__name__.lower()}")
         self._count_status(request.request_class.name, answer)
         request.requester.answer(request, answer)
@@ -47,7 +47,7 @@
 
     def cancel(self, request: PendingRequest) -> None:
         """Finish a request without an answer, as its client has disconnected."""
-        self._close(request)
+        self._mark_finished(request)
         self._counters.increment("requests.cancelled")
         self._telemetry.on_finished(request.request_class.name, FinalStatus.ABANDONED)
 
@@ -57,7 +57,7 @@
             self.requests.pop(request.id, None)
             self.attempts.pop(request.id, None)
 
-    def _close(self, request: PendingRequest) -> None:
+    def _mark_finished(self, request: PendingRequest) -> None:
         request.finished = True
         self._deadlines.clear(request.deadline_timer)
         if request.body is not None:
