--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -63,7 +63,7 @@
 
     def post(self, message: Message) -> None:
         """Put a message into the mailbox, even if that is full, so that it is not lost."""
-        self.mailbox.must_put(message)
+        self.mailbox.force_put(message)
 
     def close(self) -> None:
         """Close all connections, including those being established."""
