--- a/tests/balancer_driver.py
+++ b/tests/balancer_driver.py
@@ -51,7 +51,7 @@
 HEDGED = THROUGH._replace(hedging_allowed=True)
 
 
-def members(count: int = 4, *, zones: int = 1, started: float = 0.0) -> tuple[Endpoint, ...]:
+def make_endpoints(count: int = 4, *, zones: int = 1, started: float = 0.0) -> tuple[Endpoint, ...]:
     """Return some cache servers and the origin."""
     caches = tuple(Endpoint(n, zone=n % zones, started=started) for n in range(1, count + 1))
     return (*caches, Endpoint(ORIGIN, kind=3))
@@ -61,35 +61,39 @@
     """One balancer under test, and the clock."""
 
     def __init__(self, settings: Settings = ASIDE, fleet: tuple[Endpoint, ...] | None = None, seed: int = 1):
-        self.set = settings
+        self.settings = settings
         self.checker = RuleChecker(settings)
         self.balancer = Balancer(settings, seed)
         self.now = 1000.0
         self.next_id = 1
         self.timers: list[SetTimer] = []
-        self._note(self.balancer.start(self.now))
-        lines = members() if fleet is None else fleet
+        self._record_actions(self.balancer.start(self.now))
+        lines = make_endpoints() if fleet is None else fleet
         if settings.mode == "through":
             lines = tuple(m for m in lines if m.server != ORIGIN)
-        self.do(EndpointList(EndpointListKind.FULL, 1, lines))
+        self.handle_event(EndpointList(EndpointListKind.FULL, 1, lines))
 
-    def _note(self, actions: list[Action]) -> list[Action]:
-        self.checker.actions(self.now, actions)
+    def _record_actions(self, actions: list[Action]) -> list[Action]:
+        self.checker.check_actions(self.now, actions)
         self.timers += [a for a in actions if isinstance(a, SetTimer)]
         return actions
 
-    def do(self, event: Event) -> list[Action]:
+    def handle_event(self, event: Event) -> list[Action]:
         """Let one event happen now."""
-        self.checker.event(self.now, event)
-        return self._note(self.balancer.handle(self.now, event))
+        self.checker.observe_event(self.now, event)
+        return self._record_actions(self.balancer.handle(self.now, event))
 
-    def ask(self, key: int = 7, cls: int = READ, budget: float = 1000.0, cost: float = 40.0) -> list[Action]:
+    def submit_request(
+        self, key: int = 7, class_index: int = READ, budget: float = 1000.0, cost: float = 40.0
+    ) -> list[Action]:
         """Let a client ask; its id is next_id - 1 afterwards."""
         self.next_id += 1
-        write = cls != READ
-        return self.do(Request(self.next_id - 1, cls, budget, key=key, cost_hint=cost, is_write=write))
+        write = class_index != READ
+        return self.handle_event(
+            Request(self.next_id - 1, class_index, budget, key=key, cost_hint=cost, is_write=write)
+        )
 
-    def end(
+    def end_attempt(
         self,
         send: Send,
         result: AttemptResult,
@@ -99,29 +103,29 @@
         report: tuple[float, ...] = (),
     ) -> list[Action]:
         """End an attempt."""
-        seen = self.checker.seen[send.id]
-        ended = seen.over or result == AttemptResult.OK
-        return self.do(Outcome(send.id, attempt, send.server, result, elapsed, ended, load_report=report))
+        seen = self.checker.requests[send.id]
+        ended = seen.is_over or result == AttemptResult.OK
+        return self.handle_event(Outcome(send.id, attempt, send.server, result, elapsed, ended, load_report=report))
 
-    def finish(self, send: Send, elapsed: float) -> None:
+    def complete_as_hit(self, send: Send, elapsed: float) -> None:
         """Let an attempt be served as a hit in so many ms."""
-        self.do(Outcome(send.id, 0, send.server, AttemptResult.OK, elapsed, True, CacheStatus.HIT))
+        self.handle_event(Outcome(send.id, 0, send.server, AttemptResult.OK, elapsed, True, CacheStatus.HIT))
 
     def read(self, key: int = 7) -> int:
         """Let a read be asked for and served; return the server."""
-        send = only_send(self.ask(key))
+        send = only_send(self.submit_request(key))
         self.now += 30
-        self.end(send, AttemptResult.OK)
+        self.end_attempt(send, AttemptResult.OK)
         return send.server
 
-    def pass_time(self, span: float) -> list[Action]:
+    def advance_time(self, span: float) -> list[Action]:
         """Let time pass, with the timers that come due."""
         until, done = self.now + span, []
         while due := [t for t in self.timers if t.at <= until]:
             first = min(due, key=lambda t: t.at)
             self.timers.remove(first)
             self.now = max(self.now, first.at)
-            done += self.do(Timer(first.label))
+            done += self.handle_event(Timer(first.label))
         self.now = until
         return done
 
@@ -142,25 +146,25 @@
     return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
-def late_reads(driver: BalancerDriver, count: int, elapsed: float) -> None:
+def serve_reads(driver: BalancerDriver, count: int, elapsed: float) -> None:
     """Let some reads of many keys be answered after a long wait."""
     for key in range(count):
         driver.now += 20.0
-        for send in sends(driver.ask(1000 + key, cost=0.0)):
-            driver.end(send, AttemptResult.OK, elapsed=elapsed)
+        for send in sends(driver.submit_request(1000 + key, cost=0.0)):
+            driver.end_attempt(send, AttemptResult.OK, elapsed=elapsed)
 
 
-def warmed_up(driver: BalancerDriver) -> int:
+def warm_up_key(driver: BalancerDriver) -> int:
     """Let one key be read until its owner is counted and tokens for hedges are saved up; return the owner."""
     return [driver.read(7) for _ in range(40)][-1]
 
 
-def fetch_many(driver: BalancerDriver, count: int, result: AttemptResult, took: float = 60.0) -> None:
+def complete_fetches(driver: BalancerDriver, count: int, result: AttemptResult, took: float = 60.0) -> None:
     """Let reads of keys that are cached nowhere end in some way."""
     for _ in range(count):
         driver.now += 20.0
-        for send in sends(driver.ask(100000 + int(driver.now))):
-            driver.do(
+        for send in sends(driver.submit_request(100000 + int(driver.now))):
+            driver.handle_event(
                 Outcome(
                     send.id,
                     0,
--- a/tests/event_stream.py
+++ b/tests/event_stream.py
@@ -33,7 +33,7 @@
 )
 from starlingthread.settings import Settings
 
-from .balancer_driver import ASIDE, ORIGIN, THROUGH, members
+from .balancer_driver import ASIDE, ORIGIN, THROUGH, make_endpoints
 
 DATA = Path(__file__).with_name("data")
 # The streams were recorded before the types had these names, and are not recorded again for a name.
@@ -79,7 +79,7 @@
         self.balancer = Balancer(self.settings, seed)
         self.endpoints = {
             endpoint.server: endpoint
-            for endpoint in members(6, zones=2)
+            for endpoint in make_endpoints(6, zones=2)
             if self.settings.mode == "aside" or endpoint.server != ORIGIN
         }
         self.in_flight: dict[tuple[int, int], tuple[int, float]] = {}  # (request, attempt): server, time sent
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -10,7 +10,7 @@
 from starlingthread.events import EndpointList, EndpointListKind
 from starlingthread.settings import Settings
 
-from .balancer_driver import READ, THROUGH, members
+from .balancer_driver import READ, THROUGH, make_endpoints
 
 
 class ManualClock(Clock):
@@ -34,7 +34,7 @@
         self.started: list[Attempt] = []
         self.abandoned: list[Attempt] = []
         self.answers: list[tuple[PendingRequest, Answer]] = []
-        endpoints = tuple(endpoint for endpoint in members(4) if endpoint.kind != 3)
+        endpoints = tuple(endpoint for endpoint in make_endpoints(4) if endpoint.kind != 3)
         self.deliver(EndpointsReceived(EndpointList(EndpointListKind.CACHED, 1, endpoints), {}))
 
     def answer(self, request: PendingRequest, answer: Answer) -> None:
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -32,10 +32,10 @@
 class RequestHistory:
     """A request, its attempts and its answers."""
 
-    req: Request
+    request: Request
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
-    over: bool = False
+    is_over: bool = False
     answers: int = 0
 
 
@@ -44,24 +44,24 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.seen: dict[int, RequestHistory] = {}
+        self.requests: dict[int, RequestHistory] = {}
         self.unavailable_since: dict[int, float] = {}
         self.location: dict[int, tuple[int, int]] = {}
 
-    def event(self, now: float, event: Event) -> None:
+    def observe_event(self, now: float, event: Event) -> None:
         """Take in an event before the module handles it."""
         if isinstance(event, Request):
-            self.seen[event.id] = RequestHistory(event, now + event.budget)
+            self.requests[event.id] = RequestHistory(event, now + event.budget)
         elif isinstance(event, Outcome):
-            seen = self.seen[event.id]
+            seen = self.requests[event.id]
             attempt = seen.attempts[event.attempt]
             attempt.in_flight = False
             attempt.never_executed = event.result in NEVER_EXECUTED
-            if event.request_finished and not seen.over:
-                seen.over = True
+            if event.request_finished and not seen.is_over:
+                seen.is_over = True
                 seen.answers += 1
         elif isinstance(event, RequestCancelled):
-            self.seen[event.id].over = True
+            self.requests[event.id].is_over = True
         elif isinstance(event, EndpointList) and event.kind != EndpointListKind.FAILED:
             listed = {m.server for m in event.endpoints}
             if event.kind != EndpointListKind.DELTA:
@@ -75,21 +75,21 @@
                 else:
                     self.unavailable_since.setdefault(m.server, now)
 
-    def actions(self, now: float, actions: list[Action]) -> None:
+    def check_actions(self, now: float, actions: list[Action]) -> None:
         """Check the actions that an event called for."""
         for action in actions:
             if isinstance(action, Send):
-                self._send(now, action)
+                self._check_send(now, action)
             elif isinstance(action, Reject | Fail):
-                self._answer(now, action)
+                self._check_answer(now, action)
             elif isinstance(action, Cancel):
                 assert self.settings.can_cancel
-                assert action.attempt < len(self.seen[action.id].attempts)
+                assert action.attempt < len(self.requests[action.id].attempts)
 
-    def _send(self, now: float, send: Send) -> None:
-        seen = self.seen[send.id]
-        idempotency = self.settings.classes[seen.req.class_index].idempotency
-        assert not seen.over, "sent for a request that is over"
+    def _check_send(self, now: float, send: Send) -> None:
+        seen = self.requests[send.id]
+        idempotency = self.settings.classes[seen.request.class_index].idempotency
+        assert not seen.is_over, "sent for a request that is over"
         assert now < seen.deadline, "sent after the deadline"
         assert len(seen.attempts) < self.settings.max_attempts, "too many attempts"
         assert send.server in self.location, "sent to a server that no list named"
@@ -102,7 +102,7 @@
         if idempotency == Idempotency.NOT_IDEMPOTENT:
             assert not possible_executions, "a not idempotent request was sent again"
         elif idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
-            cls = self.settings.classes[seen.req.class_index]
+            cls = self.settings.classes[seen.request.class_index]
             assert now - possible_executions[0].sent_at < cls.idempotency_window, "sent after the idempotency window"
             if cls.deduplication_scope != "all":
                 part = 0 if cls.deduplication_scope == "zone" else 1
@@ -111,22 +111,22 @@
                 )
         seen.attempts.append(Attempt(send.server, now))
 
-    def _answer(self, now: float, action: Reject | Fail) -> None:
-        seen = self.seen[action.id]
-        assert not seen.over, "a second answer"
-        seen.over = True
+    def _check_answer(self, now: float, action: Reject | Fail) -> None:
+        seen = self.requests[action.id]
+        assert not seen.is_over, "a second answer"
+        seen.is_over = True
         seen.answers += 1
         assert now <= seen.deadline + self.settings.answer_slack, "answered too late"
         if isinstance(action, Reject):
-            cls = self.settings.classes[seen.req.class_index]
+            cls = self.settings.classes[seen.request.class_index]
             possible_executions = any(a.in_flight or not a.never_executed for a in seen.attempts)
             if cls.idempotency == Idempotency.NOT_IDEMPOTENT:
                 assert not possible_executions, "rejected a not idempotent request that may have been executed"
             elif cls.idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
                 assert cls.deduplication_scope == "all", "rejected a keyed request that may have been executed"
 
-    def all_answered(self) -> None:
+    def check_all_answered(self) -> None:
         """Check that each request got one answer."""
-        for seen in self.seen.values():
-            assert seen.over, f"request {seen.req.id} was never answered"
+        for seen in self.requests.values():
+            assert seen.is_over, f"request {seen.request.id} was never answered"
             assert seen.answers <= 1
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,43 +12,43 @@
     THROUGH,
     BalancerDriver,
     answers,
-    fetch_many,
-    late_reads,
-    members,
+    complete_fetches,
+    make_endpoints,
     only_send,
     sends,
+    serve_reads,
 )
 
 
 def test_most_requests_that_would_be_late_are_rejected_at_once() -> None:
     """Incident iddb886: queues longer than the latency objective stayed full."""
-    driver = BalancerDriver(ASIDE, members(6))
-    late_reads(driver, 60, 900.0)
+    driver = BalancerDriver(ASIDE, make_endpoints(6))
+    serve_reads(driver, 60, 900.0)
     driver.now += 5000.0  # a router comes back to a server every few seconds only
     rejected = 0
     for key in range(100):
         driver.now += 1.0
-        rejected += len(answers(driver.ask(5000 + key, cost=0.0)))
+        rejected += len(answers(driver.submit_request(5000 + key, cost=0.0)))
     assert 60 <= rejected < 100  # a few are sent to find out when the overload ends
 
 
 def test_requests_are_admitted_again_once_responses_are_fast() -> None:
-    driver = BalancerDriver(ASIDE, members(6))
-    late_reads(driver, 60, 900.0)
-    late_reads(driver, 600, 30.0)
+    driver = BalancerDriver(ASIDE, make_endpoints(6))
+    serve_reads(driver, 60, 900.0)
+    serve_reads(driver, 600, 30.0)
     driver.now += 5000.0
-    assert only_send(driver.ask(9999, cost=0.0))
+    assert only_send(driver.submit_request(9999, cost=0.0))
 
 
 def test_nothing_is_rejected_while_responses_are_fast() -> None:
-    driver = BalancerDriver(ASIDE, members(6))
-    late_reads(driver, 100, 60.0)
-    assert all(not answers(driver.ask(5000 + key)) for key in range(50))
+    driver = BalancerDriver(ASIDE, make_endpoints(6))
+    serve_reads(driver, 100, 60.0)
+    assert all(not answers(driver.submit_request(5000 + key)) for key in range(50))
 
 
 def test_a_rejection_carries_a_retry_after_that_differs_by_request() -> None:
     driver = BalancerDriver(ASIDE._replace(max_retry_after=2000.0), ())
-    retry_after = [a.retry_after for _ in range(20) for a in answers(driver.ask()) if isinstance(a, Reject)]
+    retry_after = [a.retry_after for _ in range(20) for a in answers(driver.submit_request()) if isinstance(a, Reject)]
     assert len(retry_after) == 20 and all(1.0 <= ms <= 2000.0 for ms in retry_after) and len(set(retry_after)) > 10
 
 
@@ -60,10 +60,12 @@
         for key in range(400):
             driver.now += 10.0
             driver.next_id += 1
-            done = driver.do(Request(driver.next_id, cls, 900.0, key=key + 1, cost_hint=40.0, queue_time=queue_time))
+            done = driver.handle_event(
+                Request(driver.next_id, cls, 900.0, key=key + 1, cost_hint=40.0, queue_time=queue_time)
+            )
             count += len(answers(done))
             for send in sends(done):
-                driver.end(send, AttemptResult.OK)
+                driver.end_attempt(send, AttemptResult.OK)
         return count
 
     driver = BalancerDriver(THROUGH)
@@ -80,8 +82,8 @@
     driver.balancer.affinity.prior_hit_probability = [0.1, 0.1]
     for _ in range(20):
         driver.read(7)
-    fetch_many(driver, 40, AttemptResult.OK)
-    assert not [a for key in range(50) for a in answers(driver.ask(500000 + key))]
-    fetch_many(driver, 40, AttemptResult.ERROR, 200.0)
-    spared = len([a for key in range(50) for a in answers(driver.ask(600000 + key))])
-    assert spared > 25 and only_send(driver.ask(7))
+    complete_fetches(driver, 40, AttemptResult.OK)
+    assert not [a for key in range(50) for a in answers(driver.submit_request(500000 + key))]
+    complete_fetches(driver, 40, AttemptResult.ERROR, 200.0)
+    spared = len([a for key in range(50) for a in answers(driver.submit_request(600000 + key))])
+    assert spared > 25 and only_send(driver.submit_request(7))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -14,7 +14,7 @@
 from starlingthread.balance.rendezvous import Candidate, Rendezvous, mix
 from starlingthread.events import AttemptResult, CacheStatus, Outcome, SettingsChanged
 
-from .balancer_driver import THROUGH, BalancerDriver, members, only_send
+from .balancer_driver import THROUGH, BalancerDriver, make_endpoints, only_send
 
 
 def rendezvous(
@@ -130,12 +130,12 @@
 def servers_used(router: int, hot_keys: bool, requests: int = 60) -> Counter[int]:
     """Return how many requests for one key a router sends to each server."""
     settings = THROUGH._replace(hot_keys=hot_keys, router_count=100, router_index=router)
-    driver = BalancerDriver(settings, members(24), seed=router + 1)
+    driver = BalancerDriver(settings, make_endpoints(24), seed=router + 1)
     used: Counter[int] = Counter()
     for _ in range(requests):
-        send = only_send(driver.ask(7, cost=0.0))
+        send = only_send(driver.submit_request(7, cost=0.0))
         driver.now += 30.0
-        driver.do(Outcome(send.id, 0, send.server, AttemptResult.OK, 30.0, True, CacheStatus.HIT))
+        driver.handle_event(Outcome(send.id, 0, send.server, AttemptResult.OK, 30.0, True, CacheStatus.HIT))
         driver.now += 300.0
         used[send.server] += 1
     return used
@@ -161,17 +161,19 @@
     assert operator_options.apply_to(THROUGH).hot_keys
     with pytest.raises(options.OptionsError, match=r"hot_keys\.enabled"):
         options.parse('[hot_keys]\nenabled = "yes"\n', "f")
-    driver = BalancerDriver(operator_options.apply_to(THROUGH)._replace(router_count=100, router_index=3), members(24))
+    driver = BalancerDriver(
+        operator_options.apply_to(THROUGH)._replace(router_count=100, router_index=3), make_endpoints(24)
+    )
     servers_before = [driver.read(7) for _ in range(40)]
-    driver.do(SettingsChanged(driver.set._replace(hot_keys=False)))
+    driver.handle_event(SettingsChanged(driver.settings._replace(hot_keys=False)))
     servers_after = {driver.read(7) for _ in range(60)}
-    plain = BalancerDriver(THROUGH._replace(router_count=100, router_index=3), members(24))
+    plain = BalancerDriver(THROUGH._replace(router_count=100, router_index=3), make_endpoints(24))
     assert servers_before[0] == plain.read(7) != servers_before[-1] and servers_before[-1] in servers_after
 
 
 def test_a_fleet_size_changed_by_a_reload_takes_effect_at_once() -> None:
     """The demand of a key is extrapolated to the new number of routers."""
-    driver = BalancerDriver(THROUGH._replace(hot_keys=True), members(24, zones=3))
-    driver.do(SettingsChanged(driver.set._replace(router_count=90)))
+    driver = BalancerDriver(THROUGH._replace(hot_keys=True), make_endpoints(24, zones=3))
+    driver.handle_event(SettingsChanged(driver.settings._replace(router_count=90)))
     demand = driver.balancer.fleet.demand
     assert (demand.routers, demand.servers, demand.routers_per_zone) == (90, 24, 30.0)
--- a/tests/test_chunked_writes.py
+++ b/tests/test_chunked_writes.py
@@ -172,7 +172,7 @@
     for result in (AttemptResult.CONNECT_FAILED, AttemptResult.FULL, AttemptResult.RESET, AttemptResult.ERROR):
         driver = BalancerDriver(THROUGH._replace(hedging_allowed=True))
         request = Request(1, 1, 2000.0, key=7, cost_hint=40.0, is_write=True, single_use=True)
-        send = only_send(driver.do(request))
-        assert sends(driver.pass_time(400.0)) == []  # no second copy of it either
-        after = driver.end(send, result)
+        send = only_send(driver.handle_event(request))
+        assert sends(driver.advance_time(400.0)) == []  # no second copy of it either
+        after = driver.end_attempt(send, result)
         assert sends(after) == [] and len(answers(after)) == 1
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -20,7 +20,7 @@
 from starlingthread.failover.zones import FIRST_TRIAL_DELAY, MAX_TRIAL_DELAY, ZoneFailover
 from starlingthread.membership.datagram import MAX_DATAGRAM_BYTES, DatagramError
 
-from .balancer_driver import THROUGH, BalancerDriver, members, sends
+from .balancer_driver import THROUGH, BalancerDriver, make_endpoints, sends
 
 NOW = 1e12  # ms
 KEY = b"0123456789abcdef"
@@ -315,7 +315,7 @@
     """Fewer than half as many attempts go to the zone as without failover."""
 
     def attempts_in_lost_zone(failover: bool) -> int:
-        driver = BalancerDriver(THROUGH, members(6, zones=2))
+        driver = BalancerDriver(THROUGH, make_endpoints(6, zones=2))
         if failover:
             driver.balancer.fleet.zones = ZoneFailover(0, range(4))
             driver.balancer.fleet.zones.set_servers(
@@ -324,12 +324,12 @@
         count = 0
         for key in range(1, 200):
             driver.now += 5.0
-            for send in sends(driver.ask(key)):
+            for send in sends(driver.submit_request(key)):
                 if driver.balancer.fleet.servers[send.server].endpoint.zone == 1:
                     count += 1
-                    driver.end(send, AttemptResult.CONNECT_FAILED, elapsed=1.0)
+                    driver.end_attempt(send, AttemptResult.CONNECT_FAILED, elapsed=1.0)
                 else:
-                    driver.end(send, AttemptResult.OK)
+                    driver.end_attempt(send, AttemptResult.OK)
         return count
 
     assert attempts_in_lost_zone(failover=True) < 0.5 * attempts_in_lost_zone(failover=False)
--- a/tests/test_first_guess.py
+++ b/tests/test_first_guess.py
@@ -28,8 +28,8 @@
     for number in range(1, 200):
         driver.now += 10.0
         while in_flight and in_flight[0][0] <= driver.now:
-            driver.finish(in_flight.pop(0)[1], service_ms)
-        actions = driver.do(Request(number, READ, 1000.0, key=number % 20 + 1))
+            driver.complete_as_hit(in_flight.pop(0)[1], service_ms)
+        actions = driver.handle_event(Request(number, READ, 1000.0, key=number % 20 + 1))
         assert not answers(actions), number
         in_flight.append((driver.now + service_ms, only_send(actions)))
 
@@ -39,9 +39,9 @@
     driver = BalancerDriver(THROUGH)
     for number in range(1, 40):
         driver.now += 100.0
-        (send,) = sends(driver.do(Request(number, NOT_IDEMPOTENT, 2000.0, key=number, is_write=True)))
+        (send,) = sends(driver.handle_event(Request(number, NOT_IDEMPOTENT, 2000.0, key=number, is_write=True)))
         elapsed = 1.2 * OBJECTIVE_MS if number == 1 else 40.0
-        driver.do(Outcome(number, 0, send.server, AttemptResult.OK, elapsed, True, CacheStatus.MISS))
+        driver.handle_event(Outcome(number, 0, send.server, AttemptResult.OK, elapsed, True, CacheStatus.MISS))
 
 
 def test_a_class_without_responses_costs_no_more_than_the_mean() -> None:
@@ -49,7 +49,7 @@
     driver = BalancerDriver(THROUGH)
     for number in range(1, 60):
         driver.now += 50.0
-        driver.finish(only_send(driver.do(Request(number, READ, 1000.0, key=number))), 5.0)
+        driver.complete_as_hit(only_send(driver.handle_event(Request(number, READ, 1000.0, key=number))), 5.0)
     load = driver.balancer.load
     assert load.service_times.mean == pytest.approx(5.0)
     assert load.service_times.relative_cost("unsafe", load.service_times["unsafe"].expected(0.0)) == 1.0
--- a/tests/test_maintenance_and_reload.py
+++ b/tests/test_maintenance_and_reload.py
@@ -36,7 +36,7 @@
     THROUGH,
     BalancerDriver,
     answers,
-    members,
+    make_endpoints,
     only_send,
     sends,
 )
@@ -50,10 +50,10 @@
     """Return the servers that reads of many keys are sent to."""
     used = set()
     for key in range(1, count + 1):
-        for send in sends(driver.ask(key=key)):
+        for send in sends(driver.submit_request(key=key)):
             used.add(send.server)
             driver.now += 10.0
-            driver.end(send, AttemptResult.OK)
+            driver.end_attempt(send, AttemptResult.OK)
     return used
 
 
@@ -61,20 +61,20 @@
     """Lists that change, remove and add it again do not end the maintenance; only the operator does."""
     driver = BalancerDriver(THROUGH)
     assert servers_used(driver) == {1, 2, 3, 4}
-    driver.do(Maintenance(2, True))
-    driver.do(Maintenance(2, True))  # the call may come twice
+    driver.handle_event(Maintenance(2, True))
+    driver.handle_event(Maintenance(2, True))  # the call may come twice
     assert servers_used(driver) == {1, 3, 4} and driver.balancer.excluded_servers(driver.now) == [2]
-    endpoints = tuple(endpoint for endpoint in members() if endpoint.kind != 3)
-    driver.do(EndpointList(EndpointListKind.FULL, 2, endpoints))
-    driver.do(EndpointList(EndpointListKind.DELTA, 3, (endpoints[1]._replace(started=driver.now - 50.0),)))
+    endpoints = tuple(endpoint for endpoint in make_endpoints() if endpoint.kind != 3)
+    driver.handle_event(EndpointList(EndpointListKind.FULL, 2, endpoints))
+    driver.handle_event(EndpointList(EndpointListKind.DELTA, 3, (endpoints[1]._replace(started=driver.now - 50.0),)))
     assert servers_used(driver) == {1, 3, 4}
-    driver.do(EndpointList(EndpointListKind.FULL, 4, tuple(e for e in endpoints if e.server != 2)))
-    driver.pass_time(60000.0)
-    driver.do(EndpointList(EndpointListKind.FULL, 5, endpoints))
+    driver.handle_event(EndpointList(EndpointListKind.FULL, 4, tuple(e for e in endpoints if e.server != 2)))
+    driver.advance_time(60000.0)
+    driver.handle_event(EndpointList(EndpointListKind.FULL, 5, endpoints))
     assert servers_used(driver) == {1, 3, 4}
-    driver.do(Maintenance(2, False))
-    driver.do(Maintenance(2, False))
-    driver.pass_time(3000.0)
+    driver.handle_event(Maintenance(2, False))
+    driver.handle_event(Maintenance(2, False))
+    driver.advance_time(3000.0)
     assert 2 in servers_used(driver) and driver.balancer.excluded_servers(driver.now) == []
 
 
@@ -84,42 +84,42 @@
     for result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET, AttemptResult.NOT_SENT):
         for key in range(1, 40):
             driver = BalancerDriver(settings, seed=key)
-            first = only_send(driver.ask(key=key))
-            driver.do(Maintenance(first.server, True))
-            assert all(s.server != first.server for s in sends(driver.end(first, result)))
-            second = only_send(driver.ask(key=key + 100))
-            driver.do(Maintenance(second.server, True))
-            assert not {s.server for s in sends(driver.pass_time(900.0))} & {first.server, second.server}
+            first = only_send(driver.submit_request(key=key))
+            driver.handle_event(Maintenance(first.server, True))
+            assert all(s.server != first.server for s in sends(driver.end_attempt(first, result)))
+            second = only_send(driver.submit_request(key=key + 100))
+            driver.handle_event(Maintenance(second.server, True))
+            assert not {s.server for s in sends(driver.advance_time(900.0))} & {first.server, second.server}
 
 
 def test_with_all_servers_in_maintenance_a_request_is_rejected_at_once() -> None:
     """A request that no server may get does not wait for its deadline."""
     driver = BalancerDriver(THROUGH)
     for number in range(1, 5):
-        driver.do(Maintenance(number, True))
-    (rejection,) = answers(driver.ask())
+        driver.handle_event(Maintenance(number, True))
+    (rejection,) = answers(driver.submit_request())
     assert isinstance(rejection, Reject)
 
 
 def test_a_server_after_maintenance_warms_up_from_the_end_of_it_until_the_list_has_its_start() -> None:
     """The list may show its restart only seconds after the maintenance ended: the slow-start budget must hold."""
     driver = BalancerDriver(THROUGH)
-    driver.do(Maintenance(2, True))
-    driver.pass_time(2000.0)
-    driver.do(Maintenance(2, False))
+    driver.handle_event(Maintenance(2, True))
+    driver.advance_time(2000.0)
+    driver.handle_event(Maintenance(2, False))
     server = driver.balancer.fleet.servers[2]
     assert server.warming_since == driver.now and server.endpoint.started == 0.0
     began = driver.now
     sent_to_server = 0
     for key in range(1, 201):
-        send = only_send(driver.ask(key=key))
+        send = only_send(driver.submit_request(key=key))
         sent_to_server += send.server == 2
         driver.now += 10.0
-        driver.end(send, AttemptResult.OK)
+        driver.end_attempt(send, AttemptResult.OK)
     assert 0 < sent_to_server < 35  # a quarter would be 50; it starts at 0.3 of its capacity, and is at 0.5 by now
-    driver.do(EndpointList(EndpointListKind.DELTA, 9, (server.endpoint._replace(started=began - 500.0),)))
+    driver.handle_event(EndpointList(EndpointListKind.DELTA, 9, (server.endpoint._replace(started=began - 500.0),)))
     assert driver.balancer.fleet.servers[2].warming_since == began  # never assumed to be warmer than it may be
-    driver.pass_time(8001.0)
+    driver.advance_time(8001.0)
     assert servers_used(driver) == {1, 2, 3, 4}
 
 
@@ -293,7 +293,7 @@
     """A class is found again by its name, though its index changed; a new one begins with the default."""
     driver = BalancerDriver(THROUGH)
     driver.balancer.load.service_times["unsafe"].typical = 77.0
-    driver.do(SettingsChanged(FEWER_CLASSES))
+    driver.handle_event(SettingsChanged(FEWER_CLASSES))
     assert {name: service_time.typical for name, service_time in driver.balancer.load.service_times.items()} == {
         "unsafe": 77.0,
         "read-2": 50.0,
--- a/tests/test_origin_limit.py
+++ b/tests/test_origin_limit.py
@@ -13,7 +13,7 @@
 from starlingthread.limits.limit_adjustment import adjust_limits
 from starlingthread.limits.origin_limit import OriginLimit
 
-from .balancer_driver import IDEMPOTENCY_KEY, THROUGH, BalancerDriver, answers, members, only_send, sends
+from .balancer_driver import IDEMPOTENCY_KEY, THROUGH, BalancerDriver, answers, make_endpoints, only_send, sends
 
 
 class Fetch(NamedTuple):
@@ -125,34 +125,34 @@
     """On the first site's overloaded day all writes failed at an overloaded origin and filled the servers' queues."""
     driver = BalancerDriver(THROUGH)
     for _ in range(60):
-        for send in sends(driver.ask(7, IDEMPOTENCY_KEY)):
+        for send in sends(driver.submit_request(7, IDEMPOTENCY_KEY)):
             driver.now += 500.0
-            driver.end(send, AttemptResult.ERROR, elapsed=400.0)
+            driver.end_attempt(send, AttemptResult.ERROR, elapsed=400.0)
     limit = driver.balancer.load.origin_limit.limit
-    assert limit.limit < 0.3 and sum(bool(sends(driver.ask(8, IDEMPOTENCY_KEY))) for _ in range(100)) < 40
+    assert limit.limit < 0.3 and sum(bool(sends(driver.submit_request(8, IDEMPOTENCY_KEY))) for _ in range(100)) < 40
     limit.limit = 2.0
-    assert len(sends(driver.ask(8, IDEMPOTENCY_KEY))) == 1 and not sends(
-        driver.ask(9)
+    assert len(sends(driver.submit_request(8, IDEMPOTENCY_KEY))) == 1 and not sends(
+        driver.submit_request(9)
     )  # never asked for: a fetch, most likely
 
 
 def test_while_servers_reject_requests_their_last_slots_go_to_hits() -> None:
     """On an overloaded day of the second site fetches, three times as long, held the slots that hits needed."""
-    driver = BalancerDriver(THROUGH, members(1))
+    driver = BalancerDriver(THROUGH, make_endpoints(1))
     for _ in range(6):
-        driver.finish(only_send(driver.ask(7)), 30.0)  # key 7 is cached now
+        driver.complete_as_hit(only_send(driver.submit_request(7)), 30.0)  # key 7 is cached now
     (server,) = driver.balancer.fleet.servers.values()
     server.concurrency.limit = 8.5
     driver.balancer.affinity.prior_hit_probability = [0.0, 0.0]  # what is not counted is a fetch
     for key in range(100, 105):
-        assert sends(driver.ask(key))  # free slots for all: fetches are sent as well
-    assert sends(driver.ask(105))
-    while sends(driver.ask(7)):
+        assert sends(driver.submit_request(key))  # free slots for all: fetches are sent as well
+    assert sends(driver.submit_request(105))
+    while sends(driver.submit_request(7)):
         pass
     for _ in range(30):
-        assert answers(driver.ask(7))
+        assert answers(driver.submit_request(7))
     server.attempts_in_flight -= 3  # some end and free their slots
-    assert not sends(driver.ask(200)) and sends(driver.ask(7))
+    assert not sends(driver.submit_request(200)) and sends(driver.submit_request(7))
     for _ in range(300):
         driver.balancer.admission.trunk_reservation.observe(False)
-    assert sends(driver.ask(200))
+    assert sends(driver.submit_request(200))
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -10,9 +10,9 @@
 
 def fetch_result(driver: BalancerDriver, key: int, result: AttemptResult, elapsed: float) -> bool:
     """Read a key that is cached nowhere and end its fetch with a result; tell whether there was a fetch."""
-    first = only_send(driver.ask(key))
+    first = only_send(driver.submit_request(key))
     if first.server != ORIGIN:
-        done = driver.end(first, AttemptResult.MISS)
+        done = driver.end_attempt(first, AttemptResult.MISS)
         if not sends(done):
             assert answers(done) == [Reject(first.id)]
             return False
@@ -21,7 +21,7 @@
         fetch = first
     assert fetch.server == ORIGIN
     driver.now += elapsed
-    driver.end(fetch, result, len(driver.checker.seen[fetch.id].attempts) - 1, elapsed=elapsed)
+    driver.end_attempt(fetch, result, len(driver.checker.requests[fetch.id].attempts) - 1, elapsed=elapsed)
     return True
 
 
@@ -55,15 +55,15 @@
 
 def test_a_write_is_retried_at_a_full_origin_and_rejected_before_its_deadline() -> None:
     driver = BalancerDriver()
-    send = only_send(driver.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
-    assert not answers(driver.end(send, AttemptResult.FULL))
+    send = only_send(driver.submit_request(class_index=NOT_IDEMPOTENT, budget=2000.0))
+    assert not answers(driver.end_attempt(send, AttemptResult.FULL))
     final, number = [], 0
     for _ in range(60):
-        done = driver.pass_time(50.0)
+        done = driver.advance_time(50.0)
         for again in sends(done):
             assert again.server == ORIGIN
             number += 1
-            done = done + driver.end(again, AttemptResult.FULL, number)
+            done = done + driver.end_attempt(again, AttemptResult.FULL, number)
         final += answers(done)
     assert number >= 1
     assert final == [Reject(send.id)]
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -18,39 +18,39 @@
     answers,
     only_send,
     sends,
-    warmed_up,
+    warm_up_key,
 )
 
 
 def test_a_slow_request_is_hedged_once_at_another_server_unless_it_is_not_idempotent() -> None:
     """Guards against connections that fall silent: a time-out at the deadline would be too late."""
     driver = BalancerDriver(HEDGED)
-    owner = warmed_up(driver)
-    first = only_send(driver.ask(7))
-    assert first.server == owner and not sends(driver.pass_time(324.0))
-    second = only_send(driver.pass_time(2.0))
-    assert second.server != owner and not sends(driver.pass_time(400.0))
-    driver.end(second, AttemptResult.OK, attempt=1, elapsed=30.0)
-    only_send(driver.ask(7, NOT_IDEMPOTENT))
-    assert not sends(driver.pass_time(900.0))
+    owner = warm_up_key(driver)
+    first = only_send(driver.submit_request(7))
+    assert first.server == owner and not sends(driver.advance_time(324.0))
+    second = only_send(driver.advance_time(2.0))
+    assert second.server != owner and not sends(driver.advance_time(400.0))
+    driver.end_attempt(second, AttemptResult.OK, attempt=1, elapsed=30.0)
+    only_send(driver.submit_request(7, NOT_IDEMPOTENT))
+    assert not sends(driver.advance_time(900.0))
 
 
 def test_a_cancelled_request_is_not_hedged() -> None:
     driver = BalancerDriver(HEDGED)
-    warmed_up(driver)
-    first = only_send(driver.ask(7))
-    driver.pass_time(324.0)  # the hedge is due 1 ms later
-    driver.do(RequestCancelled(first.id))
-    assert not sends(driver.pass_time(700.0))
+    warm_up_key(driver)
+    first = only_send(driver.submit_request(7))
+    driver.advance_time(324.0)  # the hedge is due 1 ms later
+    driver.handle_event(RequestCancelled(first.id))
+    assert not sends(driver.advance_time(700.0))
 
 
 def test_a_slow_request_at_a_server_that_answers_others_is_not_hedged() -> None:
     """Where servers finish cancelled requests too, three hedges in a hundred requests were a tenth of all work."""
     driver = BalancerDriver(HEDGED)
-    owner = warmed_up(driver)
-    long, driver.now = only_send(driver.ask(7)), driver.now + 100.0
+    owner = warm_up_key(driver)
+    long, driver.now = only_send(driver.submit_request(7)), driver.now + 100.0
     assert driver.read(7) == owner and long.server == owner
-    assert not sends(driver.pass_time(800.0))
+    assert not sends(driver.advance_time(800.0))
 
 
 def test_overtaken_requests_are_hedged_while_such_requests_are_lost() -> None:
@@ -58,17 +58,17 @@
     driver = BalancerDriver(HEDGED)
 
     def is_hedged(result: AttemptResult, left: float) -> bool:
-        warmed_up(driver)
-        first, sent_at = only_send(driver.ask(7)), driver.now
+        warm_up_key(driver)
+        first, sent_at = only_send(driver.submit_request(7)), driver.now
         driver.now += 100.0
         assert any(driver.read(7) == first.server for _ in range(5))
-        hedges = sends(driver.pass_time(400.0 + sent_at - driver.now))
+        hedges = sends(driver.advance_time(400.0 + sent_at - driver.now))
         for hedge in hedges:
-            driver.end(hedge, AttemptResult.OK, attempt=1)
-            driver.end(first, AttemptResult.CANCELLED)
+            driver.end_attempt(hedge, AttemptResult.OK, attempt=1)
+            driver.end_attempt(first, AttemptResult.CANCELLED)
         if not hedges:
             driver.now = sent_at + 1000.0 - left
-            driver.end(first, result, elapsed=1000.0 - left)
+            driver.end_attempt(first, result, elapsed=1000.0 - left)
         return bool(hedges)
 
     assert [is_hedged(AttemptResult.TIMEOUT, 0.0) for _ in range(40)].index(True) in range(10, 20)
@@ -80,14 +80,14 @@
 def test_lost_requests_do_not_lower_limits_and_earn_more_hedges(lost_share: float) -> None:
     """On churn+long of the second site a tenth of all got no response for 15 s, and a fifth was rejected for that."""
     driver = BalancerDriver(HEDGED)
-    warmed_up(driver)
+    warm_up_key(driver)
     budget = driver.balancer.hedging.budget
     origin_limit = driver.balancer.load.origin_limit
     budget.lost_share = lost_share
     driver.balancer.affinity.prior_hit_probability = [0.0, 0.0]
     for key in range(100, 140):
         budget.tokens = 0.0
-        if not (sent := sends(driver.ask(key))):
+        if not (sent := sends(driver.submit_request(key))):
             break
         first = sent[0]
         driver.now += 10.0
@@ -95,7 +95,7 @@
             driver.now += 1.0
             driver.balancer.affinity.keys[7].counts = {first.server: AffinityCount(50.0, driver.now, 1.0)}
         driver.now += 900.0
-        driver.end(first, AttemptResult.TIMEOUT, elapsed=990.0)
+        driver.end_attempt(first, AttemptResult.TIMEOUT, elapsed=990.0)
     assert origin_limit.limit.is_learned == (lost_share == 0.0)
     for _ in range(20):
         budget.on_first_attempt(500.0, True)
@@ -109,23 +109,23 @@
 
 def test_hedges_are_few_and_none_are_sent_while_all_servers_are_slow() -> None:
     driver = BalancerDriver(HEDGED)
-    warmed_up(driver)
-    asked = [only_send(driver.ask(7)) for _ in range(100)]
-    hedges = len(sends(driver.pass_time(400.0)))
+    warm_up_key(driver)
+    asked = [only_send(driver.submit_request(7)) for _ in range(100)]
+    hedges = len(sends(driver.advance_time(400.0)))
     assert 0 < hedges <= 0.04 * (len(asked) + 41) + 1
     slow = BalancerDriver(HEDGED)
-    warmed_up(slow)
+    warm_up_key(slow)
     slow.balancer.load.wait_estimates.mean_wait = 300.0
-    slow.ask(7)
-    assert not sends(slow.pass_time(400.0))
+    slow.submit_request(7)
+    assert not sends(slow.advance_time(400.0))
 
 
 def test_a_reset_attempt_is_retried_once_at_the_same_server_and_then_elsewhere() -> None:
     driver = BalancerDriver(THROUGH)
-    owner = warmed_up(driver)
-    first = only_send(driver.ask(7))
-    second = only_send(driver.end(first, AttemptResult.RESET))
-    third = only_send(driver.end(second, AttemptResult.RESET, attempt=1))
+    owner = warm_up_key(driver)
+    first = only_send(driver.submit_request(7))
+    second = only_send(driver.end_attempt(first, AttemptResult.RESET))
+    third = only_send(driver.end_attempt(second, AttemptResult.RESET, attempt=1))
     assert first.server == second.server == owner != third.server
 
 
@@ -133,13 +133,13 @@
     """Guards the rule on rejections where a reset write with a key is retried at the same server at once."""
     keyed = THROUGH.classes[IDEMPOTENCY_KEY]._replace(deduplication_scope="zone")
     driver = BalancerDriver(THROUGH._replace(classes=(THROUGH.classes[READ], keyed)))
-    first = only_send(driver.ask(7, IDEMPOTENCY_KEY))
-    second = only_send(driver.end(first, AttemptResult.RESET, elapsed=0.0))
+    first = only_send(driver.submit_request(7, IDEMPOTENCY_KEY))
+    second = only_send(driver.end_attempt(first, AttemptResult.RESET, elapsed=0.0))
     assert second.server == first.server
     driver.balancer.fleet.servers[first.server].unavailable = True
     for server in driver.balancer.fleet.servers.values():
         server.outliers.ejected_until = driver.now + 9000.0
-    done = driver.end(second, AttemptResult.CONNECT_FAILED, attempt=1, elapsed=0.0)
+    done = driver.end_attempt(second, AttemptResult.CONNECT_FAILED, attempt=1, elapsed=0.0)
     assert [type(a) for a in answers(done)] == [Fail]
 
 
@@ -147,8 +147,8 @@
     """Guards an overloaded origin against retries, and the affinity counts against values never stored."""
     driver = BalancerDriver(THROUGH)
     driver.balancer.affinity.prior_hit_probability = [0.1, 0.1]
-    first = only_send(driver.ask(9))
-    assert len(answers(driver.end(first, AttemptResult.ERROR, elapsed=200.0))) == 1
+    first = only_send(driver.submit_request(9))
+    assert len(answers(driver.end_attempt(first, AttemptResult.ERROR, elapsed=200.0))) == 1
     assert (
         driver.balancer.affinity.keys[9].counts[first.server].request_count < 0.1
         and min(driver.balancer.affinity.prior_hit_probability) < 0.1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,7 +31,7 @@
     THROUGH,
     BalancerDriver,
     answers,
-    members,
+    make_endpoints,
     only_send,
     sends,
 )
@@ -39,18 +39,18 @@
 
 def test_a_miss_is_fetched_from_the_origin() -> None:
     driver = BalancerDriver()
-    first = only_send(driver.ask())
+    first = only_send(driver.submit_request())
     assert first.server != ORIGIN
-    fetch = only_send(driver.end(first, AttemptResult.MISS))
+    fetch = only_send(driver.end_attempt(first, AttemptResult.MISS))
     assert fetch.server == ORIGIN
-    assert answers(driver.end(fetch, AttemptResult.OK, 1)) == []
-    driver.checker.all_answered()
+    assert answers(driver.end_attempt(fetch, AttemptResult.OK, 1)) == []
+    driver.checker.check_all_answered()
 
 
 @pytest.mark.parametrize("cls", [IDEMPOTENCY_KEY, NOT_IDEMPOTENT])
 def test_writes_go_to_the_origin_in_aside_mode(cls: int) -> None:
     driver = BalancerDriver()
-    assert only_send(driver.ask(cls=cls)).server == ORIGIN
+    assert only_send(driver.submit_request(class_index=cls)).server == ORIGIN
 
 
 @pytest.mark.parametrize(
@@ -58,8 +58,8 @@
 )
 def test_a_not_idempotent_request_that_may_have_been_executed_fails(result: AttemptResult) -> None:
     driver = BalancerDriver(THROUGH)
-    send = only_send(driver.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
-    done = driver.end(send, result)
+    send = only_send(driver.submit_request(class_index=NOT_IDEMPOTENT, budget=2000.0))
+    done = driver.end_attempt(send, result)
     assert sends(done) == []
     assert answers(done) == [Fail(send.id)]
 
@@ -67,16 +67,16 @@
 @pytest.mark.parametrize("result", [AttemptResult.FULL, AttemptResult.CONNECT_FAILED])
 def test_a_not_idempotent_request_that_was_not_executed_is_retried(result: AttemptResult) -> None:
     driver = BalancerDriver(THROUGH)
-    send = only_send(driver.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
-    assert only_send(driver.end(send, result)).server != send.server
+    send = only_send(driver.submit_request(class_index=NOT_IDEMPOTENT, budget=2000.0))
+    assert only_send(driver.end_attempt(send, result)).server != send.server
 
 
 def test_a_keyed_request_is_retried_in_its_deduplication_scope_and_window() -> None:
     zoned = (CLASSES[0], CLASSES[1]._replace(deduplication_scope="zone"), CLASSES[2])
-    driver = BalancerDriver(THROUGH._replace(classes=zoned), members(4, zones=2))
-    send = only_send(driver.ask(cls=IDEMPOTENCY_KEY, budget=2000.0))
+    driver = BalancerDriver(THROUGH._replace(classes=zoned), make_endpoints(4, zones=2))
+    send = only_send(driver.submit_request(class_index=IDEMPOTENCY_KEY, budget=2000.0))
     driver.now += 100
-    again = driver.end(send, AttemptResult.ERROR)
+    again = driver.end_attempt(send, AttemptResult.ERROR)
     for more in sends(again):
         assert more.server % 2 == send.server % 2
     assert all(isinstance(a, Fail) for a in answers(again))
@@ -84,52 +84,52 @@
 
 def test_a_keyed_request_is_not_retried_after_its_idempotency_window() -> None:
     driver = BalancerDriver(THROUGH)
-    send = only_send(driver.ask(cls=IDEMPOTENCY_KEY, budget=2000.0))
+    send = only_send(driver.submit_request(class_index=IDEMPOTENCY_KEY, budget=2000.0))
     driver.now += 1600
-    assert answers(driver.end(send, AttemptResult.ERROR)) == [Fail(send.id)]
+    assert answers(driver.end_attempt(send, AttemptResult.ERROR)) == [Fail(send.id)]
 
 
 def test_a_timeout_at_the_deadline_gets_an_answer() -> None:
     driver = BalancerDriver()
-    send = only_send(driver.ask())
+    send = only_send(driver.submit_request())
     driver.now += 1000
-    done = driver.end(send, AttemptResult.TIMEOUT)
+    done = driver.end_attempt(send, AttemptResult.TIMEOUT)
     assert len(answers(done)) == 1 and sends(done) == []
 
 
 def test_nothing_is_sent_for_a_cancelled_request() -> None:
     driver = BalancerDriver()
-    send = only_send(driver.ask())
-    driver.do(RequestCancelled(send.id))
-    assert sends(driver.end(send, AttemptResult.MISS)) == []
-    assert driver.do(RequestCancelled(send.id)) == []
+    send = only_send(driver.submit_request())
+    driver.handle_event(RequestCancelled(send.id))
+    assert sends(driver.end_attempt(send, AttemptResult.MISS)) == []
+    assert driver.handle_event(RequestCancelled(send.id)) == []
 
 
 def test_a_request_whose_response_has_begun_is_not_retried() -> None:
     streamed = (CLASSES[0]._replace(streamed=True), *CLASSES[1:])
     driver = BalancerDriver(ASIDE._replace(classes=streamed))
-    send = only_send(driver.ask())
-    driver.do(FirstByte(send.id, 0, send.server, 10.0))
+    send = only_send(driver.submit_request())
+    driver.handle_event(FirstByte(send.id, 0, send.server, 10.0))
     driver.now += 5000
-    assert driver.do(Outcome(send.id, 0, send.server, AttemptResult.RESET, 5000.0, True)) == []
+    assert driver.handle_event(Outcome(send.id, 0, send.server, AttemptResult.RESET, 5000.0, True)) == []
 
 
 def test_a_request_is_rejected_at_once_without_servers_and_origin() -> None:
     driver = BalancerDriver(ASIDE, ())
-    assert answers(driver.ask()) == [Reject(1)]
-    assert answers(driver.ask(cls=NOT_IDEMPOTENT)) == [Reject(2)]
+    assert answers(driver.submit_request()) == [Reject(1)]
+    assert answers(driver.submit_request(class_index=NOT_IDEMPOTENT)) == [Reject(2)]
 
 
 def test_the_origin_is_used_without_cache_servers() -> None:
     driver = BalancerDriver(ASIDE, (Endpoint(ORIGIN, kind=3),))
-    assert only_send(driver.ask()).server == ORIGIN
+    assert only_send(driver.submit_request()).server == ORIGIN
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_a_server_that_is_draining_or_gone_gets_nothing_more(state: ServerState) -> None:
     driver = BalancerDriver()
     owner = driver.read()
-    driver.do(EndpointList(EndpointListKind.DELTA, 2, (Endpoint(owner, state=state),)))
+    driver.handle_event(EndpointList(EndpointListKind.DELTA, 2, (Endpoint(owner, state=state),)))
     for _ in range(20):
         assert driver.read() != owner
 
@@ -137,29 +137,29 @@
 def test_a_server_missing_from_a_full_list_is_gone() -> None:
     driver = BalancerDriver()
     owner = driver.read()
-    driver.do(EndpointList(EndpointListKind.FULL, 2, tuple(m for m in members() if m.server != owner)))
+    driver.handle_event(EndpointList(EndpointListKind.FULL, 2, tuple(m for m in make_endpoints() if m.server != owner)))
     assert driver.read() != owner
 
 
 def test_waiting_requests_share_one_fetch_and_then_go_to_the_cache() -> None:
     driver = BalancerDriver()
-    first = only_send(driver.ask())
-    second = only_send(driver.ask())
-    fetch = only_send(driver.end(first, AttemptResult.MISS))
-    assert sends(driver.end(second, AttemptResult.MISS)) == []
-    again = only_send(driver.end(fetch, AttemptResult.OK, 1))
+    first = only_send(driver.submit_request())
+    second = only_send(driver.submit_request())
+    fetch = only_send(driver.end_attempt(first, AttemptResult.MISS))
+    assert sends(driver.end_attempt(second, AttemptResult.MISS)) == []
+    again = only_send(driver.end_attempt(fetch, AttemptResult.OK, 1))
     assert (again.id, again.server) == (second.id, second.server)
-    driver.end(again, AttemptResult.OK, 1)
-    driver.checker.all_answered()
+    driver.end_attempt(again, AttemptResult.OK, 1)
+    driver.checker.check_all_answered()
 
 
 def test_a_waiting_request_is_answered_before_its_deadline() -> None:
     driver = BalancerDriver()
-    first = only_send(driver.ask(budget=1000.0))
-    second = only_send(driver.ask(budget=400.0))
-    driver.end(first, AttemptResult.MISS)
-    driver.end(second, AttemptResult.MISS)
-    assert answers(driver.pass_time(400)) == [Reject(second.id)]
+    first = only_send(driver.submit_request(budget=1000.0))
+    second = only_send(driver.submit_request(budget=400.0))
+    driver.end_attempt(first, AttemptResult.MISS)
+    driver.end_attempt(second, AttemptResult.MISS)
+    assert answers(driver.advance_time(400)) == [Reject(second.id)]
 
 
 def test_a_server_in_slow_start_gets_a_growing_share_of_keys() -> None:
@@ -170,7 +170,7 @@
                 ASIDE._replace(router_count=1), (Endpoint(1, started=1000.0), Endpoint(ORIGIN, kind=3))
             )
             driver.now = 1000.0 + age
-            accepted += only_send(driver.ask(key)).server == 1
+            accepted += only_send(driver.submit_request(key)).server == 1
         return accepted / 200
 
     assert share(0.0) < 0.45
@@ -180,8 +180,8 @@
 def test_a_server_in_slow_start_gets_few_requests_in_a_window_from_one_router() -> None:
     driver = BalancerDriver(ASIDE._replace(router_count=1), (Endpoint(1, started=1000.0), Endpoint(ORIGIN, kind=3)))
     driver.now += 7000.0
-    key = next(k for k in range(1, 50) if only_send(driver.ask(k)).server == 1)
-    assert [only_send(driver.ask(key)).server for _ in range(10)] == [ORIGIN] * 10
+    key = next(k for k in range(1, 50) if only_send(driver.submit_request(k)).server == 1)
+    assert [only_send(driver.submit_request(key)).server for _ in range(10)] == [ORIGIN] * 10
 
 
 def test_unknown_ids_are_ignored() -> None:
@@ -192,7 +192,7 @@
 
 def _stream(settings_: Settings, seed: int) -> list[object]:
     rng = random.Random(seed)
-    driver = BalancerDriver(settings_, members(5, zones=2), seed=seed)
+    driver = BalancerDriver(settings_, make_endpoints(5, zones=2), seed=seed)
     in_flight: dict[tuple[int, int], tuple[Send, float]] = {}
     seen: list[object] = []
 
@@ -200,30 +200,36 @@
         seen.extend(actions)
         for action in actions:
             if isinstance(action, Send):
-                number = len(driver.checker.seen[action.id].attempts) - 1
+                number = len(driver.checker.requests[action.id].attempts) - 1
                 in_flight[action.id, number] = (action, driver.now)
 
     def end_overdue() -> None:
         """End, as the wire does, what is in flight at its deadline."""
         for (rid, number), (send, _) in list(in_flight.items()):
-            request = driver.checker.seen[rid]
+            request = driver.checker.requests[rid]
             if driver.now >= request.deadline:
                 del in_flight[rid, number]
                 driver.now, late = request.deadline, driver.now
-                record([*driver.do(Outcome(rid, number, send.server, AttemptResult.TIMEOUT, 0.0, request.over))])
+                record(
+                    [
+                        *driver.handle_event(
+                            Outcome(rid, number, send.server, AttemptResult.TIMEOUT, 0.0, request.is_over)
+                        )
+                    ]
+                )
                 driver.now = late
 
     for _ in range(150):
         dice = rng.random()
         if dice < 0.4:
             cls = rng.choice((READ, READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT))
-            record([*driver.ask(rng.randrange(6), cls, rng.uniform(50, 2000))])
+            record([*driver.submit_request(rng.randrange(6), cls, rng.uniform(50, 2000))])
         elif dice < 0.75 and in_flight:
             (rid, number), (send, at) = rng.choice(list(in_flight.items()))
             del in_flight[rid, number]
             result = rng.choice(list(AttemptResult))
-            over = driver.checker.seen[rid].over or result == AttemptResult.OK
-            record([*driver.do(Outcome(rid, number, send.server, result, driver.now - at, over))])
+            over = driver.checker.requests[rid].is_over or result == AttemptResult.OK
+            record([*driver.handle_event(Outcome(rid, number, send.server, result, driver.now - at, over))])
         elif dice < 0.8:
             line = Endpoint(
                 rng.randrange(1, 7),
@@ -231,15 +237,15 @@
                 state=rng.choice(list(ServerState)),
                 started=rng.choice((0.0, driver.now)),
             )
-            record([*driver.do(EndpointList(EndpointListKind.DELTA, 2, (line,)))])
-        elif dice < 0.83 and driver.checker.seen:
-            record([*driver.do(RequestCancelled(rng.choice(list(driver.checker.seen))))])
-        record([*driver.pass_time(rng.choice((0, 0, 5, 40, 200)))])
+            record([*driver.handle_event(EndpointList(EndpointListKind.DELTA, 2, (line,)))])
+        elif dice < 0.83 and driver.checker.requests:
+            record([*driver.handle_event(RequestCancelled(rng.choice(list(driver.checker.requests))))])
+        record([*driver.advance_time(rng.choice((0, 0, 5, 40, 200)))])
         end_overdue()
     for _ in range(60):
-        record([*driver.pass_time(50)])
+        record([*driver.advance_time(50)])
         end_overdue()
-    driver.checker.all_answered()
+    driver.checker.check_all_answered()
     return seen
 
 
@@ -267,8 +273,8 @@
 
     A poll that is queued for 2 s and rejected, with a pause before it and after it, leaves 1 s for the answer.
     """
-    driver = BalancerDriver(THROUGH._replace(must_poll=True), members(4))
+    driver = BalancerDriver(THROUGH._replace(must_poll=True), make_endpoints(4))
     for _ in range(12):
-        (timer,) = driver.do(EndpointList(EndpointListKind.FAILED, 1))
+        (timer,) = driver.handle_event(EndpointList(EndpointListKind.FAILED, 1))
         assert isinstance(timer, SetTimer) and timer.at - driver.now <= 1500.0
-        assert WatchEndpoints(True) in driver.pass_time(1500.0)
+        assert WatchEndpoints(True) in driver.advance_time(1500.0)
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -4,28 +4,30 @@
 
 from starlingthread.events import AttemptResult
 
-from .balancer_driver import ASIDE, ORIGIN, THROUGH, BalancerDriver, members, only_send, sends
+from .balancer_driver import ASIDE, ORIGIN, THROUGH, BalancerDriver, make_endpoints, only_send, sends
 
 
 def test_an_overloaded_owner_is_passed_over_for_servers_that_are_in_time() -> None:
     """Incident i952281: the owners of a crowded zone rejected what idle servers could have answered."""
-    driver = BalancerDriver(ASIDE, members(12))
+    driver = BalancerDriver(ASIDE, make_endpoints(12))
     owner = [driver.read(7) for _ in range(12)][-1]
     for _ in range(5):  # the other servers are seen to be quick
         for key in range(100, 130):
             driver.now += 10.0
-            for send in sends(driver.ask(key)):
-                driver.end(send, AttemptResult.OK, elapsed=45.0)
-    late = only_send(driver.ask(7))
+            for send in sends(driver.submit_request(key)):
+                driver.end_attempt(send, AttemptResult.OK, elapsed=45.0)
+    late = only_send(driver.submit_request(7))
     assert late.server == owner
-    driver.end(late, AttemptResult.OK, elapsed=900.0)
+    driver.end_attempt(late, AttemptResult.OK, elapsed=900.0)
     for _ in range(10):
-        assert only_send(driver.ask(7)).server not in (owner, ORIGIN)
+        assert only_send(driver.submit_request(7)).server not in (owner, ORIGIN)
 
 
 def test_a_key_gets_an_owner_in_the_zone_once_crossing_it_costs_as_much_as_a_fetch() -> None:
     def near(price: float, routers: int = 4) -> int:
-        driver = BalancerDriver(THROUGH._replace(price_cross_zone=price, router_count=routers), members(8, zones=2))
+        driver = BalancerDriver(
+            THROUGH._replace(price_cross_zone=price, router_count=routers), make_endpoints(8, zones=2)
+        )
         owners = [driver.read(key) for key in range(1, 200)]
         return sum(owner % 2 == 0 for owner in owners)
 
@@ -42,7 +44,7 @@
     owner = driver.read(7)
     sent_to: dict[int, int] = {}
     for _ in range(80):  # a crowd for one key, of which nothing is answered yet
-        for send in sends(driver.ask(7, cost=40.0)):
+        for send in sends(driver.submit_request(7, cost=40.0)):
             sent_to[send.server] = sent_to.get(send.server, 0) + 1
     # 500 ms of latency objective, two at a time, 30 ms each as was learned: more than that would be late at one server.
     assert sent_to[owner] <= 500 / 30 * 2 + 1 and len(sent_to) > 2
--- a/tests/test_service_time.py
+++ b/tests/test_service_time.py
@@ -53,8 +53,8 @@
 def test_the_balancer_learns_the_service_time_whatever_the_hints(hint: float) -> None:
     driver = BalancerDriver(THROUGH)
     for key in range(1, 300):
-        send = only_send(driver.do(Request(key, READ, 1000.0, key=key, cost_hint=hint)))
+        send = only_send(driver.handle_event(Request(key, READ, 1000.0, key=key, cost_hint=hint)))
         driver.now += 80.0
-        driver.finish(send, 80.0)
+        driver.complete_as_hit(send, 80.0)
     tracked_cost = driver.balancer.load.service_times["read"].expected(hint)
     assert tracked_cost == pytest.approx(80.0, rel=0.1)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -12,7 +12,7 @@
     driver = BalancerDriver(THROUGH)
     for turn in range(40):
         gone, new = turn + 1, turn + 5
-        driver.do(
+        driver.handle_event(
             EndpointList(EndpointListKind.DELTA, turn + 2, (Endpoint(gone, state=ServerState.GONE), Endpoint(new)))
         )
         for key in range(50):
