--- a/starlingthread/__init__.py
+++ b/starlingthread/__init__.py
@@ -1,4 +1,4 @@
-"""starlingthread: the decisions of a client-side router for fleets of cache servers."""
+"""starlingthread: a router for fleets of cache servers; the package exports its decision module."""
 
 from .policy import Balancer
 from .settings import Settings
--- a/starlingthread/actions.py
+++ b/starlingthread/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision module returns. Times are in milliseconds; equal actions compare equal."""
+"""Actions that the decision module returns. Times are in milliseconds; actions with equal fields compare equal."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 
 
 class Send(NamedTuple):
-    """Action: start an attempt."""
+    """Action: start an attempt at a server."""
 
     id: int
     server: int
-    timeout: float = 0.0  # 0: until the client gives up
-    write_deadline: float = math.inf  # clock time from which on it must not be written: a repeat would be executed
+    timeout: float = 0.0  # 0: until the client's deadline
+    # Clock time after which the attempt must not be written, as servers would execute a duplicate from then on.
+    write_deadline: float = math.inf
 
 
 class Reject(NamedTuple):
-    """Action: final answer, rejected; the client may safely retry."""
+    """Action: answer the client that its request is rejected; the client may safely retry it."""
 
     id: int
     retry_after: float = 0.0  # ms
 
 
 class Fail(NamedTuple):
-    """Action: final answer, failed; the request may have been executed or not."""
+    """Action: answer the client that its request failed; the request may or may not have been executed."""
 
     id: int
 
 
 class Cancel(NamedTuple):
-    """Action: stop waiting for an attempt."""
+    """Action: cancel an attempt in flight."""
 
     id: int
     attempt: int
@@ -49,20 +50,20 @@
 
 
 class CloseConnections(NamedTuple):
-    """Action: close idle connections to a server."""
+    """Action: close the idle connections to a server."""
 
     server: int
 
 
 class SendToPeer(NamedTuple):
-    """Action: send a message to one router, or to all (peer None)."""
+    """Action: send a message to one peer router, or to all of them if peer is None."""
 
     peer: int | None
     payload: bytes
 
 
 class Log(NamedTuple):
-    """Action: log a line for the operators."""
+    """Action: write a line to the operators' log."""
 
     text: str
 
@@ -74,7 +75,7 @@
 
 
 class FetchEndpoints(NamedTuple):
-    """Action: request the complete endpoint list once."""
+    """Action: fetch the complete endpoint list once."""
 
 
 Action: TypeAlias = (
--- a/starlingthread/events.py
+++ b/starlingthread/events.py
@@ -1,4 +1,4 @@
-"""The events that the decision module handles. Times are in milliseconds; equal events compare equal."""
+"""Events that the decision module handles. Times are in milliseconds; events with equal fields compare equal."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 class EndpointListKind(IntEnum):
     """What an EndpointList event holds."""
 
-    CACHED = 1  # a complete list from an earlier run
-    FAILED = 2  # no list: discovery failed
+    CACHED = 1  # a complete list that was stored by an earlier run
+    FAILED = 2  # no list, as discovery failed
     FULL = 3
     DELTA = 4
 
 
 class AttemptResult(IntEnum):
-    """How an attempt ended; NEVER_EXECUTED holds the results that prove that the server did not execute it."""
+    """How an attempt ended; the results in NEVER_EXECUTED prove that the server did not execute the request."""
 
     OK = 1
     ERROR = 2
@@ -45,7 +45,7 @@
 
 
 class CacheStatus(IntEnum):
-    """What a server's answer says of the key."""
+    """Whether a server had the requested key cached, as its answer reports it."""
 
     NONE = 0
     HIT = 1
@@ -62,7 +62,7 @@
     cell: int = 0
     state: ServerState = ServerState.READY
     weight: float = 1.0
-    started: float = 0.0  # clock time; 0: long ago
+    started: float = 0.0  # clock time at which the server started; 0: long ago
 
 
 class EndpointList(NamedTuple):
@@ -74,23 +74,23 @@
 
 
 class Request(NamedTuple):
-    """Event: a client's request has come in; it must get one final answer."""
+    """Event: a request has arrived from a client; it must get exactly one final answer."""
 
     id: int
     class_index: int
-    budget: float  # ms until its client gives up
+    budget: float  # ms until the client stops waiting
     key: int = 0
     tenant: int = 0
-    cost_hint: float = 0.0  # the client's estimate of the work, in an unknown unit; 0: no hint
+    cost_hint: float = 0.0  # the client's estimate of the service cost, in a unit of its own; 0: no hint
     size: float = 0.0
     is_retry: bool = False
     is_write: bool = False
-    single_use: bool = False  # its value is streamed, not buffered, so it can be sent once only
-    queue_time: float = 0.0  # ms that it waited for this router's own core
+    single_use: bool = False  # the value is streamed and not buffered, so the request can be sent only once
+    queue_time: float = 0.0  # ms that the request was queued for this router's own CPU core
 
 
 class Outcome(NamedTuple):
-    """Event: how an attempt ended."""
+    """Event: an attempt has ended."""
 
     id: int
     attempt: int
@@ -100,21 +100,24 @@
     request_finished: bool
     cache_status: CacheStatus = CacheStatus.NONE
     load_report: tuple[float, ...] = ()
-    own_delay: float = 0.0  # ms of the time elapsed for which this router's process was stopped or had no CPU
+    own_delay: float = 0.0  # ms of the elapsed time for which this router's process was stopped or had no CPU
 
     @property
     def response_time(self) -> float:
-        """The time (ms) that the server took, as far as is known."""
+        """The response time (ms) of the server: the elapsed time without this router's own delay."""
         return self.elapsed - self.own_delay
 
     @property
     def is_lost_here(self) -> bool:
-        """Whether it timed out mainly because this router's process did not run; that says nothing of the server."""
+        """Whether the attempt timed out mainly because this router's process did not run.
+
+        Such a time-out is no evidence about the server.
+        """
         return self.result == AttemptResult.TIMEOUT and self.own_delay > self.elapsed / 2
 
 
 class FirstByte(NamedTuple):
-    """Event: a streamed answer has begun; no other attempt may replace it."""
+    """Event: the first byte of a streamed answer has arrived; no other attempt may replace the answer."""
 
     id: int
     attempt: int
@@ -123,7 +126,7 @@
 
 
 class RequestCancelled(NamedTuple):
-    """Event: the client has left and needs no answer."""
+    """Event: the client has disconnected and needs no answer."""
 
     id: int
 
@@ -135,7 +138,7 @@
 
 
 class HealthCheckResult(NamedTuple):
-    """Event: how a health check ended."""
+    """Event: a health check has ended."""
 
     server: int
     result: AttemptResult
@@ -144,7 +147,7 @@
 
 
 class Maintenance(NamedTuple):
-    """Event: an operator takes a server out of service, whatever the endpoint list says, or puts it back."""
+    """Event: an operator takes a server out of service, whatever its state in the endpoint list, or puts it back."""
 
     server: int
     in_maintenance: bool
--- a/starlingthread/policy/__init__.py
+++ b/starlingthread/policy/__init__.py
@@ -1,6 +1,6 @@
-"""The decision module of one router: class Balancer takes events and returns actions. No I/O, no clock.
+"""The decision module of one router: class Balancer handles events and returns actions, without I/O or a clock.
 
-Its types are in starlingthread/events.py, actions.py and settings.py.
+The types of its interface are in starlingthread/events.py, actions.py and settings.py.
 """
 
 from .balancer import Balancer
--- a/starlingthread/policy/admission.py
+++ b/starlingthread/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: which requests are rejected rather than sent. It decides only, and sends nothing."""
+"""Admission control: decides which requests are rejected instead of sent. It sends nothing itself."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from ..state.records import RequestState, Server
 from .load_estimate import LoadEstimate
 
-LATE_PROBE_SHARE = 0.1  # of the requests that would be late, sent all the same to learn when a server has recovered
+# Share of the requests expected to be late that is sent anyway, to detect that a server has recovered.
+LATE_PROBE_SHARE = 0.1
 
 
 class Rejection(Enum):
-    """Why a request is not admitted."""
+    """The reason for which a request is not admitted."""
 
     ROUTER_OVERLOADED = auto()
     SERVER_FULL = auto()
@@ -23,9 +24,9 @@
 
 
 class Admission:
-    """Sheds load that this router, a server or the origin can't bear; the lowest priority weight goes first.
+    """Sheds load above the capacity of this router, a server or the origin, starting with the lowest priority weight.
 
-    Each check returns None if the request is admitted, else the reason of its rejection.
+    Except for check_queue, each check returns None if the request is admitted, else the reason for its rejection.
     """
 
     def __init__(self, load: LoadEstimate) -> None:
@@ -35,9 +36,9 @@
         self.trunk_reservation = TrunkReservation()
 
     def check_queue(self, now: float, request_class: RequestClass, budget: float, queued: int) -> float | None:
-        """Return the Retry-After (ms) of a request that can't be queued for this core, before it becomes an event.
+        """Return the Retry-After (ms) of a request that may not be queued for this core, or None if it may be queued.
 
-        None if it may be. budget: ms until its client gives up; queued: requests that are queued already.
+        The check precedes the request's event. budget: ms until the client's deadline; queued: requests in the queue.
         """
         if self.core.allows_queueing(request_class, self._relative_weight(request_class), budget, queued):
             return None
@@ -45,7 +46,7 @@
         return min(self.fleet.settings.max_retry_after, retry_after)
 
     def check_arrival(self, now: float, state: RequestState) -> Rejection | None:
-        """Check whether this router's own core and tables can take a new request."""
+        """Check whether this router's own core and its request table have capacity for a new request."""
         if len(self.fleet.requests) >= self.fleet.settings.max_open_requests:
             return Rejection.ROUTER_OVERLOADED
         shed_share = self.core.shed_share(now, state.request.queue_time)
@@ -54,7 +55,7 @@
         return None
 
     def check_server(self, now: float, state: RequestState, server: Server) -> Rejection | None:
-        """Check whether a server can answer in time; guards against queues of requests that are late anyway."""
+        """Check whether a server can answer in time, so that it does not queue requests that would be late anyway."""
         load = self.load
         concurrency = server.concurrency
         in_flight = server.attempts_in_flight
@@ -71,10 +72,10 @@
         return None
 
     def check_fetch(self, now: float, state: RequestState) -> Rejection | None:
-        """Check whether the origin can bear the fetch that a request may cause.
+        """Check whether the origin has capacity for the fetch that a request may cause.
 
-        Guards against a jam at the origin, in which its fetches occupy the servers until they fail and what is cached
-        can't be served either.
+        Fetches from an overloaded origin occupy the servers' slots until they time out, so that cached values can not
+        be served either.
         """
         draw = self.fleet.rng.random()
         if self.fleet.read_through:
--- a/starlingthread/policy/attempt_gate.py
+++ b/starlingthread/policy/attempt_gate.py
@@ -1,4 +1,4 @@
-"""The gate that every attempt passes on its way to a server, and the record of the attempts in flight."""
+"""Checks every attempt against the rules for sending before it is sent, and records the attempts in flight."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from ..state.records import AttemptRecord, PossibleExecution, RequestState, Server
 from .load_estimate import LoadEstimate
 
-EJECTION_JITTER = (0.7, 1.3)  # range of the factor on an outlier's ejection time, so that routers differ
+# Range of the random factor on an outlier's ejection time, so that routers do not return to it at the same time.
+EJECTION_JITTER = (0.7, 1.3)
 
 
 class AttemptGate:
-    """Sends the attempts that the four rules allow, whatever the caller wants.
+    """Sends only the attempts that the four rules allow, whichever part of the module requests them.
 
-    Rule 1: nothing is sent for a request that is over. Rule 2: nothing is executed twice that is not idempotent.
-    Rule 3: nothing is sent to a server that is draining, gone or in maintenance. Rule 4: a server that warms up gets
-    no more than its slow start allows.
+    Rule 1: nothing is sent for a request that is over. Rule 2: a request that is not idempotent is not executed
+    twice. Rule 3: nothing is sent to a server that is draining, gone or in maintenance. Rule 4: a server that warms
+    up gets no more than its slow start allows.
     """
 
     def __init__(self, load: LoadEstimate) -> None:
@@ -29,10 +30,11 @@
         self._warm_capacity = WarmCapacity()
 
     def send(self, now: float, state: RequestState, server: Server) -> bool:
-        """Send an attempt to a server, or return False if a rule forbids it."""
+        """Send an attempt to a server and return True, or return False if a rule forbids it."""
         if self._is_over(now, state):  # rule 1
             return False
-        if server.unavailable or server.endpoint.server in self.fleet.in_maintenance:  # rule 3, none of the grace used
+        # Rule 3; the drain grace of the settings is not used.
+        if server.unavailable or server.endpoint.server in self.fleet.in_maintenance:
             return False
         if state.attempts_in_flight and not self._allows_concurrent_attempts(state):  # rule 2
             return False
@@ -56,7 +58,7 @@
         return self.fleet.settings.hedging_allowed and idempotency != Idempotency.NOT_IDEMPOTENT
 
     def _is_deduplicated(self, now: float, state: RequestState, server: Server, execution: PossibleExecution) -> bool:
-        """Return whether a server drops a repeat of what another one, or itself, may have executed."""
+        """Return whether a server detects a duplicate of what it or another server may have executed."""
         request_class = state.request_class
         if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
             return False
@@ -85,7 +87,7 @@
             state.possible_execution = PossibleExecution(number, now, len(state.attempts) - 1)
 
     def on_outcome(self, state: RequestState, event: Outcome) -> AttemptRecord | None:
-        """Remove an ended attempt from the record and return it; None if it is not in flight."""
+        """Remove an ended attempt from the record and return it, or return None if it was not in flight."""
         if event.attempt >= len(state.attempts):
             return None
         attempt = state.attempts[event.attempt]
@@ -104,20 +106,22 @@
         if event.result not in NEVER_EXECUTED:
             if execution is None:
                 state.possible_execution = PossibleExecution(attempt.server, attempt.sent_at, event.attempt)
-        # By its number: another attempt may have gone to the same server at the same time, and have been executed.
+        # Compared by its number, as another attempt may have been sent to the same server at the same time and have
+        # been executed.
         elif execution is not None and execution.attempt == event.attempt:
             state.possible_execution = None
 
     def on_failure(self, now: float, server: Server, result: AttemptResult, sent_at: float) -> None:
-        """Note a failure of a cache server for its ejection as an outlier."""
+        """Record a failure of a cache server, which may eject it as an outlier."""
         if server is not self.fleet.origin:
             jitter = self.fleet.rng.uniform(*EJECTION_JITTER)
             server.outliers.on_failure(now, sent_at, result == AttemptResult.CONNECT_FAILED, jitter)
 
     def allows_slow_start(self, now: float, server: Server, state: RequestState) -> bool:
-        """Return whether a server is warm, or may have this request while it warms up.
+        """Return whether a server is warm, or may get this request while it warms up.
 
-        It takes a share of the keys that grows with its capacity; all routers agree on which keys these are.
+        While it warms up, it serves a share of the keys that grows with its capacity; these keys are the same for
+        all routers.
         """
         settings = self.fleet.settings
         share = self._warm_share(now, server)
@@ -126,8 +130,8 @@
         share *= MARGIN
         if not is_key_in_share(state.request.key or state.request.id, server.salt, share):
             return False
-        # Guards against retries, bursts and hot keys that meet at a server that warms up, in any window in which it
-        # could be overloaded.
+        # The rate limit guards against retries, bursts and hot keys that coincide at a warming server and would
+        # overload it within one overload window.
         speed = self.load.speed(server)
         served_per_ms = self.load.served_rate.per_ms(now)
         warm_capacity = self._warm_capacity.at(now, self.fleet.list_version, lambda: self._sum_warm_capacity(now))
--- a/starlingthread/policy/balancer.py
+++ b/starlingthread/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The decision module's face to the program: class Balancer, which hands each event to the part that handles it."""
+"""Entry point of the decision module: class Balancer, which dispatches each event to the part that handles it."""
 
 from __future__ import annotations
 
@@ -31,18 +31,19 @@
 from .outcomes import OutcomeLearning
 from .routing import Routing
 from .server_choice import ServerChoice
-from .timers import CHECK_HEDGES, POLL_ENDPOINTS, request_of
+from .timers import CHECK_HEDGES, POLL_ENDPOINTS, request_id_of
 from .waiting import WaitingRequests
 
 
 class Balancer:
-    """All decisions of one router: each request goes to the server with the least (delay + cost) / affinity."""
+    """Makes all decisions of one router: a request goes to the server with the least (delay + cost) / affinity."""
 
-    server_choice_class: type[ServerChoice] = ServerChoice  # baselines replace these two
+    # Baselines override these two classes.
+    server_choice_class: type[ServerChoice] = ServerChoice
     load_estimate_class: type[LoadEstimate] = LoadEstimate
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin without servers; the seed is that of all random draws. Invalid settings raise ValueError."""
+        """Create a balancer without servers; seed initializes all random draws. Invalid settings raise ValueError."""
         self.fleet = Fleet(settings, seed)
         self.load = self.load_estimate_class(self.fleet)
         self.affinity = Affinity(self.load)
@@ -64,7 +65,7 @@
         return self._take_actions()
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handle one event at a clock time (ms) and return the actions that it calls for."""
+        """Handle one event at a clock time (ms) and return the resulting actions."""
         match event:
             case Request():
                 self._on_request(now, event)
@@ -87,7 +88,7 @@
             case PeerMessage():
                 pass
             case _:
-                raise TypeError(f"not an event: {event!r}")
+                raise TypeError(f"unknown event type: {event!r}")
         return self._take_actions()
 
     def _take_actions(self) -> list[Action]:
@@ -96,7 +97,7 @@
         return actions
 
     def excluded_servers(self, now: float) -> list[int]:
-        """Return the listed servers that are not used now: in maintenance, or ejected as outliers."""
+        """Return the listed servers that are excluded now: those in maintenance, and those ejected as outliers."""
         return [
             number
             for number, server in self.fleet.servers.items()
@@ -139,7 +140,7 @@
             self.hedging.check(now)
         elif label == POLL_ENDPOINTS:
             self.polling.on_timer()
-        elif state := self.waiting.pop_due(now, request_of(label)):
+        elif state := self.waiting.pop_due(now, request_id_of(label)):
             self.dispatcher.dispatch(now, state, self.routing.step_after_wait(now, state))
 
     def _on_request_cancelled(self, now: float, event: RequestCancelled) -> None:
--- a/starlingthread/policy/completion.py
+++ b/starlingthread/policy/completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: its rejection or failure, its removal, and the requests that waited for its fetch."""
+"""Completion of requests: rejects, fails and removes them, and resumes the requests that waited for their fetch."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from .attempt_gate import AttemptGate
 from .waiting import WaitingRequests
 
-RETRY_AFTER_SHARE = 0.2  # of the latency objective: mean Retry-After of a rejection; a retry can still be in time
+# Mean Retry-After of a rejection as a share of the latency objective; the retry can still be in time.
+RETRY_AFTER_SHARE = 0.2
 
 
 class Completion:
@@ -22,8 +23,8 @@
         self.fleet = affinity.fleet
         self.waiting = waiting
 
-    def give_up(self, now: float, state: RequestState) -> None:
-        """Answer a request that is not served: reject it if the client may safely retry it, else fail it."""
+    def reject_or_fail(self, now: float, state: RequestState) -> None:
+        """Answer a request that can not be served: reject it if the client may safely retry it, else fail it."""
         if self._is_safe_to_retry(now, state):
             self.fleet.actions.append(Reject(state.request.id, self._retry_after(state)))
         else:
@@ -44,13 +45,13 @@
         )
 
     def _retry_after(self, state: RequestState) -> float:
-        """Return the Retry-After (ms), spread by the request's id so that a crowd does not come back in step."""
+        """Return the Retry-After (ms), varied by the request's id so that clients do not retry at the same time."""
         spread = 0.5 + mix(state.request.id) / MASK
         retry_after = RETRY_AFTER_SHARE * state.request_class.latency_objective * spread
         return min(self.fleet.settings.max_retry_after, retry_after)
 
     def close(self, now: float, state: RequestState) -> None:
-        """End a request; its state is removed once its last attempt has ended."""
+        """Mark a request as finished, and remove its state once its last attempt has ended."""
         if not state.finished:
             state.finished = True
             self.waiting.remove(state.request.id)
@@ -67,7 +68,7 @@
                 self.fleet.actions.append(Cancel(state.request.id, number))
 
     def _resume_fetch_waiters(self, now: float, state: RequestState) -> None:
-        """Send the requests that waited for this one's fetch to the server where the value was stored."""
+        """Send the requests that waited for this request's fetch to the server where the value was stored."""
         key_state = self.affinity.keys.get(state.request.key)
         if key_state is None or key_state.fetching_request != state.request.id:
             return
@@ -79,4 +80,4 @@
                 continue
             owner = self.fleet.servers[waiter.missed_servers[0]]
             if not self.gate.send(now, waiter, owner):
-                self.give_up(now, waiter)
+                self.reject_or_fail(now, waiter)
--- a/starlingthread/policy/dispatch.py
+++ b/starlingthread/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Takes the steps that routing decides: sends attempts, lets requests wait, and gives them up."""
+"""Carries out the steps that routing decides: sends attempts, makes requests wait, and rejects or fails them."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 from .attempt_gate import AttemptGate
 from .completion import Completion
 from .hedging import Hedging
-from .routing import FetchFromOrigin, GiveUp, NextStep, SendToCache, SendToOrigin, WaitForFetch, WaitForOrigin
+from .routing import FetchFromOrigin, NextStep, RejectOrFail, SendToCache, SendToOrigin, WaitForFetch, WaitForOrigin
 from .waiting import WaitingRequests
 
-MAX_FILLED_SERVERS = 2  # servers that missed and are taken to store the value that is fetched
+# Number of servers that missed a key and are then assumed to store the fetched value.
+MAX_FILLED_SERVERS = 2
 
 
 class Dispatcher:
@@ -28,7 +29,7 @@
         self.waiting = waiting
 
     def dispatch(self, now: float, state: RequestState, step: NextStep) -> None:
-        """Take a step; a request whose attempt the gate does not let pass is given up."""
+        """Carry out a step; a request whose attempt the gate does not allow is rejected or fails."""
         match step:
             case SendToCache():
                 self._send_to_cache(now, state, step)
@@ -41,19 +42,19 @@
                 self.waiting.add(state, step.until)
             case WaitForOrigin():
                 self.waiting.add(state, step.until)
-            case GiveUp():
-                self.completion.give_up(now, state)
+            case RejectOrFail():
+                self.completion.reject_or_fail(now, state)
 
     def _send(self, now: float, state: RequestState, server: Server) -> bool:
         if self.gate.send(now, state, server):
             return True
-        self.completion.give_up(now, state)
+        self.completion.reject_or_fail(now, state)
         return False
 
     def _send_to_cache(self, now: float, state: RequestState, step: SendToCache) -> None:
         if not self._send(now, state, step.server):
             return
-        self.hedging.watch(now, state, state.owner_group is None)
+        self.hedging.schedule_check(now, state, state.owner_group is None)
         if step.key_state is not None:
             step.key_state.count_request(now, step.server.endpoint.server)
 
--- a/starlingthread/policy/endpoint_polling.py
+++ b/starlingthread/policy/endpoint_polling.py
@@ -1,4 +1,4 @@
-"""Polling of the endpoint list, where discovery does not push it unasked."""
+"""Polling of the endpoint list, for discovery that does not push it without a subscription."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from ..state.fleet import Fleet
 from .timers import POLL_ENDPOINTS
 
-START_SHARE = 0.3  # of the poll interval, within which the first poll starts at random, so that routers differ
-BACKOFF = 500.0  # ms; mean pause after a failed poll, doubled each time
-MAX_DOUBLINGS = 1  # a rejected poll between two pauses is over within 6 s
-BACKOFF_JITTER = (0.5, 1.5)  # range of the factor on a pause
+# The first poll is at a random time within this share of the poll interval, so that routers do not poll in step.
+FIRST_POLL_SHARE = 0.3
+BACKOFF_MS = 500.0  # mean backoff after the first failed poll, doubled for each further failure
+MAX_BACKOFF_DOUBLINGS = 1  # limits a backoff, a rejected poll and another backoff to 6 s in total
+BACKOFF_JITTER = (0.5, 1.5)  # range of the random factor on a backoff
 
 
 class EndpointPolling:
-    """Subscribes to the endpoint list, and does so again after a failure."""
+    """Subscribes to the endpoint list, and again after each failure."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -25,10 +26,10 @@
         """Schedule the first poll."""
         settings = self.fleet.settings
         if settings.must_poll:
-            self._poll_at(now + self.fleet.rng.uniform(0, settings.poll_interval * START_SHARE))
+            self._poll_at(now + self.fleet.rng.uniform(0, settings.poll_interval * FIRST_POLL_SHARE))
 
     def on_list(self, now: float, kind: EndpointListKind) -> None:
-        """Note that a list has come, or schedule the next poll after a failure."""
+        """Record that an endpoint list has arrived, or schedule the next poll after a failure."""
         if kind == EndpointListKind.FAILED:
             self._on_failure(now)
         elif kind != EndpointListKind.CACHED:
@@ -39,14 +40,14 @@
         self._is_subscribed = not self.fleet.settings.must_poll
         if self._is_subscribed:
             return
-        pause = BACKOFF * float(1 << min(self._failures, MAX_DOUBLINGS))
-        self._poll_at(now + pause * self.fleet.rng.uniform(*BACKOFF_JITTER))
+        backoff = BACKOFF_MS * float(1 << min(self._failures, MAX_BACKOFF_DOUBLINGS))
+        self._poll_at(now + backoff * self.fleet.rng.uniform(*BACKOFF_JITTER))
         self._failures += 1
 
     def _poll_at(self, at: float) -> None:
         self.fleet.actions.append(SetTimer(at, POLL_ENDPOINTS))
 
     def on_timer(self) -> None:
-        """Poll, unless the list has come meanwhile."""
+        """Poll, unless the endpoint list has arrived in the meantime."""
         if not self._is_subscribed:
             self.fleet.actions.append(WatchEndpoints(True))
--- a/starlingthread/policy/load_estimate.py
+++ b/starlingthread/policy/load_estimate.py
@@ -12,30 +12,33 @@
 from ..state.fleet import Fleet
 from ..state.records import COUNT_HALF_LIFE, RequestState, Server
 
-FETCH_SHARE = 0.15  # of the latency objective: first estimate of an origin fetch's time
-LATE_FETCH = 0.9  # of the latency objective; a slower fetch is worth nothing: the origin is overloaded
-LIKELY = 0.5  # probability above which a hit is taken for granted
-FETCH_TIMEOUTS = 2.0  # typical fetch times after which an error is taken for the origin's
+# Initial estimate of the time of a fetch from the origin, as a share of the latency objective.
+INITIAL_FETCH_TIME_SHARE = 0.15
+# Share of the latency objective; a slower fetch is too late to be of use, and may indicate an overloaded origin.
+LATE_FETCH_SHARE = 0.9
+LIKELY_HIT_PROBABILITY = 0.5  # from this probability on, an attempt is assumed to be a hit
+# An error that takes longer than this many typical fetch times is attributed to the origin.
+ORIGIN_ERROR_FETCH_TIMES = 2.0
 FETCH_RESULTS = frozenset((AttemptResult.OK, AttemptResult.ERROR, AttemptResult.TIMEOUT))
 
 
 class LoadEstimate:
-    """What this router's own attempts, their outcomes and load reports show; times are ms."""
+    """Load estimates from this router's own attempts, their outcomes and load reports. Times are ms."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.wait_estimates = WaitEstimates()
         self.machine_speeds = MachineSpeeds()
-        self.speed_version = 0  # counts changes of the machine speeds
+        self.speed_version = 0  # incremented when a machine speed changes
         self.origin_limit = OriginLimit()
         classes = fleet.settings.classes
-        self.origin_throttle = OriginThrottle(min(c.latency_objective for c in classes) * FETCH_SHARE)
+        self.origin_throttle = OriginThrottle(min(c.latency_objective for c in classes) * INITIAL_FETCH_TIME_SHARE)
         self.service_times = ServiceTimes(classes)
         self.apply_settings()
         self.served_rate = ServedRate(COUNT_HALF_LIFE)
 
     def apply_settings(self) -> None:
-        """Apply changed settings; service times learned for a class stay with its name."""
+        """Apply changed settings; the learned service times of a class are kept under its name."""
         settings = self.fleet.settings
         self.wait_estimates.set_report_fields(settings.load_report_fields)
         self.service_times.apply_classes(settings.classes)
@@ -45,43 +48,47 @@
         return self.machine_speeds.speed(server.endpoint.kind)
 
     def expected_service_time(self, state: RequestState, server: Server) -> float:
-        """Return the service time (ms) that a request should take at a server."""
+        """Return the service time (ms) expected for a request at a server."""
         return state.expected_cost / self.machine_speeds.speed(server.endpoint.kind)
 
     def time_without_wait(self, state: RequestState, server: Server, event: Outcome, expected_time: float) -> float:
-        """Return the part of a response's time (ms) that was no wait; expected_time: as expected when it was sent."""
+        """Return the part of a response's time (ms) that was not spent waiting.
+
+        expected_time: the service time (ms) expected when the attempt was sent.
+        """
         name, hint, speed = state.request_class.name, state.request.cost_hint, self.speed(server)
         return self.service_times.without_wait(name, hint, event.response_time, expected_time, speed)
 
     def is_late(self, now: float, state: RequestState, server: Server, wait: float) -> bool:
-        """Return whether a request that waits so long (ms) at a server would be late, as far as is known.
+        """Return whether a request that waits for this time (ms) at a server is expected to be late.
 
-        Until a class is settled only the wait counts: one slow first response must not make it look hopeless.
+        Until the service times of a class are settled only the wait counts, as otherwise one slow first response
+        would have all further requests of the class rejected.
         """
         if self.service_times.is_settled(state.request_class.name):
             wait += self.expected_service_time(state, server)
         return wait > self.time_limit(now, state)
 
     def expected_wait(self, now: float, server: Server) -> float:
-        """Return the wait (ms) that recent outcomes of a server show."""
+        """Return the wait (ms) at a server, estimated from its recent outcomes."""
         return self.wait_estimates.expected_wait(now, server.load)
 
     def queueing_delay(self, now: float, server: Server, expected_wait: float) -> float:
-        """Return the delay (ms) by this router's attempts in flight, and by the other load that shows there."""
+        """Return the delay (ms) at a server by this router's attempts in flight and by the observed load of others."""
         own_delay = server.cost_in_flight / server.concurrency.slots(CORES)
         reported_wait = self.wait_estimates.reported_queue(now, server.load) * self.service_times.mean
         return own_delay + max(reported_wait, expected_wait)
 
     def time_limit(self, now: float, state: RequestState) -> float:
-        """Return the time (ms) within which an answer is of use."""
+        """Return the time (ms) left for an answer before the deadline, at most the latency objective."""
         return min(state.deadline - now, state.request_class.latency_objective)
 
     def relative_cost(self, state: RequestState) -> float:
-        """Return a request's cost in requests of mean cost, at least 1."""
+        """Return a request's cost relative to the mean cost of a request, at least 1."""
         return self.service_times.relative_cost(state.request_class.name, state.expected_cost)
 
     def fetch_probability(self, state: RequestState) -> float:
-        """Return the probability that the server chosen last has to ask the origin."""
+        """Return the probability that the server chosen last has to fetch from the origin."""
         if not self.fleet.read_through:
             return 0.0
         if state.request.is_write:
@@ -89,13 +96,13 @@
         return 1.0 - state.hit_probability if state.request.key else 0.0
 
     def on_load_report(self, now: float, server: Server, report: tuple[float, ...]) -> None:
-        """Learn from a server's load report; an empty one is ignored."""
+        """Update the estimates with a server's load report; an empty report is ignored."""
         self.wait_estimates.on_report(now, server.load, report)
 
     def on_attempt_ended(
         self, now: float, state: RequestState, server: Server, event: Outcome, expected_time: float
     ) -> bool:
-        """Learn the wait (ms) that an attempt met; return whether a fetch failed, so that nothing was stored."""
+        """Learn the wait (ms) of an ended attempt; return whether its fetch failed, so that no value was stored."""
         result = event.result
         wait = event.response_time
         if result == AttemptResult.OK:
@@ -106,24 +113,27 @@
         if not reached_origin:
             self._observe_server_wait(now, server, event, wait)
         elif missed and result in FETCH_RESULTS:
-            in_time = LATE_FETCH * state.request_class.latency_objective
-            self.origin_throttle.observe(now, result == AttemptResult.OK, max(0.0, wait), in_time)
+            late_fetch_time = LATE_FETCH_SHARE * state.request_class.latency_objective
+            self.origin_throttle.observe(now, result == AttemptResult.OK, max(0.0, wait), late_fetch_time)
         return fetch_failed and reached_origin
 
     def _is_failed_fetch(self, state: RequestState, result: AttemptResult, wait: float) -> bool:
         if result != AttemptResult.ERROR:
             return False
-        return state.hit_probability < LIKELY or wait > FETCH_TIMEOUTS * self.origin_throttle.typical_fetch_time
+        return (
+            state.hit_probability < LIKELY_HIT_PROBABILITY
+            or wait > ORIGIN_ERROR_FETCH_TIMES * self.origin_throttle.typical_fetch_time
+        )
 
     def _is_miss(self, state: RequestState, event: Outcome) -> bool:
         if event.cache_status in (CacheStatus.MISS, CacheStatus.FETCH_IN_FLIGHT):
             return True
-        return event.result == AttemptResult.TIMEOUT and state.hit_probability < LIKELY
+        return event.result == AttemptResult.TIMEOUT and state.hit_probability < LIKELY_HIT_PROBABILITY
 
     def _observe_server_wait(self, now: float, server: Server, event: Outcome, wait: float) -> None:
-        """Learn a wait at the server itself, not at the origin.
+        """Learn a wait (ms) at the server itself, not at the origin.
 
-        Where the server has answered what was sent later, a timeout shows a dead connection and not a queue.
+        If the server has answered attempts that were sent later, a time-out indicates a dead connection, not a queue.
         """
         sent_at = now - event.elapsed
         outliers = server.outliers
--- a/starlingthread/policy/outcomes.py
+++ b/starlingthread/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt shows of its server, the origin, the request's class and its key."""
+"""Updates the estimates of the server, the origin, the request's class and its key after each attempt."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OutcomeLearning:
-    """Feeds each outcome to the estimates, limits and counts."""
+    """Passes each outcome to the load estimates, the limits and the affinity counts."""
 
     def __init__(self, affinity: Affinity, gate: AttemptGate, hedge_budget: HedgeBudget) -> None:
         self.affinity = affinity
@@ -28,19 +28,19 @@
     def learn(self, now: float, state: RequestState, server: Server, event: Outcome, attempt: AttemptRecord) -> None:
         """Learn from the outcome of an attempt that was in flight at a server."""
         self.load.on_load_report(now, server, event.load_report)
-        fetch_failed = self._learn_of_server(now, state, server, event, attempt)
+        fetch_failed = self._update_server_estimates(now, state, server, event, attempt)
         if server is self.fleet.origin:
             self.load.origin_throttle.on_outcome(now, event.result, event.response_time)
         else:
-            self._learn_of_key(now, state, server, event, fetch_failed)
+            self._update_key_state(now, state, server, event, fetch_failed)
         self._adjust_limits(now, state, server, event, attempt)
         if state.is_loss_sample:
             self.hedge_budget.on_outcome(event.result, state.hit_probability)
 
-    def _learn_of_server(
+    def _update_server_estimates(
         self, now: float, state: RequestState, server: Server, event: Outcome, attempt: AttemptRecord
     ) -> bool:
-        """Learn of a server's waits, service times and failures; return whether its fetch from the origin failed."""
+        """Update a server's waits, service times and failures; return whether its fetch from the origin failed."""
         sent_at = now - event.elapsed
         fetch_failed = self.load.on_attempt_ended(now, state, server, event, attempt.expected_time)
         if event.result in FAILURES and not event.is_lost_here:
@@ -51,10 +51,10 @@
             self.load.on_served(now, state, server, event)
         return fetch_failed
 
-    def _learn_of_key(
+    def _update_key_state(
         self, now: float, state: RequestState, server: Server, event: Outcome, fetch_failed: bool
     ) -> None:
-        """Learn whether a cache server had the request's key."""
+        """Record whether a cache server had the request's key cached."""
         key = state.request.key
         if not key or not (fetch_failed or event.result in SUCCESSES):
             return
--- a/starlingthread/policy/server_choice.py
+++ b/starlingthread/policy/server_choice.py
@@ -12,36 +12,40 @@
 from .affinity import OWNER_COUNT, Affinity
 from .attempt_gate import AttemptGate
 
-SAMPLED_AFFINITY = 0.1  # least affinity of a server without a count; far under one count's log(N)
-OWNER_AFFINITY = 1.0  # least affinity of an uncounted key's first owners, halved for each rank; under one count's
-SAMPLE_SIZE = 2  # random candidates besides the owners and the counted servers, a way out when all those are loaded
-ORIGIN_PRESSURE_PRICE = 2.0  # latency objectives that a fetch costs more at full pressure on the origin
+# Minimum affinity of a server without a count; far less than log(N), which one count gives in a fleet of N servers.
+SAMPLED_MIN_AFFINITY = 0.1
+# Minimum affinity of the first owner of a key without counts, halved for each rank; less than one count gives.
+OWNER_MIN_AFFINITY = 1.0
+# Number of random candidates besides the owners and the counted servers, as alternatives when all those are loaded.
+SAMPLE_SIZE = 2
+# Additional price of a fetch at full pressure on the origin, in latency objectives.
+ORIGIN_PRESSURE_PRICE_OBJECTIVES = 2.0
 
 
 class KeyAffinity(NamedTuple):
-    """Where a request's key belongs."""
+    """The affinity of a request's key: its counts and its owners."""
 
     counts: dict[int, AffinityCount]  # by server
     owners: list[Owner]
-    rarity: float  # logarithm of the fleet's size relative to the number of counted servers, as in tf-idf
+    inverse_frequency: float  # log(number of servers / number of servers with a count), as in tf-idf
 
 
 class Candidate(NamedTuple):
-    """How a server became a candidate."""
+    """The reason for which a server is a candidate."""
 
     min_affinity: float
-    owner_group: OwnerGroup | None  # None: it is no owner of the key
+    owner_group: OwnerGroup | None  # None: the server is not an owner of the key
 
 
-Score: TypeAlias = tuple[bool, float]  # whether an answer would be late, and ms for each unit of affinity
+Score: TypeAlias = tuple[bool, float]  # whether the answer would be late, and the cost in ms per unit of affinity
 
-SAMPLED = Candidate(SAMPLED_AFFINITY, None)
-FLEET_OWNERS = tuple(Candidate(OWNER_AFFINITY * 0.5**rank, OwnerGroup.FLEET) for rank in range(OWNER_COUNT))
+SAMPLED = Candidate(SAMPLED_MIN_AFFINITY, None)
+FLEET_OWNERS = tuple(Candidate(OWNER_MIN_AFFINITY * 0.5**rank, OwnerGroup.FLEET) for rank in range(OWNER_COUNT))
 WORST_SCORE: Score = (True, math.inf)
 
 
 class ServerChoice:
-    """Scores the servers that a request may go to."""
+    """Scores the candidate servers of a request and chooses the best one."""
 
     def __init__(self, affinity: Affinity, gate: AttemptGate) -> None:
         self.affinity = affinity
@@ -50,12 +54,12 @@
         self.load = affinity.load
 
     def choose(self, now: float, state: RequestState, key_state: KeyState | None) -> Server | None:
-        """Return the server with the least score and note its hit probability; None if no server may be used now.
+        """Return the server with the least score, or None if no server may be used now.
 
-        key_state is that of the request's key, None for a request without a key.
+        The hit probability at the server is stored in state. key_state: None for a request without a key.
         """
-        counts, owners, rarity = self._key_affinity(now, state, key_state)
-        candidates = self._candidates(state, counts, owners, rarity)
+        counts, owners, inverse_frequency = self._key_affinity(now, state, key_state)
+        candidates = self._candidates(state, counts, owners, inverse_frequency)
         miss_cost = self._miss_cost(now, state.request_class)
         time_limit = self.load.time_limit(now, state)
         best: Server | None = None
@@ -66,9 +70,9 @@
                 continue
             affinity_count = counts.get(number, NO_COUNT)
             hit_probability = self._hit_probability(affinity_count, candidate.owner_group)
-            affinity = max(candidate.min_affinity, affinity_count.request_count * rarity)
-            crossing_cost = self._crossing_cost(server, state.request_class)
-            cost = state.expected_cost + crossing_cost + (1 - hit_probability) * miss_cost
+            affinity = max(candidate.min_affinity, affinity_count.request_count * inverse_frequency)
+            cross_zone_cost = self._cross_zone_cost(server, state.request_class)
+            cost = state.expected_cost + cross_zone_cost + (1 - hit_probability) * miss_cost
             score = self._score(now, state, server, cost, affinity, time_limit)
             if score < best_score:
                 best = server
@@ -82,27 +86,27 @@
             return KeyAffinity({}, [], 0.0)
         counts = self.affinity.current_counts(now, key_state)
         owners = self.affinity.owners(now, key_state, state.request)
-        if key_state.owners.spread:  # a hot key stays at this router's part of its owners
+        if key_state.owners.spread:  # requests for a hot key go only to this router's part of the owners
             counts = {owner.number: counts[owner.number] for owner in owners if owner.number in counts}
-        rarity = math.log(max(1.0, len(self.fleet.ready) / len(counts))) if counts else 0.0
-        return KeyAffinity(counts, owners, rarity)
+        inverse_frequency = math.log(max(1.0, len(self.fleet.ready) / len(counts))) if counts else 0.0
+        return KeyAffinity(counts, owners, inverse_frequency)
 
     def _candidates(
-        self, state: RequestState, counts: dict[int, AffinityCount], owners: list[Owner], rarity: float
+        self, state: RequestState, counts: dict[int, AffinityCount], owners: list[Owner], inverse_frequency: float
     ) -> dict[int, Candidate]:
-        """Return the candidates by server: the key's owners, the counted servers, and a random sample."""
+        """Return the candidates by server number: the key's owners, the servers with a count, and a random sample."""
         fleet = self.fleet
         candidates: dict[int, Candidate] = {}
         total = sum(affinity_count.request_count for affinity_count in counts.values())
         replicas = self.load.origin_limit.replicas
-        pays_zone_owner = self._pays_zone_owner(state.request_class, total)
-        for number, rank, is_near in owners:
-            if not replicas.allows(state.request.key, rank, is_near):
+        is_zone_owner_cheaper = self._is_zone_owner_cheaper(state.request_class, total)
+        for number, rank, is_in_zone in owners:
+            if not replicas.allows(state.request.key, rank, is_in_zone):
                 continue
-            if not is_near:
+            if not is_in_zone:
                 candidates.setdefault(number, FLEET_OWNERS[rank])
-            elif pays_zone_owner:
-                min_affinity = max(OWNER_AFFINITY, total * rarity) * 0.5**rank
+            elif is_zone_owner_cheaper:
+                min_affinity = max(OWNER_MIN_AFFINITY, total * inverse_frequency) * 0.5**rank
                 candidates.setdefault(number, Candidate(min_affinity, OwnerGroup.ZONE))
         for number in counts:
             candidates.setdefault(number, SAMPLED)
@@ -111,11 +115,11 @@
                 candidates.setdefault(fleet.rng.choice(fleet.ready).endpoint.server, SAMPLED)
         return candidates
 
-    def _pays_zone_owner(self, request_class: RequestClass, total_count: float) -> bool:
-        """Return whether the zone's routers save as much by a replica in the zone as its additional fetch costs."""
+    def _is_zone_owner_cheaper(self, request_class: RequestClass, total_count: float) -> bool:
+        """Return whether a replica in the zone saves its routers at least the cost of the additional fetch."""
         fleet = self.fleet
-        crossing_price = fleet.settings.price_cross_zone * request_class.latency_objective
-        savings = (total_count + 1) * fleet.demand.routers_per_zone * crossing_price
+        cross_zone_price = fleet.settings.price_cross_zone * request_class.latency_objective
+        savings = (total_count + 1) * fleet.demand.routers_per_zone * cross_zone_price
         return savings >= self.load.origin_throttle.typical_fetch_time
 
     def _is_usable(self, now: float, state: RequestState, server: Server) -> bool:
@@ -137,8 +141,8 @@
         hit_bias = affinity_count.hit_bias
         return probability + hit_bias * (1 - probability if hit_bias > 0 else probability)
 
-    def _crossing_cost(self, server: Server, request_class: RequestClass) -> float:
-        """Return the cost (ms) of leaving the zone: the other zone's distance, and the price in latency objectives."""
+    def _cross_zone_cost(self, server: Server, request_class: RequestClass) -> float:
+        """Return the cost (ms) of a request to another zone: the extra latency, and the cross-zone price in ms."""
         settings = self.fleet.settings
         zone = server.endpoint.zone
         if zone == settings.zone:
@@ -148,21 +152,21 @@
         return distance + settings.price_cross_zone * request_class.latency_objective
 
     def _miss_cost(self, now: float, request_class: RequestClass) -> float:
-        """Return the cost (ms) of a fetch from the origin: its typical time, its price and its scarcity."""
+        """Return the cost (ms) of a fetch: its typical time and its price, which rises with the origin's load."""
         throttle = self.load.origin_throttle
-        price = self.fleet.settings.price_origin + ORIGIN_PRESSURE_PRICE * throttle.pressure(now)
+        price = self.fleet.settings.price_origin + ORIGIN_PRESSURE_PRICE_OBJECTIVES * throttle.pressure(now)
         cost = throttle.typical_fetch_time + price * request_class.latency_objective
         origin = self.fleet.origin
-        return cost + (self._crossing_cost(origin, request_class) if origin else 0.0)
+        return cost + (self._cross_zone_cost(origin, request_class) if origin else 0.0)
 
     def _score(
         self, now: float, state: RequestState, server: Server, cost: float, affinity: float, time_limit: float
     ) -> Score:
         """Return the score of a server for a request of this cost (ms); the least is best.
 
-        Incident i952281: a crowded zone's owners drew all requests and rejected them while other servers idled, so a
-        server that would be late comes after every one that would not. Its last answers show only what was sent
-        before a crowd, so this router's own attempts in flight count as well.
+        A server that would be late ranks after every server that would not. Incident i952281: the owners in an
+        overloaded zone got all requests and rejected them while other servers were idle. The last answers of a server
+        reflect only attempts sent before a burst, so this router's own attempts in flight count as well.
         """
         expected_wait = self.load.expected_wait(now, server)
         wait = expected_wait
--- a/starlingthread/policy/timers.py
+++ b/starlingthread/policy/timers.py
@@ -4,7 +4,7 @@
 
 POLL_ENDPOINTS = 0
 CHECK_HEDGES = 1 << 60
-TIMER_TOLERANCE = 0.01  # ms; a timer may come this much early
+TIMER_TOLERANCE_MS = 0.01  # a timer may expire early by this time
 
 
 def resume_label(request_id: int) -> int:
@@ -12,6 +12,6 @@
     return request_id + 1
 
 
-def request_of(resume_label: int) -> int:
-    """Return the id of the request that such a timer resumes."""
-    return resume_label - 1
+def request_id_of(label: int) -> int:
+    """Return the id of the request that the timer with this label resumes."""
+    return label - 1
--- a/starlingthread/settings_json.py
+++ b/starlingthread/settings_json.py
@@ -1,4 +1,4 @@
-"""The platform's settings object in JSON, turned into Settings; used by the simulator's adapter and the router."""
+"""Parser of the platform's JSON settings object; the simulator adapter and the router use it to build Settings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Parse the settings object. Raise a SettingsError."""
+    """Parse the settings object from JSON text; raise SettingsError if it is invalid."""
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -30,9 +30,9 @@
 
 
 def settings_from_json(raw: object) -> Settings:
-    """Turn the settings object, already parsed as JSON, into valid Settings. Raise a SettingsError."""
+    """Build validated Settings from the decoded JSON object; raise SettingsError if it is invalid."""
     if not isinstance(raw, dict):
-        raise SettingsError("settings are not a JSON object")
+        raise SettingsError(f"settings are not a JSON object but {type(raw).__name__}")
     try:
         return _settings(raw).validated()
     except KeyError as error:
@@ -42,7 +42,7 @@
 
 
 def _settings(raw: JsonObject) -> Settings:
-    classes = tuple(_request_class(grade) for grade in raw["grades"])
+    classes = tuple(_request_class(raw_class) for raw_class in raw["grades"])
     permissions = raw["permissions"]
     rules = raw["rules"]
     extra = raw.get("extra", {})
@@ -55,7 +55,7 @@
         must_poll=raw.get("discovery") == "subscribe",
         mode=extra.get("mode", "through"),
         origin_kind=int(extra.get("originKind", -1)),
-        tenants=tuple(_tenant(tenant) for tenant in raw.get("tenants", ())),
+        tenants=tuple(_tenant(raw_tenant) for raw_tenant in raw.get("tenants", ())),
         over_quota_weight=float(raw.get("overShareWorth", 1.0)),
         load_report_fields=tuple(report.get("fields", ())),
         load_report_delivery=report.get("how", "silent"),
--- a/starlingthread/simhost.py
+++ b/starlingthread/simhost.py
@@ -1,4 +1,4 @@
-"""Entry point that deploy/balancer.toml names for the simulator: ``python -m starlingthread.simhost``."""
+"""Entry point for the simulator, named in deploy/balancer.toml: ``python -m starlingthread.simhost``."""
 
 from __future__ import annotations
 
--- a/starlingthread/simulator_adapter.py
+++ b/starlingthread/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Hosts decision modules for the simulator: decodes its events, encodes their actions. No decisions here.
+"""Hosts decision modules for the simulator: decodes its events, passes them on, and encodes the resulting actions.
 
-Run as ``python -m starlingthread.simhost``; standard output carries the wire only.
+Run as ``python -m starlingthread.simhost``; standard output carries only replies in the wire format.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .settings import Settings
 from .settings_json import SettingsError, parse_settings
 from .simulator_wire import (
-    LENGTH_SIZE,
+    LENGTH_FIELD_BYTES,
     Batch,
     EventCode,
     Reply,
@@ -29,14 +29,14 @@
 
 
 class SimulatorAdapter:
-    """All instances of the module that this process hosts, by their numbers; they share nothing else."""
+    """The instances of the decision module in this process, by their numbers; they share no state."""
 
     def __init__(self, factory: BalancerFactory = Balancer) -> None:
         self._factory = factory
         self.instances: dict[int, Balancer] = {}
 
     def answer(self, body: bytes) -> bytes:
-        """Answer one batch, given without its length field. Raise a WireError or a SettingsError."""
+        """Return the reply to one batch, given without its length field; raise WireError or SettingsError."""
         batch = Batch(body)
         reply = Reply()
         for offset in batch.offsets():
@@ -50,20 +50,20 @@
         elif code == EventCode.START:
             start = decode_start(batch, offset)
             settings = parse_settings(start.settings)
-            self._decide(instance, reply, lambda: self._start(instance, settings, start.seed, batch.now))
+            self._add_actions(instance, reply, lambda: self._start(instance, settings, start.seed, batch.now))
         else:
             event = decode_event(batch, offset)
             if instance not in self.instances:
                 raise batch.error(f"instance {instance} was never started")
             balancer = self.instances[instance]
-            self._decide(instance, reply, lambda: balancer.handle(batch.now, event))
+            self._add_actions(instance, reply, lambda: balancer.handle(batch.now, event))
 
     def _start(self, instance: int, settings: Settings, seed: int, now: float) -> list[Action]:
         self.instances[instance] = self._factory(settings, seed)
         return self.instances[instance].start(now)
 
-    def _decide(self, instance: int, reply: Reply, decide: Callable[[], list[Action]]) -> None:
-        """Add the actions of a decision to the reply; the wire wants an exception of any kind reported."""
+    def _add_actions(self, instance: int, reply: Reply, decide: Callable[[], list[Action]]) -> None:
+        """Add the actions of a decision to the reply; the wire format requires that any exception is reported."""
         try:
             for action in decide():
                 reply.add(instance, action)
@@ -72,7 +72,7 @@
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
-    """Read so many bytes, fewer only at the end of the input."""
+    """Read size bytes; return fewer only at the end of the input."""
     data = stream.read(size)
     while data and len(data) < size:
         more = stream.read(size - len(data))
@@ -83,9 +83,9 @@
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO, adapter: SimulatorAdapter) -> None:
-    """Answer batches until the input ends. Raise a WireError or a SettingsError."""
-    while length := _read(stdin, LENGTH_SIZE):
-        if len(length) < LENGTH_SIZE:
+    """Answer batches until the input ends; raise WireError or SettingsError if a batch is invalid."""
+    while length := _read(stdin, LENGTH_FIELD_BYTES):
+        if len(length) < LENGTH_FIELD_BYTES:
             raise WireError(f"the input ends inside a length field, after {len(length)} bytes")
         size = int.from_bytes(length, "little")
         body = _read(stdin, size)
@@ -96,7 +96,7 @@
 
 
 def main() -> int:
-    """Serve standard input; return 0 at a clean end, 1 with one line on standard error otherwise."""
+    """Serve batches from standard input; return 0 at its end, or 1 after an error, with one line on standard error."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer, SimulatorAdapter())
--- a/starlingthread/simulator_wire.py
+++ b/starlingthread/simulator_wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire format: batches of event records in, replies of action records out.
+"""The simulator's wire format: decodes batches of event records and encodes replies of action records.
 
-A batch holds fixed-size records and a tail of variable-size data that records point into, and so does a reply. All
-numbers are little-endian. Each record starts with its code (one byte) and the instance it concerns (two bytes).
+A batch and a reply each hold fixed-size records, followed by a tail of variable-size data that the records refer to.
+All numbers are little-endian. Each record starts with its code (one byte) and the instance it concerns (two bytes).
 """
 
 from __future__ import annotations
@@ -79,17 +79,17 @@
     FETCH_ENDPOINTS = 12
 
 
-LENGTH_SIZE = 4  # bytes of the length field before each batch and each reply; it doesn't count itself
-BATCH_HEADER = struct.Struct("<IdI")  # records, clock time, batch number
-REPLY_HEADER = struct.Struct("<III")  # length, records, batch number
-EVENT_SIZE = 48
+LENGTH_FIELD_BYTES = 4  # a length field precedes each batch and each reply, and does not count itself
+BATCH_HEADER = struct.Struct("<IdI")  # number of records, clock time, batch number
+REPLY_HEADER = struct.Struct("<III")  # length, number of records, batch number
+EVENT_RECORD_BYTES = 48
 
-# Event records, from their start; "3x" are the code and the instance.
+# Layouts of whole event records; "3x" skips the code and the instance.
 RECORD_HEADER = struct.Struct("<BH")
 START = struct.Struct("<3xQII")
 TIMER = struct.Struct("<3xQ")
 ENDPOINT_LIST = struct.Struct("<3xBQII")
-ENDPOINT = struct.Struct("<IBBHBfd")  # an entry of a list, in the tail
+ENDPOINT = struct.Struct("<IBBHBfd")  # an entry of an endpoint list, in the tail
 REQUEST = struct.Struct("<3xQBIQddfB")
 HEALTH_CHECK_RESULT = struct.Struct("<3xIHdB4f")
 FIRST_BYTE = struct.Struct("<3xQHId")
@@ -102,7 +102,7 @@
 IS_RETRY = 2
 IS_WRITE = 4
 
-# Action records of 24 bytes: code, instance, content, padding.
+# Layouts of action records, 24 bytes each: code, instance, content, padding.
 SEND = struct.Struct("<BHQId1x")
 REJECT = struct.Struct("<BHQd5x")
 FAIL = struct.Struct("<BHQ13x")
@@ -121,30 +121,30 @@
 
 
 class Batch:
-    """One batch, without its length field: its records and the tail that they share."""
+    """One batch without its length field: event records and the tail that they share."""
 
     def __init__(self, body: bytes) -> None:
         if len(body) < BATCH_HEADER.size:
             raise WireError(f"a batch of {len(body)} bytes is shorter than its header")
         records, self.now, self.number = BATCH_HEADER.unpack_from(body)
         self.body = body
-        self._tail = BATCH_HEADER.size + records * EVENT_SIZE
+        self._tail = BATCH_HEADER.size + records * EVENT_RECORD_BYTES
         if self._tail > len(body):
-            raise self.error(f"{records} records do not fit its length")
+            raise self.error(f"{records} records do not fit into a body of {len(body)} bytes")
 
     def offsets(self) -> range:
-        """Return where in the body each record starts."""
-        return range(BATCH_HEADER.size, self._tail, EVENT_SIZE)
+        """Return the offset in the body of each record."""
+        return range(BATCH_HEADER.size, self._tail, EVENT_RECORD_BYTES)
 
-    def from_tail(self, offset: int, size: int, what: str) -> bytes:
-        """Return a part of the tail, or raise a WireError that says what the part is."""
+    def from_tail(self, offset: int, size: int, part_name: str) -> bytes:
+        """Return a part of the tail; if it is out of bounds, raise a WireError that names the part."""
         begin = self._tail + offset
         if begin + size > len(self.body):
-            raise self.error(f"{what} lies outside the tail")
+            raise self.error(f"{part_name} ({size} bytes at offset {offset}) is outside the tail")
         return self.body[begin : begin + size]
 
     def error(self, message: str) -> WireError:
-        """Return an error that names this batch."""
+        """Return a WireError whose message names this batch."""
         return WireError(f"batch {self.number}: {message}")
 
 
@@ -152,14 +152,14 @@
 
 
 class RecordHeader(NamedTuple):
-    """What each event record starts with."""
+    """The header of each event record."""
 
     code: int
     instance: int
 
 
 class StartRecord(NamedTuple):
-    """Content of a start record."""
+    """The content of a start record."""
 
     seed: int
     settings: bytes  # JSON
@@ -177,7 +177,7 @@
 
 
 def decode_event(batch: Batch, offset: int) -> Event:
-    """Decode the record at an offset of the body, which is neither start nor stop."""
+    """Decode the record at an offset of the body; start and stop records are no events."""
     code = batch.body[offset]
     decoder = _DECODERS.get(code)
     if decoder is None:
@@ -280,25 +280,25 @@
 
 
 class Reply:
-    """The reply to a batch, while it is being built."""
+    """Builder of the reply to a batch."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
         self._tail = bytearray()
 
     def add(self, instance: int, action: Action) -> None:
-        """Add one action."""
+        """Add the record of one action of an instance."""
         self._records.append(self._encode(instance, action))
 
     def add_exception(self, instance: int, text: str) -> None:
-        """Add the message of an exception that the instance raised."""
+        """Add a record with the message of an exception that an instance raised."""
         self._records.append(self._encode_text(ActionCode.EXCEPTION, instance, text))
 
-    def frame(self, number: int) -> bytes:
-        """Return the finished reply to a batch of this number, with its length field."""
+    def frame(self, batch_number: int) -> bytes:
+        """Return the complete reply to the batch of this number, with its length field."""
         records = b"".join(self._records)
-        length = REPLY_HEADER.size - LENGTH_SIZE + len(records) + len(self._tail)
-        return REPLY_HEADER.pack(length, len(self._records), number) + records + self._tail
+        length = REPLY_HEADER.size - LENGTH_FIELD_BYTES + len(records) + len(self._tail)
+        return REPLY_HEADER.pack(length, len(self._records), batch_number) + records + self._tail
 
     def _encode(self, instance: int, action: Action) -> bytes:
         match action:
