--- a/tests/balancer_driver.py
+++ b/tests/balancer_driver.py
@@ -1,4 +1,4 @@
-"""A hand-driven balancer: tests say what happens, the checker watches every step."""
+"""Driver for tests of the decision module: the tests supply events and time, and a rule checker verifies each step."""
 
 from __future__ import annotations
 
@@ -52,15 +52,15 @@
 
 
 def make_endpoints(count: int = 4, *, zones: int = 1, started: float = 0.0) -> tuple[Endpoint, ...]:
-    """Return some cache servers and the origin."""
+    """Return the endpoints of count cache servers and of the origin."""
     caches = tuple(Endpoint(n, zone=n % zones, started=started) for n in range(1, count + 1))
     return (*caches, Endpoint(ORIGIN, kind=3))
 
 
 class BalancerDriver:
-    """One balancer under test, and the clock."""
+    """One balancer under test, with its clock, its timers and a rule checker."""
 
-    def __init__(self, settings: Settings = ASIDE, fleet: tuple[Endpoint, ...] | None = None, seed: int = 1):
+    def __init__(self, settings: Settings = ASIDE, endpoints: tuple[Endpoint, ...] | None = None, seed: int = 1):
         self.settings = settings
         self.checker = RuleChecker(settings)
         self.balancer = Balancer(settings, seed)
@@ -68,10 +68,10 @@
         self.next_id = 1
         self.timers: list[SetTimer] = []
         self._record_actions(self.balancer.start(self.now))
-        lines = make_endpoints() if fleet is None else fleet
+        listed = make_endpoints() if endpoints is None else endpoints
         if settings.mode == "through":
-            lines = tuple(m for m in lines if m.server != ORIGIN)
-        self.handle_event(EndpointList(EndpointListKind.FULL, 1, lines))
+            listed = tuple(endpoint for endpoint in listed if endpoint.server != ORIGIN)
+        self.handle_event(EndpointList(EndpointListKind.FULL, 1, listed))
 
     def _record_actions(self, actions: list[Action]) -> list[Action]:
         self.checker.check_actions(self.now, actions)
@@ -79,18 +79,18 @@
         return actions
 
     def handle_event(self, event: Event) -> list[Action]:
-        """Let one event happen now."""
+        """Pass an event to the balancer at the current time, and return its actions."""
         self.checker.observe_event(self.now, event)
         return self._record_actions(self.balancer.handle(self.now, event))
 
     def submit_request(
         self, key: int = 7, class_index: int = READ, budget: float = 1000.0, cost: float = 40.0
     ) -> list[Action]:
-        """Let a client ask; its id is next_id - 1 afterwards."""
+        """Submit a client's request, whose id is next_id - 1 afterwards, and return the actions."""
         self.next_id += 1
-        write = class_index != READ
+        is_write = class_index != READ
         return self.handle_event(
-            Request(self.next_id - 1, class_index, budget, key=key, cost_hint=cost, is_write=write)
+            Request(self.next_id - 1, class_index, budget, key=key, cost_hint=cost, is_write=is_write)
         )
 
     def end_attempt(
@@ -102,52 +102,52 @@
         elapsed: float = 30.0,
         report: tuple[float, ...] = (),
     ) -> list[Action]:
-        """End an attempt."""
-        seen = self.checker.requests[send.id]
-        ended = seen.is_over or result == AttemptResult.OK
-        return self.handle_event(Outcome(send.id, attempt, send.server, result, elapsed, ended, load_report=report))
+        """Report the outcome of an attempt, and return the actions."""
+        history = self.checker.requests[send.id]
+        finished = history.is_over or result == AttemptResult.OK
+        return self.handle_event(Outcome(send.id, attempt, send.server, result, elapsed, finished, load_report=report))
 
     def complete_as_hit(self, send: Send, elapsed: float) -> None:
-        """Let an attempt be served as a hit in so many ms."""
+        """Report that a request's first attempt was served as a cache hit in elapsed ms."""
         self.handle_event(Outcome(send.id, 0, send.server, AttemptResult.OK, elapsed, True, CacheStatus.HIT))
 
     def read(self, key: int = 7) -> int:
-        """Let a read be asked for and served; return the server."""
+        """Submit a read that is served after 30 ms; return its server."""
         send = only_send(self.submit_request(key))
         self.now += 30
         self.end_attempt(send, AttemptResult.OK)
         return send.server
 
     def advance_time(self, span: float) -> list[Action]:
-        """Let time pass, with the timers that come due."""
-        until, done = self.now + span, []
+        """Advance the clock by span ms, fire the timers that are due, and return the actions."""
+        until, actions = self.now + span, []
         while due := [t for t in self.timers if t.at <= until]:
             first = min(due, key=lambda t: t.at)
             self.timers.remove(first)
             self.now = max(self.now, first.at)
-            done += self.handle_event(Timer(first.label))
+            actions += self.handle_event(Timer(first.label))
         self.now = until
-        return done
+        return actions
 
 
 def sends(actions: list[Action]) -> list[Send]:
-    """Return the Sends among some actions."""
+    """Return the Send actions among actions."""
     return [a for a in actions if isinstance(a, Send)]
 
 
 def only_send(actions: list[Action]) -> Send:
-    """Return the one Send among some actions."""
+    """Return the only Send among actions; fail if there is none, or more than one."""
     (send,) = sends(actions)
     return send
 
 
 def answers(actions: list[Action]) -> list[Reject | Fail]:
-    """Return the final answers among some actions."""
+    """Return the final answers among actions."""
     return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
 def serve_reads(driver: BalancerDriver, count: int, elapsed: float) -> None:
-    """Let some reads of many keys be answered after a long wait."""
+    """Submit reads of count different keys, each answered after elapsed ms."""
     for key in range(count):
         driver.now += 20.0
         for send in sends(driver.submit_request(1000 + key, cost=0.0)):
@@ -155,12 +155,12 @@
 
 
 def warm_up_key(driver: BalancerDriver) -> int:
-    """Let one key be read until its owner is counted and tokens for hedges are saved up; return the owner."""
+    """Read one key until its server has a count and the hedge budget has tokens; return the server."""
     return [driver.read(7) for _ in range(40)][-1]
 
 
-def complete_fetches(driver: BalancerDriver, count: int, result: AttemptResult, took: float = 60.0) -> None:
-    """Let reads of keys that are cached nowhere end in some way."""
+def complete_fetches(driver: BalancerDriver, count: int, result: AttemptResult, elapsed: float = 60.0) -> None:
+    """Submit count reads of keys that no server has cached, each with the given result."""
     for _ in range(count):
         driver.now += 20.0
         for send in sends(driver.submit_request(100000 + int(driver.now))):
@@ -170,7 +170,7 @@
                     0,
                     send.server,
                     result,
-                    took,
+                    elapsed,
                     result == AttemptResult.OK,
                     cache_status=CacheStatus.MISS if result == AttemptResult.OK else CacheStatus.NONE,
                 )
--- a/tests/event_stream.py
+++ b/tests/event_stream.py
@@ -1,7 +1,7 @@
-"""Random streams of events for the decision module, recorded with the resulting actions, and replayed.
+"""Random streams of events for the decision module, recorded with the resulting actions for a replay.
 
-``python -m tests.event_stream`` records the streams of the present module again; do so only if its decisions are meant
-to change. A stream has settings by name, and for each step the time, the event and the actions.
+``python -m tests.event_stream`` records the streams again with the current module; run it only after an intended change
+of its decisions. A stream consists of named settings and, for each step, the time, the event and the actions.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from .balancer_driver import ASIDE, ORIGIN, THROUGH, make_endpoints
 
 DATA = Path(__file__).with_name("data")
-# The streams were recorded before the types had these names, and are not recorded again for a name.
+# Type names in the recorded streams; they are older than the current names, and a renaming needs no new recording.
 RECORDED_NAMES = {
     "Endpoint": "Member",
     "EndpointList": "MemberList",
@@ -61,7 +61,7 @@
 
 
 class Step(NamedTuple):
-    """One event and the resulting actions; the first step has no event, as the module starts."""
+    """One event and the resulting actions; the first step, the start of the module, has no event."""
 
     now: float
     event: Event | None
@@ -69,10 +69,10 @@
 
 
 class StreamGenerator:
-    """Draws random events that are consistent with the earlier actions."""
+    """Generates random events that are consistent with the earlier actions."""
 
     def __init__(self, name: str, seed: int) -> None:
-        """Create a generator of the stream with some settings, by name."""
+        """Create the generator of a stream; name is a key of SETTINGS."""
         self.settings = SETTINGS[name]
         self.rng = Random(seed)
         self.now = 1000.0
@@ -82,8 +82,8 @@
             for endpoint in make_endpoints(6, zones=2)
             if self.settings.mode == "aside" or endpoint.server != ORIGIN
         }
-        self.in_flight: dict[tuple[int, int], tuple[int, float]] = {}  # (request, attempt): server, time sent
-        self.last_attempts: dict[int, int] = {}  # by request
+        self.in_flight: dict[tuple[int, int], tuple[int, float]] = {}  # server and send time, by request id and attempt
+        self.last_attempts: dict[int, int] = {}  # number of the last attempt, by request id
         self.timers: list[SetTimer] = []
         self.in_maintenance: set[int] = set()
         self.version = 1
@@ -143,17 +143,17 @@
 
     def _draw_request(self) -> Request:
         rng = self.rng
-        cls = rng.choice((0, 0, 0, 0, 1, 2))
+        class_index = rng.choice((0, 0, 0, 0, 1, 2))
         key = rng.choice((0, *range(1, 12), rng.randrange(1, 1 << 40)))
         self.version += 1
         return Request(
             self.version,
-            cls,
+            class_index,
             rng.uniform(200.0, 2000.0),
             key=key,
             cost_hint=rng.choice((0.0, 20.0, 60.0)),
             single_use=rng.random() < 0.05,
-            is_write=cls != 0,
+            is_write=class_index != 0,
             queue_time=rng.choice((0.0, 0.0, 40.0)),
         )
 
@@ -189,7 +189,7 @@
 
 
 def to_json_value(value: Any) -> Any:
-    """Return a value in JSON's types: a named tuple becomes a list of its recorded type name and fields."""
+    """Convert a value to JSON types: a named tuple becomes a list of its recorded type name and its fields."""
     if isinstance(value, SettingsChanged):
         return [RECORDED_NAMES["SettingsChanged"], value.settings.max_retry_after]
     if isinstance(value, tuple) and hasattr(value, "_fields"):
@@ -201,7 +201,7 @@
 
 
 def parse_event(raw: list[Any], settings: Settings) -> Event:
-    """Return the event of its recorded form."""
+    """Convert an event from its recorded form."""
     recorded, *fields = raw
     name = CURRENT_NAMES.get(recorded, recorded)
     if name == "SettingsChanged":
@@ -224,7 +224,7 @@
 
 
 def path_of(name: str, seed: int) -> Path:
-    """Return the path of a stream's file."""
+    """Return the path of the file of a recorded stream."""
     return DATA / f"stream-{name.replace(', ', '-').replace(' ', '-')}-{seed}.json"
 
 
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -1,4 +1,4 @@
-"""An independent checker of the rules: it sees only events and actions, never the module's state."""
+"""An independent checker of the four rules, based on events and actions alone and not on the module's state."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class RequestHistory:
-    """A request, its attempts and its answers."""
+    """A request with its attempts and its number of answers."""
 
     request: Request
     deadline: float
@@ -40,7 +40,7 @@
 
 
 class RuleChecker:
-    """Asserts the rules on the events that go into the module and the actions that come out."""
+    """Asserts the rules on the events passed to the decision module and on the resulting actions."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -49,34 +49,34 @@
         self.location: dict[int, tuple[int, int]] = {}
 
     def observe_event(self, now: float, event: Event) -> None:
-        """Take in an event before the module handles it."""
+        """Record an event before the module handles it."""
         if isinstance(event, Request):
             self.requests[event.id] = RequestHistory(event, now + event.budget)
         elif isinstance(event, Outcome):
-            seen = self.requests[event.id]
-            attempt = seen.attempts[event.attempt]
+            history = self.requests[event.id]
+            attempt = history.attempts[event.attempt]
             attempt.in_flight = False
             attempt.never_executed = event.result in NEVER_EXECUTED
-            if event.request_finished and not seen.is_over:
-                seen.is_over = True
-                seen.answers += 1
+            if event.request_finished and not history.is_over:
+                history.is_over = True
+                history.answers += 1
         elif isinstance(event, RequestCancelled):
             self.requests[event.id].is_over = True
         elif isinstance(event, EndpointList) and event.kind != EndpointListKind.FAILED:
-            listed = {m.server for m in event.endpoints}
+            listed = {endpoint.server for endpoint in event.endpoints}
             if event.kind != EndpointListKind.DELTA:
                 for server in self.location:
                     if server not in listed:
                         self.unavailable_since.setdefault(server, now)
-            for m in event.endpoints:
-                self.location[m.server] = (m.zone, m.cell)
-                if m.state == ServerState.READY:
-                    self.unavailable_since.pop(m.server, None)
+            for endpoint in event.endpoints:
+                self.location[endpoint.server] = (endpoint.zone, endpoint.cell)
+                if endpoint.state == ServerState.READY:
+                    self.unavailable_since.pop(endpoint.server, None)
                 else:
-                    self.unavailable_since.setdefault(m.server, now)
+                    self.unavailable_since.setdefault(endpoint.server, now)
 
     def check_actions(self, now: float, actions: list[Action]) -> None:
-        """Check the actions that an event called for."""
+        """Assert that the actions resulting from an event keep the rules."""
         for action in actions:
             if isinstance(action, Send):
                 self._check_send(now, action)
@@ -87,46 +87,51 @@
                 assert action.attempt < len(self.requests[action.id].attempts)
 
     def _check_send(self, now: float, send: Send) -> None:
-        seen = self.requests[send.id]
-        idempotency = self.settings.classes[seen.request.class_index].idempotency
-        assert not seen.is_over, "sent for a request that is over"
-        assert now < seen.deadline, "sent after the deadline"
-        assert len(seen.attempts) < self.settings.max_attempts, "too many attempts"
-        assert send.server in self.location, "sent to a server that no list named"
+        history = self.requests[send.id]
+        idempotency = self.settings.classes[history.request.class_index].idempotency
+        assert not history.is_over, "sent for a request that is over"
+        assert now < history.deadline, "sent after the deadline"
+        assert len(history.attempts) < self.settings.max_attempts, "too many attempts"
+        assert send.server in self.location, "sent to a server that no endpoint list contained"
         assert now <= self.unavailable_since.get(send.server, now) + self.settings.drain_grace, (
             "sent to a draining server after its grace"
         )
         if not self.settings.hedging_allowed or idempotency == Idempotency.NOT_IDEMPOTENT:
-            assert not any(a.in_flight for a in seen.attempts), "two attempts at once"
-        possible_executions = [a for a in seen.attempts if a.in_flight or not a.never_executed]
+            assert not any(a.in_flight for a in history.attempts), "two attempts at once"
+        possible_executions = [a for a in history.attempts if a.in_flight or not a.never_executed]
         if idempotency == Idempotency.NOT_IDEMPOTENT:
             assert not possible_executions, "a not idempotent request was sent again"
         elif idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
-            cls = self.settings.classes[seen.request.class_index]
-            assert now - possible_executions[0].sent_at < cls.idempotency_window, "sent after the idempotency window"
-            if cls.deduplication_scope != "all":
-                part = 0 if cls.deduplication_scope == "zone" else 1
-                assert self.location[possible_executions[0].server][part] == self.location[send.server][part], (
-                    "left the deduplication scope"
-                )
-        seen.attempts.append(Attempt(send.server, now))
+            request_class = self.settings.classes[history.request.class_index]
+            assert now - possible_executions[0].sent_at < request_class.idempotency_window, (
+                "sent after the idempotency window"
+            )
+            if request_class.deduplication_scope != "all":
+                location_index = 0 if request_class.deduplication_scope == "zone" else 1
+                assert (
+                    self.location[possible_executions[0].server][location_index]
+                    == self.location[send.server][location_index]
+                ), "left the deduplication scope"
+        history.attempts.append(Attempt(send.server, now))
 
     def _check_answer(self, now: float, action: Reject | Fail) -> None:
-        seen = self.requests[action.id]
-        assert not seen.is_over, "a second answer"
-        seen.is_over = True
-        seen.answers += 1
-        assert now <= seen.deadline + self.settings.answer_slack, "answered too late"
+        history = self.requests[action.id]
+        assert not history.is_over, "a second answer"
+        history.is_over = True
+        history.answers += 1
+        assert now <= history.deadline + self.settings.answer_slack, "answered too late"
         if isinstance(action, Reject):
-            cls = self.settings.classes[seen.request.class_index]
-            possible_executions = any(a.in_flight or not a.never_executed for a in seen.attempts)
-            if cls.idempotency == Idempotency.NOT_IDEMPOTENT:
+            request_class = self.settings.classes[history.request.class_index]
+            possible_executions = any(a.in_flight or not a.never_executed for a in history.attempts)
+            if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
                 assert not possible_executions, "rejected a not idempotent request that may have been executed"
-            elif cls.idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
-                assert cls.deduplication_scope == "all", "rejected a keyed request that may have been executed"
+            elif request_class.idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
+                assert request_class.deduplication_scope == "all", (
+                    "rejected a keyed request that may have been executed"
+                )
 
     def check_all_answered(self) -> None:
-        """Check that each request got one answer."""
-        for seen in self.requests.values():
-            assert seen.is_over, f"request {seen.request.id} was never answered"
-            assert seen.answers <= 1
+        """Assert that each request got an answer, and no more than one."""
+        for history in self.requests.values():
+            assert history.is_over, f"request {history.request.id} was never answered"
+            assert history.answers <= 1
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Load shedding: which requests are rejected, and the Retry-After of a rejection."""
+"""Admission control: which requests are rejected under overload, and the Retry-After of a rejection."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 def test_most_requests_that_would_be_late_are_rejected_at_once() -> None:
-    """Incident iddb886: queues longer than the latency objective stayed full."""
+    """Guards against incident iddb886: queues longer than the latency objective stayed full."""
     driver = BalancerDriver(ASIDE, make_endpoints(6))
     serve_reads(driver, 60, 900.0)
-    driver.now += 5000.0  # a router comes back to a server every few seconds only
+    driver.now += 5000.0  # a router sends to any one server only every few seconds
     rejected = 0
     for key in range(100):
         driver.now += 1.0
         rejected += len(answers(driver.submit_request(5000 + key, cost=0.0)))
-    assert 60 <= rejected < 100  # a few are sent to find out when the overload ends
+    assert 60 <= rejected < 100  # a few are sent to detect the end of the overload
 
 
 def test_requests_are_admitted_again_once_responses_are_fast() -> None:
@@ -53,18 +53,18 @@
 
 
 def test_an_overloaded_router_sheds_the_lowest_priority_weight_first() -> None:
-    """Guards against a day on which all requests wait for the router and none is in time."""
+    """Guards against an overload in which all requests queue for the router's core and none is in time."""
 
-    def rejected(driver: BalancerDriver, queue_time: float, cls: int = READ) -> int:
+    def rejected(driver: BalancerDriver, queue_time: float, class_index: int = READ) -> int:
         count = 0
         for key in range(400):
             driver.now += 10.0
             driver.next_id += 1
-            done = driver.handle_event(
-                Request(driver.next_id, cls, 900.0, key=key + 1, cost_hint=40.0, queue_time=queue_time)
+            actions = driver.handle_event(
+                Request(driver.next_id, class_index, 900.0, key=key + 1, cost_hint=40.0, queue_time=queue_time)
             )
-            count += len(answers(done))
-            for send in sends(done):
+            count += len(answers(actions))
+            for send in sends(actions):
                 driver.end_attempt(send, AttemptResult.OK)
         return count
 
@@ -77,7 +77,7 @@
 
 
 def test_fetches_from_a_failing_origin_are_rejected_and_cached_values_still_served() -> None:
-    """Guards against an overloaded origin whose fetches occupy the servers' slots, so that hits are rejected."""
+    """Fetches from an overloaded origin occupy the servers' slots, so that cache hits would be rejected too."""
     driver = BalancerDriver(THROUGH)
     driver.balancer.affinity.prior_hit_probability = [0.1, 0.1]
     for _ in range(20):
@@ -85,5 +85,5 @@
     complete_fetches(driver, 40, AttemptResult.OK)
     assert not [a for key in range(50) for a in answers(driver.submit_request(500000 + key))]
     complete_fetches(driver, 40, AttemptResult.ERROR, 200.0)
-    spared = len([a for key in range(50) for a in answers(driver.submit_request(600000 + key))])
-    assert spared > 25 and only_send(driver.submit_request(7))
+    rejected = len([a for key in range(50) for a in answers(driver.submit_request(600000 + key))])
+    assert rejected > 25 and only_send(driver.submit_request(7))
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Replayed streams: the same events result in the same actions as when the streams were recorded."""
+"""Replays recorded event streams and compares the resulting actions with the recorded ones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize("seed", event_stream.SEEDS)
 @pytest.mark.parametrize("name", event_stream.SETTINGS)
 def test_recorded_events_result_in_the_recorded_actions(name: str, seed: int) -> None:
-    """A refactoring must change no decision."""
+    """Guards against a refactoring that changes a decision."""
     balancer = Balancer(event_stream.SETTINGS[name], seed)
     lines = event_stream.path_of(name, seed).read_text(encoding="utf-8").splitlines()
     assert len(lines) == event_stream.STEPS
@@ -29,7 +29,7 @@
 
 
 def test_the_streams_have_every_kind_of_event_and_action() -> None:
-    """The types appear under their recorded names."""
+    """Guards against recorded streams that lack a type; the types have their recorded names."""
     kinds: set[str] = set()
     for name in event_stream.SETTINGS:
         for seed in event_stream.SEEDS:
@@ -56,7 +56,7 @@
 
 
 def test_a_generated_stream_is_the_same_each_time() -> None:
-    """The stream depends on the settings and the seed alone."""
+    """A stream depends only on the settings and the seed."""
     assert (
         event_stream.StreamGenerator("through", 5).generate() == event_stream.StreamGenerator("through", 5).generate()
     )
--- a/tests/test_first_guess.py
+++ b/tests/test_first_guess.py
@@ -1,4 +1,4 @@
-"""A router that has just started knows no service time: first guesses may be far off and must do no lasting harm."""
+"""A router that has just started has only guesses of the service times; wrong guesses must have no lasting effect."""
 
 from __future__ import annotations
 
@@ -10,19 +10,26 @@
 from .balancer_driver import NOT_IDEMPOTENT, READ, THROUGH, BalancerDriver, answers, only_send, sends
 from .test_origin_throttle import fetch_result
 
-OBJECTIVE_MS = 500.0  # of all classes of BalancerDriver; a tenth of it is the first guess of a service time
+# Latency objective of all classes of BalancerDriver; a tenth of it is the first guess of a service time.
+OBJECTIVE_MS = 500.0
 
 
 @pytest.mark.parametrize("fetch_ms", [60.0, 300.0, 450.0])
 def test_a_healthy_origin_slower_than_the_first_guess_gets_every_fetch(fetch_ms: float) -> None:
-    """It got 3 of 59: fetches over four times the guess counted as an overload, and being throttled taught nothing."""
+    """A regression: the origin got 3 of 59 fetches.
+
+    Fetches that took over four times the guess counted as an overload, and throttled fetches gave no new estimate.
+    """
     driver = BalancerDriver()
     assert all(fetch_result(driver, key, AttemptResult.OK, fetch_ms) for key in range(1, 60))
 
 
 @pytest.mark.parametrize("service_ms", [40.0, 300.0, 450.0])
-def test_servers_slower_than_the_first_guess_are_not_taken_for_overloaded(service_ms: float) -> None:
-    """127 to 133 of 199 reads were rejected: the time over the guess counted as a wait, and as a late response."""
+def test_servers_slower_than_the_first_guess_are_not_considered_overloaded(service_ms: float) -> None:
+    """A regression: 127 to 133 of 199 reads were rejected.
+
+    The part of the response time above the guess counted as a wait, and the response as late.
+    """
     driver = BalancerDriver(THROUGH)
     in_flight: list[tuple[float, Send]] = []
     for number in range(1, 200):
@@ -34,8 +41,8 @@
         in_flight.append((driver.now + service_ms, only_send(actions)))
 
 
-def test_one_slow_first_response_does_not_make_a_class_look_hopeless() -> None:
-    """The first response replaces the guess; if it happens to be late, the next requests must go out all the same."""
+def test_one_slow_first_response_does_not_get_later_requests_of_its_class_rejected() -> None:
+    """The first response replaces the guess; even if it was late, the next requests must be sent."""
     driver = BalancerDriver(THROUGH)
     for number in range(1, 40):
         driver.now += 100.0
@@ -45,7 +52,7 @@
 
 
 def test_a_class_without_responses_costs_no_more_than_the_mean() -> None:
-    """A guess of 50 ms beside a learned mean of 5 ms took ten tokens of a slow start's budget for one request."""
+    """A regression: with a guess of 50 ms and a learned mean of 5 ms, one request cost ten tokens of a slow start."""
     driver = BalancerDriver(THROUGH)
     for number in range(1, 60):
         driver.now += 50.0
--- a/tests/test_load_estimate.py
+++ b/tests/test_load_estimate.py
@@ -1,4 +1,4 @@
-"""What responses and time-outs show of the queueing at servers."""
+"""Estimates of the queueing at servers from responses and time-outs."""
 
 from __future__ import annotations
 
@@ -8,28 +8,29 @@
 
 
 def test_a_timeout_shows_no_queue_if_later_requests_were_answered() -> None:
-    """Guards against rejecting everything when one connection falls silent: its server responds as ever."""
+    """Guards against rejecting all requests when one connection stops responding while its server still does."""
     driver = BalancerDriver(THROUGH)
-    silent = only_send(driver.submit_request(7))
+    unresponsive = only_send(driver.submit_request(7))
     driver.now += 100.0
     driver.read(7)
     driver.now += 800.0
     before = driver.balancer.load.wait_estimates.mean_wait
-    driver.end_attempt(silent, AttemptResult.TIMEOUT, elapsed=930.0)
+    driver.end_attempt(unresponsive, AttemptResult.TIMEOUT, elapsed=930.0)
     assert driver.balancer.load.wait_estimates.mean_wait == before
     unanswered = only_send(driver.submit_request(7))
     driver.now += 930.0
     driver.end_attempt(unanswered, AttemptResult.TIMEOUT, elapsed=930.0)
-    assert driver.balancer.load.wait_estimates.mean_wait == before  # a lost server is no sign of queues at the others
-    busy = only_send(driver.submit_request(7))
+    # One unresponsive server does not indicate queues at the others.
+    assert driver.balancer.load.wait_estimates.mean_wait == before
+    delayed = only_send(driver.submit_request(7))
     driver.now += 10.0
-    alone = only_send(driver.submit_request(7))
-    assert busy.server == alone.server
+    unanswered_later = only_send(driver.submit_request(7))
+    assert delayed.server == unanswered_later.server
     driver.now += 890.0
-    driver.end_attempt(busy, AttemptResult.OK, elapsed=900.0)
+    driver.end_attempt(delayed, AttemptResult.OK, elapsed=900.0)
     before = driver.balancer.load.wait_estimates.mean_wait
     driver.now += 40.0
-    driver.end_attempt(alone, AttemptResult.TIMEOUT, elapsed=930.0)
+    driver.end_attempt(unanswered_later, AttemptResult.TIMEOUT, elapsed=930.0)
     assert driver.balancer.load.wait_estimates.mean_wait > before
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""What is promised of the module's own text, its settings and its routing."""
+"""Structure of the decision module: its files and imports, its settings, and the routing of a key it has counted."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("name", [*FILES, *(f"starlingthread/state/{n}.py" for n in ("fleet", "records"))])
 def test_the_module_keeps_no_state_and_no_clock_of_its_own(name: str) -> None:
     tree = ast.parse((ROOT / name).read_text())
-    parts = {Path(file).stem for file in FILES} | {"records"}  # named from within their own folder
+    parts = {Path(file).stem for file in FILES} | {"records"}  # imported by modules in their own folder
     imported = {n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom)}
     imported |= {a.name for n in ast.walk(tree) if isinstance(n, ast.Import) for a in n.names}
     assert imported <= ALLOWED | parts
--- a/tests/test_restart_evenness.py
+++ b/tests/test_restart_evenness.py
@@ -1,4 +1,4 @@
-"""How evenly a router that has just started loads the servers, under one clock and with a seed."""
+"""How evenly a router that has just started distributes requests over the servers, in a seeded simulation."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 SERVERS, ZONES, KEYS = 6, 3, 400
 SERVICE_MS = 15.0
 REPORT = (1.0, 0.0, 0.5)
-BUSY_REPORT = (8.0, 0.0, 0.5)  # what one server reports in the router's first 500 ms
-BUSY_SERVER, BUSY_MS = 4, 500.0
+BUSY_REPORT = (8.0, 0.0, 0.5)  # load report of one server in the router's first 500 ms
+BUSY_SERVER, BUSY_DURATION_MS = 4, 500.0
 
 
 def requests_by_server(seed: int, length_ms: float = 3500.0, requests_per_ms: float = 0.025) -> list[int]:
-    """Start a router, have clients read keys at random, and count the attempts at each server."""
+    """Simulate a router from its start with reads of random keys; return the number of attempts at each server."""
     rng, order = Random(seed), count(1)
     balancer, attempts, start = Balancer(SETTINGS, seed), [0] * SERVERS, 1e6
     due: list[tuple[float, int, Event]] = []
 
-    def carry_out(now: float, actions: list[Action]) -> None:
+    def apply_actions(now: float, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
                 heappush(due, (action.at, next(order), Timer(action.label)))
             elif isinstance(action, Send):
                 attempts[action.server - 1] += 1
-                is_busy = action.server == BUSY_SERVER and now < start + BUSY_MS
+                is_busy = action.server == BUSY_SERVER and now < start + BUSY_DURATION_MS
                 result = (AttemptResult.OK, SERVICE_MS, True, CacheStatus.HIT, BUSY_REPORT if is_busy else REPORT)
                 heappush(due, (now + SERVICE_MS, next(order), Outcome(action.id, 0, action.server, *result)))
 
-    carry_out(start, balancer.start(start))
+    apply_actions(start, balancer.start(start))
     endpoints = tuple(Endpoint(number + 1, zone=number % ZONES) for number in range(SERVERS))
-    carry_out(start, balancer.handle(start, EndpointList(EndpointListKind.FULL, 1, endpoints)))
+    apply_actions(start, balancer.handle(start, EndpointList(EndpointListKind.FULL, 1, endpoints)))
     at = start
     while (at := at + rng.expovariate(requests_per_ms)) < start + length_ms:
         key = (rng.randrange(KEYS) + 1) * 0x9E3779B97F4A7C15 % 2**64
@@ -56,18 +56,17 @@
         heappush(due, (at, number, Request(number, 0, READ.deadline, key=key)))
     while due and due[0][0] < start + length_ms:
         now, _, event = heappop(due)
-        carry_out(now, balancer.handle(now, event))
+        apply_actions(now, balancer.handle(now, event))
     return attempts
 
 
 def test_one_high_load_report_does_not_starve_a_server_after_a_restart() -> None:
-    """A report counts requests; they are turned into ms by a first guess that is eight times the service time here.
+    """A regression: a router that had just started sent a server nothing for seconds after one high load report.
 
-    What happened: a router that had just started left a server alone for seconds after one high load report.
-    Why: the report was turned into ms when it came, by the first guess of the service time, and kept as ms. No request
-    went there, so no newer report came, and learning the service time changed nothing of what was kept.
-    What showed it: 0.05 to 0.4 of its share on 70 of 100 fresh seeds, on none without that report; the kept 480 ms
-    against costs of 15 to 75 ms. Now reports are kept as requests, and the first response replaces the guess.
+    The report counts requests. It was converted to ms on arrival, by a first guess that is eight times the service
+    time here, and stored as 480 ms against costs of 15 to 75 ms. As the server got no requests, no newer report came,
+    and the learned service time did not change the stored value: on 70 of 100 seeds the server got 0.05 to 0.4 of its
+    share, on none without that report. Reports are now stored as requests, and the first response replaces the guess.
     """
     for seed in range(5):
         attempts = requests_by_server(seed)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -23,7 +23,7 @@
 
 
 def test_a_slow_request_is_hedged_once_at_another_server_unless_it_is_not_idempotent() -> None:
-    """Guards against connections that fall silent: a time-out at the deadline would be too late."""
+    """Guards against connections that stop responding: a time-out at the deadline would be too late."""
     driver = BalancerDriver(HEDGED)
     owner = warm_up_key(driver)
     first = only_send(driver.submit_request(7))
@@ -45,19 +45,19 @@
 
 
 def test_a_slow_request_at_a_server_that_answers_others_is_not_hedged() -> None:
-    """Where servers finish cancelled requests too, three hedges in a hundred requests were a tenth of all work."""
+    """Where servers also finish cancelled requests, three hedges in a hundred requests were a tenth of all work."""
     driver = BalancerDriver(HEDGED)
     owner = warm_up_key(driver)
-    long, driver.now = only_send(driver.submit_request(7)), driver.now + 100.0
-    assert driver.read(7) == owner and long.server == owner
+    slow_send, driver.now = only_send(driver.submit_request(7)), driver.now + 100.0
+    assert driver.read(7) == owner and slow_send.server == owner
     assert not sends(driver.advance_time(800.0))
 
 
 def test_overtaken_requests_are_hedged_while_such_requests_are_lost() -> None:
-    """On rate+silent+leave 19 of 20 requests that were overtaken timed out: single connections had died."""
+    """In scenario rate+silent+leave, 19 of 20 overtaken requests timed out, as single connections were dead."""
     driver = BalancerDriver(HEDGED)
 
-    def is_hedged(result: AttemptResult, left: float) -> bool:
+    def is_hedged(result: AttemptResult, remaining_ms: float) -> bool:
         warm_up_key(driver)
         first, sent_at = only_send(driver.submit_request(7)), driver.now
         driver.now += 100.0
@@ -67,18 +67,22 @@
             driver.end_attempt(hedge, AttemptResult.OK, attempt=1)
             driver.end_attempt(first, AttemptResult.CANCELLED)
         if not hedges:
-            driver.now = sent_at + 1000.0 - left
-            driver.end_attempt(first, result, elapsed=1000.0 - left)
+            driver.now = sent_at + 1000.0 - remaining_ms
+            driver.end_attempt(first, result, elapsed=1000.0 - remaining_ms)
         return bool(hedges)
 
     assert [is_hedged(AttemptResult.TIMEOUT, 0.0) for _ in range(40)].index(True) in range(10, 20)
-    assert sum(is_hedged(AttemptResult.OK, 500.0) for _ in range(80)) in range(5, 60)  # some get none, and show it
+    # Some of these requests are not hedged, to learn that they are answered again.
+    assert sum(is_hedged(AttemptResult.OK, 500.0) for _ in range(80)) in range(5, 60)
     assert not any(is_hedged(AttemptResult.OK, 500.0) for _ in range(20))
 
 
 @pytest.mark.parametrize("lost_share", [0.0, 0.9])
 def test_lost_requests_do_not_lower_limits_and_earn_more_hedges(lost_share: float) -> None:
-    """On churn+long of the second site a tenth of all got no response for 15 s, and a fifth was rejected for that."""
+    """A regression in scenario churn+long at the second site, where a tenth of all requests got no response for 15 s.
+
+    Because of that, a fifth of all requests was rejected.
+    """
     driver = BalancerDriver(HEDGED)
     warm_up_key(driver)
     budget = driver.balancer.hedging.budget
@@ -101,18 +105,17 @@
         budget.on_first_attempt(500.0, True)
     assert (budget.tokens >= 2.0) == (lost_share > 0)
     outliers = driver.balancer.fleet.servers[first.server].outliers
-    assert budget.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 3.0, 0.5) == (
-        lost_share > 0
-    )  # a fetch out too long
+    # With a hit probability of 0, only a request that is outstanding for far longer than a fetch is hedged.
+    assert budget.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 3.0, 0.5) == (lost_share > 0)
     assert not budget.is_worthwhile(outliers.last_response_at - 1.0, outliers, 0.0, 1.0, 0.5)
 
 
 def test_hedges_are_few_and_none_are_sent_while_all_servers_are_slow() -> None:
     driver = BalancerDriver(HEDGED)
     warm_up_key(driver)
-    asked = [only_send(driver.submit_request(7)) for _ in range(100)]
+    first_attempts = [only_send(driver.submit_request(7)) for _ in range(100)]
     hedges = len(sends(driver.advance_time(400.0)))
-    assert 0 < hedges <= 0.04 * (len(asked) + 41) + 1
+    assert 0 < hedges <= 0.04 * (len(first_attempts) + 41) + 1
     slow = BalancerDriver(HEDGED)
     warm_up_key(slow)
     slow.balancer.load.wait_estimates.mean_wait = 300.0
@@ -130,7 +133,7 @@
 
 
 def test_an_unexecuted_attempt_does_not_clear_another_one_at_the_same_server_and_time() -> None:
-    """Guards the rule on rejections where a reset write with a key is retried at the same server at once."""
+    """Guards the rule on rejections when a reset write with an idempotency key is retried at its server at once."""
     keyed = THROUGH.classes[IDEMPOTENCY_KEY]._replace(deduplication_scope="zone")
     driver = BalancerDriver(THROUGH._replace(classes=(THROUGH.classes[READ], keyed)))
     first = only_send(driver.submit_request(7, IDEMPOTENCY_KEY))
@@ -144,7 +147,7 @@
 
 
 def test_a_failed_fetch_is_not_retried() -> None:
-    """Guards an overloaded origin against retries, and the affinity counts against values never stored."""
+    """A retry would add to the origin's overload, and a count would point to a server that stored no value."""
     driver = BalancerDriver(THROUGH)
     driver.balancer.affinity.prior_hit_probability = [0.1, 0.1]
     first = only_send(driver.submit_request(9))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, by worked cases and by random event streams."""
+"""The four rules of sending and answering, checked with examples and with random event streams."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
     driver.checker.check_all_answered()
 
 
-@pytest.mark.parametrize("cls", [IDEMPOTENCY_KEY, NOT_IDEMPOTENT])
-def test_writes_go_to_the_origin_in_aside_mode(cls: int) -> None:
+@pytest.mark.parametrize("class_index", [IDEMPOTENCY_KEY, NOT_IDEMPOTENT])
+def test_writes_go_to_the_origin_in_aside_mode(class_index: int) -> None:
     driver = BalancerDriver()
-    assert only_send(driver.submit_request(class_index=cls)).server == ORIGIN
+    assert only_send(driver.submit_request(class_index=class_index)).server == ORIGIN
 
 
 @pytest.mark.parametrize(
@@ -190,63 +190,65 @@
         assert driver.balancer.handle(driver.now, event) == []
 
 
-def _stream(settings_: Settings, seed: int) -> list[object]:
+def _run_random_events(module_settings: Settings, seed: int) -> list[object]:
     rng = random.Random(seed)
-    driver = BalancerDriver(settings_, make_endpoints(5, zones=2), seed=seed)
+    driver = BalancerDriver(module_settings, make_endpoints(5, zones=2), seed=seed)
     in_flight: dict[tuple[int, int], tuple[Send, float]] = {}
-    seen: list[object] = []
+    recorded_actions: list[object] = []
 
     def record(actions: list[object]) -> None:
-        seen.extend(actions)
+        recorded_actions.extend(actions)
         for action in actions:
             if isinstance(action, Send):
                 number = len(driver.checker.requests[action.id].attempts) - 1
                 in_flight[action.id, number] = (action, driver.now)
 
-    def end_overdue() -> None:
-        """End, as the wire does, what is in flight at its deadline."""
-        for (rid, number), (send, _) in list(in_flight.items()):
-            request = driver.checker.requests[rid]
+    def time_out_overdue() -> None:
+        """Time out the attempts whose deadline has passed, as the transport does."""
+        for (request_id, number), (send, _) in list(in_flight.items()):
+            request = driver.checker.requests[request_id]
             if driver.now >= request.deadline:
-                del in_flight[rid, number]
-                driver.now, late = request.deadline, driver.now
+                del in_flight[request_id, number]
+                driver.now, current_time = request.deadline, driver.now
                 record(
                     [
                         *driver.handle_event(
-                            Outcome(rid, number, send.server, AttemptResult.TIMEOUT, 0.0, request.is_over)
+                            Outcome(request_id, number, send.server, AttemptResult.TIMEOUT, 0.0, request.is_over)
                         )
                     ]
                 )
-                driver.now = late
+                driver.now = current_time
 
     for _ in range(150):
-        dice = rng.random()
-        if dice < 0.4:
-            cls = rng.choice((READ, READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT))
-            record([*driver.submit_request(rng.randrange(6), cls, rng.uniform(50, 2000))])
-        elif dice < 0.75 and in_flight:
-            (rid, number), (send, at) = rng.choice(list(in_flight.items()))
-            del in_flight[rid, number]
+        draw = rng.random()
+        if draw < 0.4:
+            class_index = rng.choice((READ, READ, IDEMPOTENCY_KEY, NOT_IDEMPOTENT))
+            record([*driver.submit_request(rng.randrange(6), class_index, rng.uniform(50, 2000))])
+        elif draw < 0.75 and in_flight:
+            (request_id, number), (send, sent_at) = rng.choice(list(in_flight.items()))
+            del in_flight[request_id, number]
             result = rng.choice(list(AttemptResult))
-            over = driver.checker.requests[rid].is_over or result == AttemptResult.OK
-            record([*driver.handle_event(Outcome(rid, number, send.server, result, driver.now - at, over))])
-        elif dice < 0.8:
-            line = Endpoint(
+            is_over = driver.checker.requests[request_id].is_over or result == AttemptResult.OK
+            record(
+                [*driver.handle_event(Outcome(request_id, number, send.server, result, driver.now - sent_at, is_over))]
+            )
+        elif draw < 0.8:
+            endpoint = Endpoint(
                 rng.randrange(1, 7),
                 zone=rng.randrange(2),
                 state=rng.choice(list(ServerState)),
                 started=rng.choice((0.0, driver.now)),
             )
-            record([*driver.handle_event(EndpointList(EndpointListKind.DELTA, 2, (line,)))])
-        elif dice < 0.83 and driver.checker.requests:
+            record([*driver.handle_event(EndpointList(EndpointListKind.DELTA, 2, (endpoint,)))])
+        elif draw < 0.83 and driver.checker.requests:
             record([*driver.handle_event(RequestCancelled(rng.choice(list(driver.checker.requests))))])
         record([*driver.advance_time(rng.choice((0, 0, 5, 40, 200)))])
-        end_overdue()
+        time_out_overdue()
     for _ in range(60):
         record([*driver.advance_time(50)])
-        end_overdue()
+        time_out_overdue()
     driver.checker.check_all_answered()
-    return seen
+    return recorded_actions
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -259,19 +261,19 @@
 def test_random_streams_keep_the_rules(seed: int, aside: bool, scope: str, hedging: bool) -> None:
     base = ASIDE if aside else THROUGH
     classes = (CLASSES[0], CLASSES[1]._replace(deduplication_scope=scope), CLASSES[2])
-    _stream(base._replace(classes=classes, hedging_allowed=hedging), seed)
+    _run_random_events(base._replace(classes=classes, hedging_allowed=hedging), seed)
 
 
 def test_equal_events_give_equal_actions_and_instances_share_nothing() -> None:
-    alone = _stream(ASIDE, 5)
-    _stream(ASIDE, 6)
-    assert _stream(ASIDE, 5) == alone
+    first_run = _run_random_events(ASIDE, 5)
+    _run_random_events(ASIDE, 6)
+    assert _run_random_events(ASIDE, 5) == first_run
 
 
 def test_a_failed_list_is_polled_again_before_a_drain_counts_as_notified() -> None:
-    """Guards the drain rule once discovery is back: a change counts as notified 6 s after, whatever poll was rejected.
+    """Guards the drain rule: 6 s after discovery has recovered a change counts as notified, even after a rejected poll.
 
-    A poll that is queued for 2 s and rejected, with a pause before it and after it, leaves 1 s for the answer.
+    A poll that is queued for 2 s and rejected, with a backoff before and after it, leaves 1 s for the answer.
     """
     driver = BalancerDriver(THROUGH._replace(must_poll=True), make_endpoints(4))
     for _ in range(12):
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a server, beyond the one with the greatest affinity."""
+"""The choice of a server other than the one with the greatest affinity."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def test_an_overloaded_owner_is_passed_over_for_servers_that_are_in_time() -> None:
-    """Incident i952281: the owners of a crowded zone rejected what idle servers could have answered."""
+    """Incident i952281: the owners in an overloaded zone rejected requests that idle servers could have answered."""
     driver = BalancerDriver(ASIDE, make_endpoints(12))
     owner = [driver.read(7) for _ in range(12)][-1]
-    for _ in range(5):  # the other servers are seen to be quick
+    for _ in range(5):  # the balancer learns that the other servers respond fast
         for key in range(100, 130):
             driver.now += 10.0
             for send in sends(driver.submit_request(key)):
@@ -24,27 +24,28 @@
 
 
 def test_a_key_gets_an_owner_in_the_zone_once_crossing_it_costs_as_much_as_a_fetch() -> None:
-    def near(price: float, routers: int = 4) -> int:
+    def owners_in_zone(price: float, routers: int = 4) -> int:
         driver = BalancerDriver(
             THROUGH._replace(price_cross_zone=price, router_count=routers), make_endpoints(8, zones=2)
         )
         owners = [driver.read(key) for key in range(1, 200)]
         return sum(owner % 2 == 0 for owner in owners)
 
-    # A fetch takes 75 ms as far as is known, the latency objective is 500 ms, and half of the servers are in our zone.
-    assert near(0.2) > 150 > near(0.02) > 60
-    assert near(0.02, routers=40) > 150  # that many share the owner, and each sees little of what it saves
+    # The estimated fetch time is 75 ms, the latency objective is 500 ms, and half of the servers are in this zone.
+    assert owners_in_zone(0.2) > 150 > owners_in_zone(0.02) > 60
+    # The routers of a zone share the savings, so that each of many routers sees only a small part of them.
+    assert owners_in_zone(0.02, routers=40) > 150
 
 
 def test_an_owner_with_too_many_attempts_in_flight_is_passed_over_before_any_response_is_late() -> None:
-    """Guards zones that are a server short: the two owners left drew 80 requests a second each, the others 20."""
+    """Guards zones that lack a server: the two remaining owners got 80 requests a second each, the others 20."""
     driver = BalancerDriver(THROUGH)
     for key in range(1, 30):
         driver.read(key)
     owner = driver.read(7)
     sent_to: dict[int, int] = {}
-    for _ in range(80):  # a crowd for one key, of which nothing is answered yet
+    for _ in range(80):  # a burst for one key, of which nothing is answered yet
         for send in sends(driver.submit_request(7, cost=40.0)):
             sent_to[send.server] = sent_to.get(send.server, 0) + 1
-    # 500 ms of latency objective, two at a time, 30 ms each as was learned: more than that would be late at one server.
+    # The objective is 500 ms, and a server processes two requests at a time in the learned 30 ms each: more are late.
     assert sent_to[owner] <= 500 / 30 * 2 + 1 and len(sent_to) > 2
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet under one clock: several balancers, servers with some cores each, and clients that retry."""
+"""A simulated fleet with one clock: several routers, servers with several cores each, and clients that retry."""
 
 from __future__ import annotations
 
@@ -34,37 +34,37 @@
     overload_factor=3.0,
     overload_window=1000.0,
 )
-ROUND_TRIP = 1.0  # ms to a server and back
-CLIENT_TIMEOUT = 1300.0  # ms that a client and an attempt wait for an answer
-MIN_CLIENT_BACKOFF = 84.0  # ms
+ROUND_TRIP_MS = 1.0  # network round trip between a router and a server
+CLIENT_TIMEOUT_MS = 1300.0  # time-out of a client's request and of each attempt
+MIN_CLIENT_BACKOFF_MS = 84.0
 MAX_CLIENT_RETRIES = 2
 KEYS = 400
 KEY_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads small key numbers over 64 bits
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that reached a server, accepted or not: the time, and the work in ms of one core."""
+    """A request that reached a server, accepted or not: its time, and its work in ms of one core."""
 
     at: float
     work_ms: float
 
 
 class Server:
-    """Parallel cores and a short queue; requests beyond it are rejected. In slow start its capacity is reduced."""
+    """A server with several cores and a short queue; it rejects further requests. Slow start reduces its capacity."""
 
     def __init__(self, cores: int, work_ms: float, queue_length: int) -> None:
-        """Create a server that was always up; work_ms is the core time of a request of size 1."""
+        """Create a server that started long ago; work_ms is the core time of a request of size 1."""
         self.cores = cores
         self.work_ms = work_ms
         self.queue_length = queue_length
         self.slowdown = 1.0
         self.started = 0.0
-        self.core_free_at = [0.0] * cores  # when each core has finished its assigned work
+        self.core_free_at = [0.0] * cores  # clock time at which each core has finished its assigned work
         self.in_progress = 0
         self.received: list[ReceivedRequest] = []
 
     def capacity_share(self, now: float) -> float:
-        """Return the share of its full capacity that the server has now, by its slow start."""
+        """Return the share of its full capacity that the server has reached in its slow start."""
         age = max(0.0, now - self.started)
         if not self.started or age > SETTINGS.slow_start_duration:
             return 1.0
@@ -83,7 +83,7 @@
         return completes_at
 
     def peak_overload(self, window: float) -> float:
-        """Return the greatest ratio of received work to the capacity in slow start, over any window (ms)."""
+        """Return the greatest ratio of received work to the capacity in slow start, in any window (ms)."""
         peak = 0.0
         work_in_window = 0.0
         first = 0
@@ -100,9 +100,9 @@
 
 
 class ClientRequest(NamedTuple):
-    """What a client wants, over its retries."""
+    """A client's request, with the number of its retries so far."""
 
-    began: float
+    began_at: float
     key: int
     size: float
     retries: int
@@ -116,7 +116,7 @@
 
 
 class AttemptCompletion(NamedTuple):
-    """The result of an attempt, on its way to the router that sent it."""
+    """The result of an attempt, to be delivered to the router that sent it."""
 
     router: Balancer
     send: Send
@@ -126,17 +126,20 @@
 
 
 class RequestResult(NamedTuple):
-    """How a client's request ended: served, late or rejected."""
+    """The result of a client's request: served, late or rejected."""
 
     at: float
     status: str
 
 
 class VirtualFleet:
-    """Clients send requests; one that is rejected, or has waited for 1.3 s, retries twice at most."""
+    """Simulates clients, routers and servers.
+
+    A client whose request is rejected or times out retries at most MAX_CLIENT_RETRIES times.
+    """
 
     def __init__(self, servers: list[Server], settings: Settings = SETTINGS, seed: int = 1, kinds: int = 1) -> None:
-        """Start the routers with the full list of servers, whose machine kinds alternate."""
+        """Start the routers with the full endpoint list; the servers' machine kinds alternate."""
         self.servers = dict(enumerate(servers, 1))
         self.rng = Random(seed)
         self.now = 1e6
@@ -153,23 +156,23 @@
         self.popularity = list(accumulate(1 / (5 + rank) for rank in range(KEYS)))
         self.rejected = 0
         for router in self.routers:
-            self._carry_out(router, router.start(self.now))
+            self._apply_actions(router, router.start(self.now))
         self.publish_endpoints()
 
     def publish_endpoints(self) -> None:
-        """Give the full endpoint list to all routers."""
-        listing = EndpointList(EndpointListKind.FULL, 1, tuple(self.endpoints))
+        """Send the full endpoint list to all routers."""
+        endpoint_list = EndpointList(EndpointListKind.FULL, 1, tuple(self.endpoints))
         for router in self.routers:
-            self._carry_out(router, router.handle(self.now, listing))
+            self._apply_actions(router, router.handle(self.now, endpoint_list))
 
     def restart(self, number: int) -> None:
-        """Restart a server, which begins its slow start; all routers are notified at once."""
+        """Restart a server, which begins its slow start; all routers are notified immediately."""
         self.servers[number].started = self.now
         self.endpoints = [e._replace(started=self.now) if e.server == number else e for e in self.endpoints]
         self.publish_endpoints()
 
-    def play(self, duration: float, per_second: float) -> dict[str, int]:
-        """Let clients send requests for a while (ms); return how many requests ended in it, by status."""
+    def run(self, duration: float, per_second: float) -> dict[str, int]:
+        """Simulate clients' requests for a duration (ms); return how many requests ended in that time, by status."""
         until = self.now + duration
         results_before = len(self.results)
         self._schedule_requests(until, per_second)
@@ -195,7 +198,7 @@
         elif isinstance(item, Server):
             item.in_progress -= 1
         elif isinstance(item, ScheduledTimer):
-            self._carry_out(item.router, item.router.handle(self.now, Timer(item.label)))
+            self._apply_actions(item.router, item.router.handle(self.now, Timer(item.label)))
         elif isinstance(item, AttemptCompletion):
             self._complete_attempt(item)
 
@@ -205,10 +208,10 @@
         self.requests[number] = client_request
         self.open_requests.add(number)
         key = client_request.key * KEY_MULTIPLIER % 2**64
-        request = Request(number, 0, CLIENT_TIMEOUT, key=key, cost_hint=client_request.size)
-        self._carry_out(router, router.handle(self.now, request))
+        request = Request(number, 0, CLIENT_TIMEOUT_MS, key=key, cost_hint=client_request.size)
+        self._apply_actions(router, router.handle(self.now, request))
 
-    def _carry_out(self, router: Balancer, actions: list[Action]) -> None:
+    def _apply_actions(self, router: Balancer, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(router, action)
@@ -224,15 +227,15 @@
         if completes_at is None:
             self.rejected += 1
             result = AttemptResult.FULL
-            result_at = self.now + ROUND_TRIP
+            result_at = self.now + ROUND_TRIP_MS
         else:
             self._schedule(completes_at, server)
-            if completes_at - self.now > CLIENT_TIMEOUT:
+            if completes_at - self.now > CLIENT_TIMEOUT_MS:
                 result = AttemptResult.TIMEOUT
-                result_at = self.now + CLIENT_TIMEOUT
+                result_at = self.now + CLIENT_TIMEOUT_MS
             else:
                 result = AttemptResult.OK
-                result_at = completes_at + ROUND_TRIP
+                result_at = completes_at + ROUND_TRIP_MS
         self._schedule(result_at, AttemptCompletion(router, send, attempt, result, self.now))
 
     def _complete_attempt(self, completion: AttemptCompletion) -> None:
@@ -250,7 +253,7 @@
             is_final,
             CacheStatus.HIT if served else CacheStatus.NONE,
         )
-        self._carry_out(completion.router, completion.router.handle(self.now, outcome))
+        self._apply_actions(completion.router, completion.router.handle(self.now, outcome))
 
     def _finish(self, number: int, status: str, retry_after: float = 0.0) -> None:
         """End a request: schedule the client's retry, or record the result."""
@@ -258,11 +261,11 @@
             return
         self.open_requests.remove(number)
         request = self.requests[number]
-        in_time = self.now + retry_after - request.began < READ.deadline
+        in_time = self.now + retry_after - request.began_at < READ.deadline
         if status != "served" and request.retries < MAX_CLIENT_RETRIES and in_time:
             retry = request._replace(retries=request.retries + 1)
-            self._schedule(self.now + max(retry_after, MIN_CLIENT_BACKOFF), retry)
-        elif status == "served" and self.now - request.began > READ.latency_objective:
+            self._schedule(self.now + max(retry_after, MIN_CLIENT_BACKOFF_MS), retry)
+        elif status == "served" and self.now - request.began_at > READ.latency_objective:
             self.results.append(RequestResult(self.now, "late"))
         else:
             self.results.append(RequestResult(self.now, status))
