--- a/starlingthread/policy/admission.py
+++ b/starlingthread/policy/admission.py
@@ -74,7 +74,7 @@
     def check_fetch(self, now: float, state: RequestState) -> Rejection | None:
         """Check whether the origin has capacity for the fetch that a request may cause.
 
-        Fetches from an overloaded origin occupy the servers' slots until they time out, so that cached values can not
+        Fetches from an overloaded origin occupy the servers' slots until they time out, so that cached values cannot
         be served either.
         """
         draw = self.fleet.rng.random()
--- a/starlingthread/policy/balancer.py
+++ b/starlingthread/policy/balancer.py
@@ -43,7 +43,7 @@
     load_estimate_class: type[LoadEstimate] = LoadEstimate
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create a balancer without servers; seed initializes all random draws. Invalid settings raise ValueError."""
+        """Create a balancer without servers, with a seeded random generator. Invalid settings raise ValueError."""
         self.fleet = Fleet(settings, seed)
         self.load = self.load_estimate_class(self.fleet)
         self.affinity = Affinity(self.load)
--- a/starlingthread/policy/completion.py
+++ b/starlingthread/policy/completion.py
@@ -24,7 +24,7 @@
         self.waiting = waiting
 
     def reject_or_fail(self, now: float, state: RequestState) -> None:
-        """Answer a request that can not be served: reject it if the client may safely retry it, else fail it."""
+        """Answer a request that cannot be served: reject it if the client may safely retry it, else fail it."""
         if self._is_safe_to_retry(now, state):
             self.fleet.actions.append(Reject(state.request.id, self._retry_after(state)))
         else:
--- a/starlingthread/policy/endpoint_polling.py
+++ b/starlingthread/policy/endpoint_polling.py
@@ -1,4 +1,4 @@
-"""Polling of the endpoint list, for discovery that does not push it without a subscription."""
+"""Polling of the endpoint list, where discovery does not push it without a subscription."""
 
 from __future__ import annotations
 
--- a/starlingthread/policy/hedging.py
+++ b/starlingthread/policy/hedging.py
@@ -40,7 +40,7 @@
         self.core = admission.core
         self.budget = HedgeBudget()
         self._checks: list[HedgeCheck] = []  # a heap ordered by due time
-        self._timer_at = math.inf  # clock time (ms) of the pending timer; inf: none is pending
+        self._timer_at = math.inf  # clock time (ms) of the timer set for the next check; inf: none is set
 
     def schedule_check(self, now: float, state: RequestState, is_counted: bool) -> None:
         """Schedule the check of a first attempt, if it may be hedged and the check is due before the deadline.
--- a/starlingthread/policy/timers.py
+++ b/starlingthread/policy/timers.py
@@ -4,7 +4,7 @@
 
 POLL_ENDPOINTS = 0
 CHECK_HEDGES = 1 << 60
-TIMER_TOLERANCE_MS = 0.01  # a timer may expire early by this time
+TIMER_TOLERANCE_MS = 0.01  # a timer may expire this long before its time
 
 
 def resume_label(request_id: int) -> int:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -117,9 +117,9 @@
     windows = Counter(
         (int((at - restarted_at) / OVERLOAD_WINDOW_MS), server) for at, server in fleet.sends if at >= restarted_at
     )
-    fair = 1800.0 * OVERLOAD_WINDOW_MS / 1000.0 / SERVERS
+    mean_requests = 1800.0 * OVERLOAD_WINDOW_MS / 1000.0 / SERVERS
     # A server with a load of 0.6 when warm is overloaded by 4 x 0.15 = 0.6 of its capacity: by 1.0 of its usual load.
-    assert max(count for (window, _), count in windows.items() if window == 0) < 1.0 * fair
+    assert max(count for (window, _), count in windows.items() if window == 0) < 1.0 * mean_requests
 
 
 def test_faster_machines_get_more_though_the_list_gives_all_the_same_weight() -> None:
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -31,7 +31,7 @@
 SLOW_START_DURATION_MS = 22000.0
 CAPACITY_REQUESTS_PER_MS = 0.015  # full capacity of a server
 MEAN_RESPONSE_TIME_MS = 60.0
-MAX_NOTIFICATION_DELAY_MS = 2000.0  # until a router is notified of a restarted server
+MAX_NOTIFICATION_DELAY_MS = 2000.0  # longest time until a router is notified of a restarted server
 DEADLINE_MS = 4000.0
 KEYS = 3000
 KEY_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads small key numbers over 64 bits
@@ -92,11 +92,11 @@
         self.settings = SETTINGS._replace(router_count=routers)
         self.endpoints = [Endpoint(1000 + n * 7919, zone=n % 3) for n in range(servers)]
         self.scheduled: list[tuple[float, int, ScheduledEvent]] = []
-        self.sends: list[tuple[float, int]] = []  # from routers that were notified of the restarts
+        self.sends: list[tuple[float, int]] = []  # attempts of routers that were notified of the restarts
         self.router_weights = list(accumulate(5.0 if n < max(1, routers // 10) else 1.0 for n in range(routers)))
         self.keys = list(range(1, KEYS + 1))
         self.notified_routers: set[int] = set()
-        self.failing_servers: set[int] = set()  # they reset each attempt, so that it is retried
+        self.failing_servers: set[int] = set()  # servers that reset each attempt, so that it is retried
         self.routers: list[Balancer] = []
         for index in range(routers):
             self.routers.append(self._start_router(index))
