--- a/starlingthread/__init__.py
+++ b/starlingthread/__init__.py
@@ -1,4 +1,4 @@
-"""starlingthread: a router for fleets of cache servers; the package exports its decision module."""
+"""starlingthread: a client-side router for fleets of cache servers; the package exports its decision module."""
 
 from .policy import Balancer
 from .settings import Settings
--- a/starlingthread/actions.py
+++ b/starlingthread/actions.py
@@ -12,7 +12,7 @@
     id: int
     server: int
     timeout: float = 0.0  # 0: until the client's deadline
-    # Clock time after which the attempt must not be written, as servers would execute a duplicate from then on.
+    # Clock time from which the attempt must no longer be written, as servers would execute a duplicate from then on.
     write_deadline: float = math.inf
 
 
--- a/starlingthread/events.py
+++ b/starlingthread/events.py
@@ -81,7 +81,7 @@
     budget: float  # ms until the client stops waiting
     key: int = 0
     tenant: int = 0
-    cost_hint: float = 0.0  # the client's estimate of the service cost, in a unit of its own; 0: no hint
+    cost_hint: float = 0.0  # the client's estimate of the service cost, in an unknown unit; 0: no hint
     size: float = 0.0
     is_retry: bool = False
     is_write: bool = False
@@ -126,7 +126,7 @@
 
 
 class RequestCancelled(NamedTuple):
-    """Event: the client has disconnected and needs no answer."""
+    """Event: the client no longer waits for an answer."""
 
     id: int
 
--- a/starlingthread/policy/attempt_gate.py
+++ b/starlingthread/policy/attempt_gate.py
@@ -58,7 +58,7 @@
         return self.fleet.settings.hedging_allowed and idempotency != Idempotency.NOT_IDEMPOTENT
 
     def _is_deduplicated(self, now: float, state: RequestState, server: Server, execution: PossibleExecution) -> bool:
-        """Return whether a server detects a duplicate of what it or another server may have executed."""
+        """Return whether a server drops a duplicate of what it or another server may have executed."""
         request_class = state.request_class
         if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
             return False
--- a/starlingthread/policy/routing.py
+++ b/starlingthread/policy/routing.py
@@ -1,4 +1,4 @@
-"""Decides the next step of a request: its first attempt, and what follows an attempt or a wait.
+"""The only place that decides the next step of a request: its first attempt, and what follows an attempt or a wait.
 
 A request goes to a cache server, and after a failure to another one. If caches do not fetch missing values themselves,
 the router fetches them from the origin, once for each key: other requests for the key wait for that fetch. Writes that
--- a/starlingthread/settings.py
+++ b/starlingthread/settings.py
@@ -24,14 +24,14 @@
     deadline: float  # ms; the client stops waiting after this time
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0  # the priority weight of an answer after the latency objective
-    deduplication_scope: str = "all"  # the servers that detect a duplicate: "all", or those of one "zone" or "cell"
-    idempotency_window: float = 0.0  # ms for which a server detects a duplicate
+    deduplication_scope: str = "all"  # the servers that drop a duplicate: "all", or those of one "zone" or "cell"
+    idempotency_window: float = 0.0  # ms for which these servers drop a duplicate
     streamed: bool = False
     latency_objective_stretch: float = 0.0
 
 
 class Tenant(NamedTuple):
-    """A customer with its quota and its share of the capacity."""
+    """A customer with its quota and its share of the service."""
 
     name: str
     quota_per_s: float = 0.0
