--- a/tests/test_maintenance_and_reload.py
+++ b/tests/test_maintenance_and_reload.py
@@ -36,7 +36,7 @@
     THROUGH,
     BalancerDriver,
     answers,
-    members,
+    make_endpoints,
     only_send,
     sends,
 )
@@ -50,10 +50,10 @@
     """Return the servers to which reads of many keys are sent."""
     used = set()
     for key in range(1, count + 1):
-        for send in sends(driver.ask(key=key)):
+        for send in sends(driver.submit_request(key=key)):
             used.add(send.server)
             driver.now += 10.0
-            driver.end(send, AttemptResult.OK)
+            driver.end_attempt(send, AttemptResult.OK)
     return used
 
 
@@ -61,20 +61,22 @@
     """Endpoint lists that change, remove or add the server do not end its maintenance; only an operator does."""
     driver = BalancerDriver(THROUGH)
     assert servers_used(driver) == {1, 2, 3, 4}
-    driver.do(Maintenance(2, True))
-    driver.do(Maintenance(2, True))  # An operator may repeat the call.
+    driver.handle_event(Maintenance(2, True))
+    driver.handle_event(Maintenance(2, True))  # An operator may repeat the call.
     assert servers_used(driver) == {1, 3, 4} and driver.balancer.excluded_servers(driver.now) == [2]
-    endpoints = tuple(endpoint for endpoint in members() if endpoint.kind != 3)
-    driver.do(EndpointList(EndpointListKind.FULL, 2, endpoints))
-    driver.do(EndpointList(EndpointListKind.DELTA, 3, (endpoints[1]._replace(started=driver.now - 50.0),)))
+    endpoints = tuple(endpoint for endpoint in make_endpoints() if endpoint.kind != 3)
+    driver.handle_event(EndpointList(EndpointListKind.FULL, 2, endpoints))
+    driver.handle_event(EndpointList(EndpointListKind.DELTA, 3, (endpoints[1]._replace(started=driver.now - 50.0),)))
     assert servers_used(driver) == {1, 3, 4}
-    driver.do(EndpointList(EndpointListKind.FULL, 4, tuple(endpoint for endpoint in endpoints if endpoint.server != 2)))
-    driver.pass_time(60000.0)
-    driver.do(EndpointList(EndpointListKind.FULL, 5, endpoints))
+    driver.handle_event(
+        EndpointList(EndpointListKind.FULL, 4, tuple(endpoint for endpoint in endpoints if endpoint.server != 2))
+    )
+    driver.advance_time(60000.0)
+    driver.handle_event(EndpointList(EndpointListKind.FULL, 5, endpoints))
     assert servers_used(driver) == {1, 3, 4}
-    driver.do(Maintenance(2, False))
-    driver.do(Maintenance(2, False))
-    driver.pass_time(3000.0)
+    driver.handle_event(Maintenance(2, False))
+    driver.handle_event(Maintenance(2, False))
+    driver.advance_time(3000.0)
     assert 2 in servers_used(driver) and driver.balancer.excluded_servers(driver.now) == []
 
 
@@ -84,45 +86,45 @@
     for result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET, AttemptResult.NOT_SENT):
         for key in range(1, 40):
             driver = BalancerDriver(settings, seed=key)
-            first = only_send(driver.ask(key=key))
-            driver.do(Maintenance(first.server, True))
-            assert all(send.server != first.server for send in sends(driver.end(first, result)))
-            second = only_send(driver.ask(key=key + 100))
-            driver.do(Maintenance(second.server, True))
-            assert not {send.server for send in sends(driver.pass_time(900.0))} & {first.server, second.server}
+            first = only_send(driver.submit_request(key=key))
+            driver.handle_event(Maintenance(first.server, True))
+            assert all(send.server != first.server for send in sends(driver.end_attempt(first, result)))
+            second = only_send(driver.submit_request(key=key + 100))
+            driver.handle_event(Maintenance(second.server, True))
+            assert not {send.server for send in sends(driver.advance_time(900.0))} & {first.server, second.server}
 
 
 def test_with_all_servers_in_maintenance_a_request_is_rejected_at_once() -> None:
     """A request that can be sent to no server does not wait for its deadline."""
     driver = BalancerDriver(THROUGH)
     for number in range(1, 5):
-        driver.do(Maintenance(number, True))
-    (rejection,) = answers(driver.ask())
+        driver.handle_event(Maintenance(number, True))
+    (rejection,) = answers(driver.submit_request())
     assert isinstance(rejection, Reject)
 
 
 def test_a_server_warms_up_from_the_end_of_its_maintenance_even_if_the_list_reports_its_start_later() -> None:
     """The list may report the restart only seconds after the end of the maintenance; slow start must apply at once."""
     driver = BalancerDriver(THROUGH)
-    driver.do(Maintenance(2, True))
-    driver.pass_time(2000.0)
-    driver.do(Maintenance(2, False))
+    driver.handle_event(Maintenance(2, True))
+    driver.advance_time(2000.0)
+    driver.handle_event(Maintenance(2, False))
     server = driver.balancer.fleet.servers[2]
     assert server.warming_since == driver.now and server.endpoint.started == 0.0
     maintenance_ended_at = driver.now
     sent_to_server = 0
     for key in range(1, 201):
-        send = only_send(driver.ask(key=key))
+        send = only_send(driver.submit_request(key=key))
         sent_to_server += send.server == 2
         driver.now += 10.0
-        driver.end(send, AttemptResult.OK)
+        driver.end_attempt(send, AttemptResult.OK)
     assert 0 < sent_to_server < 35  # An equal share is 50; the capacity starts at 0.3 and is 0.5 by now.
-    driver.do(
+    driver.handle_event(
         EndpointList(EndpointListKind.DELTA, 9, (server.endpoint._replace(started=maintenance_ended_at - 500.0),))
     )
     # The earlier start in the list does not shorten the warm-up.
     assert driver.balancer.fleet.servers[2].warming_since == maintenance_ended_at
-    driver.pass_time(8001.0)
+    driver.advance_time(8001.0)
     assert servers_used(driver) == {1, 2, 3, 4}
 
 
@@ -298,7 +300,7 @@
     """A class keeps its service time by name, although its index changes; a new class starts with the default."""
     driver = BalancerDriver(THROUGH)
     driver.balancer.load.service_times["unsafe"].typical_time = 77.0
-    driver.do(SettingsChanged(FEWER_CLASSES))
+    driver.handle_event(SettingsChanged(FEWER_CLASSES))
     assert {name: service_time.typical_time for name, service_time in driver.balancer.load.service_times.items()} == {
         "unsafe": 77.0,
         "read-2": 50.0,
--- a/tests/test_origin_limit.py
+++ b/tests/test_origin_limit.py
@@ -13,7 +13,7 @@
 from starlingthread.limits.limit_adjustment import adjust_limits
 from starlingthread.limits.origin_limit import OriginLimit
 
-from .balancer_driver import IDEMPOTENCY_KEY, THROUGH, BalancerDriver, answers, members, only_send, sends
+from .balancer_driver import IDEMPOTENCY_KEY, THROUGH, BalancerDriver, answers, make_endpoints, only_send, sends
 
 
 class Fetch(NamedTuple):
@@ -134,14 +134,14 @@
     """
     driver = BalancerDriver(THROUGH)
     for _ in range(60):
-        for send in sends(driver.ask(7, IDEMPOTENCY_KEY)):
+        for send in sends(driver.submit_request(7, IDEMPOTENCY_KEY)):
             driver.now += 500.0
-            driver.end(send, AttemptResult.ERROR, elapsed=400.0)
+            driver.end_attempt(send, AttemptResult.ERROR, elapsed=400.0)
     limit = driver.balancer.load.origin_limit.limit
-    assert limit.limit < 0.3 and sum(bool(sends(driver.ask(8, IDEMPOTENCY_KEY))) for _ in range(100)) < 40
+    assert limit.limit < 0.3 and sum(bool(sends(driver.submit_request(8, IDEMPOTENCY_KEY))) for _ in range(100)) < 40
     limit.limit = 2.0
     # Key 9 has never been requested, so a read of it is most likely a fetch.
-    assert len(sends(driver.ask(8, IDEMPOTENCY_KEY))) == 1 and not sends(driver.ask(9))
+    assert len(sends(driver.submit_request(8, IDEMPOTENCY_KEY))) == 1 and not sends(driver.submit_request(9))
 
 
 def test_while_servers_reject_requests_their_last_slots_go_to_hits() -> None:
@@ -149,21 +149,21 @@
 
     On the overloaded second site a fetch took three times as long as a hit.
     """
-    driver = BalancerDriver(THROUGH, members(1))
+    driver = BalancerDriver(THROUGH, make_endpoints(1))
     for _ in range(6):
-        driver.finish(only_send(driver.ask(7)), 30.0)  # afterwards key 7 is cached
+        driver.complete_as_hit(only_send(driver.submit_request(7)), 30.0)  # afterwards key 7 is cached
     (server,) = driver.balancer.fleet.servers.values()
     server.concurrency.limit = 8.5
     driver.balancer.affinity.prior_hit_probability = [0.0, 0.0]  # a request at a server without a count is a fetch
     for key in range(100, 105):
-        assert sends(driver.ask(key))  # there are free slots, so fetches are sent too
-    assert sends(driver.ask(105))
-    while sends(driver.ask(7)):
+        assert sends(driver.submit_request(key))  # there are free slots, so fetches are sent too
+    assert sends(driver.submit_request(105))
+    while sends(driver.submit_request(7)):
         pass
     for _ in range(30):
-        assert answers(driver.ask(7))
+        assert answers(driver.submit_request(7))
     server.attempts_in_flight -= 3  # three attempts end and free their slots
-    assert not sends(driver.ask(200)) and sends(driver.ask(7))
+    assert not sends(driver.submit_request(200)) and sends(driver.submit_request(7))
     for _ in range(300):
         driver.balancer.admission.trunk_reservation.observe(False)
-    assert sends(driver.ask(200))
+    assert sends(driver.submit_request(200))
--- a/tests/test_origin_throttle.py
+++ b/tests/test_origin_throttle.py
@@ -10,9 +10,9 @@
 
 def fetch_result(driver: BalancerDriver, key: int, result: AttemptResult, elapsed: float) -> bool:
     """Read a key that is not cached and end its fetch with a result; return whether a fetch was sent."""
-    first = only_send(driver.ask(key))
+    first = only_send(driver.submit_request(key))
     if first.server != ORIGIN:
-        actions = driver.end(first, AttemptResult.MISS)
+        actions = driver.end_attempt(first, AttemptResult.MISS)
         if not sends(actions):
             assert answers(actions) == [Reject(first.id)]
             return False
@@ -21,7 +21,7 @@
         fetch = first
     assert fetch.server == ORIGIN
     driver.now += elapsed
-    driver.end(fetch, result, len(driver.checker.seen[fetch.id].attempts) - 1, elapsed=elapsed)
+    driver.end_attempt(fetch, result, len(driver.checker.requests[fetch.id].attempts) - 1, elapsed=elapsed)
     return True
 
 
@@ -55,15 +55,15 @@
 
 def test_a_write_is_retried_at_a_full_origin_and_rejected_before_its_deadline() -> None:
     driver = BalancerDriver()
-    send = only_send(driver.ask(cls=NOT_IDEMPOTENT, budget=2000.0))
-    assert not answers(driver.end(send, AttemptResult.FULL))
+    send = only_send(driver.submit_request(class_index=NOT_IDEMPOTENT, budget=2000.0))
+    assert not answers(driver.end_attempt(send, AttemptResult.FULL))
     final_answers, attempt_number = [], 0
     for _ in range(60):
-        actions = driver.pass_time(50.0)
+        actions = driver.advance_time(50.0)
         for retry in sends(actions):
             assert retry.server == ORIGIN
             attempt_number += 1
-            actions = actions + driver.end(retry, AttemptResult.FULL, attempt_number)
+            actions = actions + driver.end_attempt(retry, AttemptResult.FULL, attempt_number)
         final_answers += answers(actions)
     assert attempt_number >= 1
     assert final_answers == [Reject(send.id)]
