--- a/starlingthread/emulator/cache_server.py
+++ b/starlingthread/emulator/cache_server.py
@@ -9,7 +9,7 @@
 
 from ..experiment.randomness import UniformDraws
 from ..experiment.records import Ledger, ServerEvent
-from .schedule import Schedule
+from .schedule import Scheduler
 from .server_answers import AnswerFaults
 from .server_connection import ServerConnection
 from .server_links import ServerLink
@@ -34,14 +34,14 @@
         self,
         model: ServerModel,
         value_bytes: int,
-        schedule: Schedule,
+        scheduler: Scheduler,
         ledger: Ledger,
         rng: np.random.Generator,
         links: list[ServerLink] | None = None,
     ) -> None:
         draws = UniformDraws(rng)
         self.model = model
-        self.schedule = schedule
+        self.scheduler = scheduler
         self.ledger = ledger
         self.number = model.number
         self.padding = b"x" * value_bytes
@@ -58,7 +58,7 @@
 
     def record_event(self, what: str, overloading_requests: tuple[str, ...] = ()) -> None:
         """Write an event of this server to the ledger."""
-        self.ledger.server_events.append(ServerEvent(self.number, what, self.schedule.now(), overloading_requests))
+        self.ledger.server_events.append(ServerEvent(self.number, what, self.scheduler.now(), overloading_requests))
 
     # life cycle
 
@@ -164,7 +164,7 @@
 
     def defer_input(self, connection: ServerConnection, data: bytes) -> None:
         """Keep bytes that arrived while frozen until the server resumes."""
-        self._deferred_input.append(_DeferredInput(connection, data, self.schedule.now()))
+        self._deferred_input.append(_DeferredInput(connection, data, self.scheduler.now()))
 
     def defer_output(self, connection: ServerConnection, data: bytes) -> None:
         """Keep bytes to be sent while frozen until the server resumes."""
--- a/starlingthread/emulator/child_processes.py
+++ b/starlingthread/emulator/child_processes.py
@@ -11,7 +11,7 @@
 PR_SET_PDEATHSIG = 1  # of prctl(2): the signal that a process gets when its parent ends
 
 
-def end_with_parent() -> Callable[[], None] | None:
+def parent_death_hook() -> Callable[[], None] | None:
     """Return what a child has to run before its program, as ``preexec_fn``; None where the system can't do it."""
     if not sys.platform.startswith("linux"):
         return None
--- a/starlingthread/emulator/datagram_relay.py
+++ b/starlingthread/emulator/datagram_relay.py
@@ -33,7 +33,7 @@
 
     def __init__(self, spec: Datagrams, rng: np.random.Generator) -> None:
         self.spec = spec
-        self.extra_loss = 0.0  # share of datagrams lost beyond the scenario's own
+        self.extra_loss_rate = 0.0  # share of datagrams lost beyond the scenario's own
         self.partitions: list[set[int]] = []  # sets of routers that exchange no datagrams with routers outside
         self.sent = 0
         self.delivered = 0
@@ -79,7 +79,7 @@
             return
         copies = 2 if self._draws.next() < self.spec.repeat else 1
         for _ in range(copies):
-            if self._draws.next() < self.spec.drop or self._draws.next() < self.extra_loss:
+            if self._draws.next() < self.spec.drop or self._draws.next() < self.extra_loss_rate:
                 self.dropped += 1
                 continue
             delay_ms = self.spec.delay_ms * (0.5 + self._draws.next())
--- a/starlingthread/emulator/fault_injector.py
+++ b/starlingthread/emulator/fault_injector.py
@@ -15,7 +15,7 @@
 from .fault_targets import affected_link_groups, affects_routers, targets
 from .testbed_interface import Testbed
 
-FRONT_GRACE_S = 0.3  # for which new connections still go to a router after SIGTERM
+DEREGISTRATION_DELAY_S = 0.3  # for which new connections still go to a router after SIGTERM
 
 
 class FaultInjector:
--- a/starlingthread/emulator/origin_model.py
+++ b/starlingthread/emulator/origin_model.py
@@ -11,7 +11,7 @@
 
 from ..experiment.randomness import LognormalFactors
 from ..experiment.scenario import Origin
-from .schedule import Schedule
+from .schedule import Scheduler
 
 _RECEIPT_TTL_MS = 60000.0
 
@@ -45,9 +45,9 @@
 class OriginModel:
     """A finite number of workers behind a bounded queue; requests beyond the queue fail at once."""
 
-    def __init__(self, spec: Origin, schedule: Schedule, rng: np.random.Generator) -> None:
+    def __init__(self, spec: Origin, scheduler: Scheduler, rng: np.random.Generator) -> None:
         self.spec = spec
-        self.schedule = schedule
+        self.scheduler = scheduler
         self.slowdown = 1.0  # factor on the duration of requests
         self.fetches = 0
         self.writes = 0
@@ -87,13 +87,13 @@
         self._enqueue(_Request(key, True, partial(self._finish_idempotent_write, idempotency_key)))
 
     def _expire_receipts(self) -> None:
-        oldest_kept = self.schedule.now() - _RECEIPT_TTL_MS
+        oldest_kept = self.scheduler.now() - _RECEIPT_TTL_MS
         while self._receipts and next(iter(self._receipts.values())).written_at < oldest_kept:
             self._receipts.popitem(last=False)
 
     def _finish_idempotent_write(self, idempotency_key: str, version: int | None) -> None:
         if version is not None:
-            self._receipts[idempotency_key] = _Receipt(self.schedule.now(), version)
+            self._receipts[idempotency_key] = _Receipt(self.scheduler.now(), version)
         for then in self._writes_in_flight.pop(idempotency_key):
             then(version)
 
@@ -110,7 +110,7 @@
             request = self._queue.popleft()
             self._busy_workers += 1
             duration = self.spec.fetch_ms * self._work_factors.next() * self.slowdown
-            self.schedule.after(duration, partial(self._complete, request))
+            self.scheduler.after(duration, partial(self._complete, request))
 
     def _complete(self, request: _Request) -> None:
         self._busy_workers -= 1
--- a/starlingthread/emulator/router_process.py
+++ b/starlingthread/emulator/router_process.py
@@ -18,7 +18,7 @@
 
 from ..experiment.records import KILLED_AFTER_TERM, Ledger, RouterEvent, RouterSample
 from ..experiment.scenario import Scenario
-from .child_processes import end_with_parent
+from .child_processes import parent_death_hook
 from .load_oracle import ORACLE_FILE_VARIABLE
 from .port_allocation import PortStripe, free_port
 from .router_settings import router_settings
@@ -54,7 +54,7 @@
         self.peer_listen = ("127.0.0.1", free_port(socket.SOCK_DGRAM, stripe))
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        self.expected_to_end = False
+        self.is_exit_expected = False
         self._monitored: psutil.Process | None = None
         self._log: IO[bytes] | None = None
 
@@ -73,7 +73,7 @@
 
     # start
 
-    def configure(
+    def write_configuration(
         self, discovery_port: int, peers: list[_Address], broadcast_address: _Address, endpoint_list: dict[str, Any]
     ) -> Path:
         """Write the router's configuration file; return its path."""
@@ -99,7 +99,7 @@
     ) -> None:
         """Write the configuration and start the process."""
         self.starts += 1
-        config_path = self.configure(discovery_port, peers, broadcast_address, endpoint_list)
+        config_path = self.write_configuration(discovery_port, peers, broadcast_address, endpoint_list)
         environment = self._environment(config_path, discovery_port)
         self._log = self._log_path.open("ab")
         process = await asyncio.create_subprocess_exec(
@@ -108,10 +108,10 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=self._log,
             stderr=self._log,
-            preexec_fn=end_with_parent(),
+            preexec_fn=parent_death_hook(),
         )
         # Set together: a sample taken meanwhile must not mistake the process that was killed for one that crashed.
-        self.process, self.expected_to_end, self._monitored = process, False, None
+        self.process, self.is_exit_expected, self._monitored = process, False, None
         self._limit_resources(process.pid)
 
     def _command(self) -> tuple[str, ...]:
@@ -145,7 +145,7 @@
             with contextlib.suppress(OSError):
                 os.sched_setaffinity(pid, {cores[self.number % len(cores)]})
 
-    async def is_ready(self) -> bool:
+    async def wait_until_ready(self) -> bool:
         """Wait until the router answers ``mn``; return False if it ends or takes too long."""
         deadline = time.monotonic() + _READY_TIMEOUT_S
         while time.monotonic() < deadline and self.pid:
@@ -192,7 +192,7 @@
         if self.pid and self.process is not None:
             self.process.send_signal(number)
 
-    async def until_program_runs(self) -> None:
+    async def wait_for_program(self) -> None:
         """Wait until the shell that starts the router, if there is one, has become the router's program.
 
         Only from then on it is sure to have been told which signals to ignore.
@@ -213,7 +213,7 @@
     async def kill(self, event: str = "killed") -> None:
         """Kill the process with SIGKILL, and record it as an event of this kind."""
         if self.pid and self.process is not None:
-            self.expected_to_end = True
+            self.is_exit_expected = True
             self.signal(signal.SIGKILL)
             await self.process.wait()
             self.record_event(event)
@@ -223,7 +223,7 @@
         """Shut the router down gracefully, or kill it after a timeout; return its exit code."""
         if not self.pid or self.process is None:
             return self.process.returncode or 0 if self.process is not None else 0
-        self.expected_to_end = True
+        self.is_exit_expected = True
         self.record_event("terminating")
         self.signal(signal.SIGTERM)
         try:
--- a/starlingthread/emulator/schedule.py
+++ b/starlingthread/emulator/schedule.py
@@ -10,7 +10,7 @@
 _SHORTEST_TIMER_MS = 0.5  # the event loop's timers have a resolution of a millisecond
 
 
-class Schedule(Protocol):
+class Scheduler(Protocol):
     """A clock, and callbacks at later times."""
 
     def now(self) -> float:
@@ -20,8 +20,8 @@
         """Call a function after a delay in milliseconds."""
 
 
-class EventLoopSchedule:
-    """A Schedule on the event loop: the machine's monotonic clock in milliseconds."""
+class EventLoopScheduler:
+    """A Scheduler on the event loop: the machine's monotonic clock in milliseconds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
--- a/starlingthread/emulator/server_connection.py
+++ b/starlingthread/emulator/server_connection.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple, Protocol, cast
 
 from ..experiment.records import ANSWERED, CUT, FAILED, OUT, REJECTED, RUN, Delivery, Ledger
-from .schedule import Schedule
+from .schedule import Scheduler
 from .server_answers import (
     BAD_COMMAND_ANSWER,
     BUSY_ANSWER,
@@ -67,7 +67,7 @@
     """The server, as far as its connections know it."""
 
     model: ServerModel
-    schedule: Schedule
+    scheduler: Scheduler
     ledger: Ledger
     connections: set[ServerConnection]
     answer_faults: AnswerFaults
@@ -89,8 +89,8 @@
     def __init__(self, server: ConnectionHost, link: ServerLink) -> None:
         self.server = server
         self.link = link
-        self.inbound = LinkDirection(link, False, server.schedule, self._on_data)
-        self.outbound = LinkDirection(link, True, server.schedule, self._send)
+        self.inbound = LinkDirection(link, False, server.scheduler, self._on_data)
+        self.outbound = LinkDirection(link, True, server.scheduler, self._send)
         self.transport: asyncio.Transport
         self.is_dead = False  # nothing is read or written any more
         self._buffer = bytearray()
@@ -137,7 +137,7 @@
         if self.server.is_frozen:
             self.server.defer_input(self, data)
         elif not self.is_dead:
-            self.receive(data, self.server.schedule.now())
+            self.receive(data, self.server.scheduler.now())
 
     def receive(self, data: bytes, at: float) -> None:
         """Handle bytes that arrived at a time; a server that was frozen does so even if the connection has ended."""
@@ -183,7 +183,7 @@
     def _submit(self, words: list[str], is_write: bool) -> None:
         server = self.server
         flags = parse_flags(words[2:])
-        delivery = Delivery(flags.request_id, server.model.number, self._first_byte_at, server.schedule.now())
+        delivery = Delivery(flags.request_id, server.model.number, self._first_byte_at, server.scheduler.now())
         server.ledger.deliveries.append(delivery)
         pending = PendingAnswer(delivery=delivery)
         self._pending.append(pending)
@@ -211,7 +211,7 @@
     def _finish(self, pending: PendingAnswer, delivery: Delivery, command: Command, outcome: CommandOutcome) -> None:
         """Answer a command that has ended, with the faults of the server and the link."""
         answer = self._render(delivery, command, outcome)
-        delivery.ended_at = self.server.schedule.now()
+        delivery.ended_at = self.server.scheduler.now()
         if self.is_dead or command.is_cancelled:
             delivery.outcome = CUT
             return
@@ -248,7 +248,7 @@
 
     def _end_delivery(self, delivery: Delivery, end: str) -> None:
         delivery.outcome = end
-        delivery.ended_at = self.server.schedule.now()
+        delivery.ended_at = self.server.scheduler.now()
 
     def _answer_now(self, answer: bytes) -> None:
         self._pending.append(PendingAnswer(answer))
--- a/starlingthread/emulator/server_links.py
+++ b/starlingthread/emulator/server_links.py
@@ -19,7 +19,7 @@
 
 from ..experiment.randomness import UniformDraws
 from .port_allocation import WHOLE_RANGE, PortStripe, free_port
-from .schedule import Schedule
+from .schedule import Scheduler
 
 RETRANSMIT_TIMEOUT_MS = 200.0  # the least that Linux waits before TCP retransmits a lost segment
 _SHORTEST_WAIT_MS = 0.5
@@ -136,14 +136,14 @@
 class LinkDirection:
     """One direction of one connection: delivers pieces in order, each as late as the link's conditions make it."""
 
-    __slots__ = ("_deliver", "_is_outbound", "_is_timer_set", "_link", "_pieces", "_schedule")
+    __slots__ = ("_deliver", "_is_outbound", "_is_timer_set", "_link", "_pieces", "_scheduler")
 
     def __init__(
-        self, link: ServerLink, is_outbound: bool, schedule: Schedule, deliver: Callable[[bytes], None]
+        self, link: ServerLink, is_outbound: bool, scheduler: Scheduler, deliver: Callable[[bytes], None]
     ) -> None:
         self._link = link
         self._is_outbound = is_outbound
-        self._schedule = schedule
+        self._scheduler = scheduler
         self._deliver = deliver
         self._pieces: deque[_Piece] = deque()
         self._is_timer_set = False
@@ -161,7 +161,7 @@
         if link.outbound_blocked if self._is_outbound else link.inbound_blocked:
             return math.inf
         is_lost = link.loss_rate > 0 and link.draws.next() < link.loss_rate
-        return self._schedule.now() + link.delay_ms + (RETRANSMIT_TIMEOUT_MS if is_lost else 0.0)
+        return self._scheduler.now() + link.delay_ms + (RETRANSMIT_TIMEOUT_MS if is_lost else 0.0)
 
     def resume(self) -> None:
         """Apply changed conditions: pieces that were blocked are sent again."""
@@ -171,12 +171,12 @@
         self._deliver_due()
 
     def _deliver_due(self) -> None:
-        while self._pieces and self._pieces[0].due_at <= self._schedule.now():
+        while self._pieces and self._pieces[0].due_at <= self._scheduler.now():
             self._deliver(self._pieces.popleft().data)
         if self._pieces and self._pieces[0].due_at < math.inf and not self._is_timer_set:
             self._is_timer_set = True
-            wait = max(_SHORTEST_WAIT_MS, self._pieces[0].due_at - self._schedule.now())
-            self._schedule.after(wait, self._on_timer)
+            wait = max(_SHORTEST_WAIT_MS, self._pieces[0].due_at - self._scheduler.now())
+            self._scheduler.after(wait, self._on_timer)
 
     def _on_timer(self) -> None:
         self._is_timer_set = False
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -1,7 +1,7 @@
 """How a cache server behaves, without sockets or a clock of its own.
 
 The same objects serve the emulator (on the event loop's clock) and models in virtual time: they see only a
-``Schedule``. All times are milliseconds. A server is a queue in front of ``slots`` workers whose speed ramps up
+``Scheduler``. All times are milliseconds. A server is a queue in front of ``slots`` workers whose speed ramps up
 after a cold start, with an LRU cache in memory and the origin behind it.
 """
 
@@ -17,7 +17,7 @@
 from ..experiment.scenario import Fleet
 from .load_reports import LoadReport, LoadReporter
 from .origin_model import OriginClient
-from .schedule import Schedule
+from .schedule import Scheduler
 from .warm_up import WarmUp
 
 HIT_FLAGS = "h1"
@@ -76,11 +76,17 @@
     """One cache server: worker slots, a bounded queue, LRU memory, warm-up, overload crashes and load reports."""
 
     def __init__(
-        self, number: int, spec: Fleet, speed: float, schedule: Schedule, origin: OriginClient, rng: np.random.Generator
+        self,
+        number: int,
+        spec: Fleet,
+        speed: float,
+        scheduler: Scheduler,
+        origin: OriginClient,
+        rng: np.random.Generator,
     ) -> None:
         self.number = number
         self.spec = spec
-        self.schedule = schedule
+        self.scheduler = scheduler
         self.origin = origin
         self.base_speed = speed
         self.slowdown = 1.0  # factor on the duration of all work
@@ -88,7 +94,7 @@
         self.tail_share = 0.0
         self.extra_report_delay_ms = 0.0
         self.on_overload_crash: Callable[[tuple[str, ...]], None] = lambda request_ids: None
-        self.commands = 0  # since the last sample, which resets it
+        self.commands_since_sample = 0  # since the last sample, which resets it
         self._work_factors = LognormalFactors(rng, spec.work_cv)
         self._draws = UniformDraws(rng)
         self._report_noise = LognormalFactors(rng, spec.report_noise)
@@ -96,7 +102,7 @@
 
     def boot(self, is_warm: bool) -> None:
         """Start with an empty memory and queue, and at full capacity if the server ``is_warm``."""
-        now = self.schedule.now()
+        now = self.scheduler.now()
         self.incarnation = object()  # work that was begun in an earlier incarnation has no effect
         self.cache: OrderedDict[str, int] = OrderedDict()
         self.fetches_in_flight: dict[str, list[Command]] = {}
@@ -113,15 +119,15 @@
 
     def capacity_share(self) -> float:
         """Return the present capacity as a share of the capacity when warmed up."""
-        return self._warm_up.capacity_share(self.schedule.now())
+        return self._warm_up.capacity_share(self.scheduler.now())
 
     # commands
 
     def submit(self, command: Command) -> None:
         """Accept, queue or reject a command that has been received completely."""
-        self.commands += 1
+        self.commands_since_sample += 1
         mean_work = self.spec.write_ms if command.is_write else self.spec.hit_ms
-        if self._warm_up.is_overloaded_by(self.schedule.now(), command.request_id, mean_work):
+        if self._warm_up.is_overloaded_by(self.scheduler.now(), command.request_id, mean_work):
             self.crashed = True
             self.on_overload_crash(self._warm_up.recent_request_ids())
             return
@@ -139,7 +145,7 @@
             return
         self._occupy_slot()
         incarnation = self.incarnation
-        self.schedule.after(self._duration(self.spec.handshake_ms), lambda: self._release_slot(incarnation))
+        self.scheduler.after(self._duration(self.spec.handshake_ms), lambda: self._release_slot(incarnation))
 
     def cancel(self, command: Command) -> None:
         """Give up a command: if it has not started, it never runs."""
@@ -160,7 +166,7 @@
             work *= self.tail_factor
         incarnation = self.incarnation
         duration = self._duration(work * self._work_factors.next())
-        self.schedule.after(duration, lambda: self._finish_work(incarnation, command))
+        self.scheduler.after(duration, lambda: self._finish_work(incarnation, command))
 
     def _record_lookup(self, command: Command) -> None:
         is_hit = command.key in self.cache
@@ -238,7 +244,7 @@
     # slots
 
     def _account_busy_time(self) -> None:
-        now = self.schedule.now()
+        now = self.scheduler.now()
         self._busy_time += self.busy_slots * (now - self._busy_accounted_at)
         self._busy_accounted_at = now
 
@@ -261,7 +267,7 @@
     def utilization(self) -> float:
         """Return the mean share of slots in use since the last call."""
         self._account_busy_time()
-        now = self.schedule.now()
+        now = self.scheduler.now()
         span = max(1e-9, now - self._utilization_since)
         utilization = self._busy_time / (span * self.spec.slots)
         self._utilization_since = now
@@ -274,7 +280,7 @@
 
     def report(self) -> LoadReport:
         """Return the load report that an answer carries now: delayed and noisy."""
-        return self._reporter.report(self.schedule.now(), self.extra_report_delay_ms, self._measure_load)
+        return self._reporter.report(self.scheduler.now(), self.extra_report_delay_ms, self._measure_load)
 
     def _measure_load(self) -> LoadReport:
         in_flight = self.busy_slots + sum(len(commands) for commands in self.fetches_in_flight.values())
--- a/starlingthread/testbed/platform.py
+++ b/starlingthread/testbed/platform.py
@@ -16,13 +16,13 @@
 
 from ..emulator.datagram_relay import DatagramRelay
 from ..emulator.discovery_server import DiscoveryServer, ListedServer
-from ..emulator.fault_injector import FRONT_GRACE_S
+from ..emulator.fault_injector import DEREGISTRATION_DELAY_S
 from ..emulator.load_oracle import create_oracle_file, server_name
 from ..emulator.messages import KeyWritten, OriginAnswer, OriginFetch, OriginWrite, OverloadCrash, WorkerMessage
 from ..emulator.origin_model import OriginModel
 from ..emulator.router_process import OPTIONS_FILE, ORACLE_FILE, RouterProcess
 from ..emulator.rpc_channel import RpcChannel
-from ..emulator.schedule import EventLoopSchedule
+from ..emulator.schedule import EventLoopScheduler
 from ..experiment.records import LISTED_PREFIX, FaultRecord, Ledger, ServerEvent, StatusNotification
 from ..experiment.scenario import Scenario
 from .errors import RunError
@@ -66,7 +66,7 @@
         self.scenario = scenario
         self.folder = folder
         self.ledger = Ledger()
-        self.schedule = EventLoopSchedule(asyncio.get_running_loop())
+        self.schedule = EventLoopScheduler(asyncio.get_running_loop())
         self.origin = OriginModel(scenario.origin, self.schedule, origin_rng)
         self.origin.on_write = self._broadcast_write
         self.relay = DatagramRelay(scenario.datagrams, relay_rng)
@@ -236,7 +236,7 @@
 
     def set_datagram_loss(self, share: float) -> None:
         """Drop a share of the datagrams between routers."""
-        self.relay.extra_loss = share
+        self.relay.extra_loss_rate = share
 
     def slow_origin(self, factor: float) -> None:
         """Let the requests to the origin take longer by a factor."""
@@ -266,7 +266,7 @@
         )
         router = self.routers[number]
         await router.start(*self.surroundings(number))
-        if not await router.is_ready():
+        if not await router.wait_until_ready():
             raise RunError(f"router r{number} did not get ready; the end of its log:\n{router.log_tail()}")
         await self._front.restore(number)
 
@@ -277,7 +277,7 @@
 
     async def restart_router(self, number: int) -> None:
         """Shut a router down gracefully and start its successor."""
-        self._front.remove_later(number, FRONT_GRACE_S)
+        self._front.remove_later(number, DEREGISTRATION_DELAY_S)
         max_deadline_s = self.scenario.traffic.max_deadline_ms() / 1000.0
         await self.routers[number].terminate(max(ROUTER_STOP_TIMEOUT_S, max_deadline_s + 1.0))
         await self.start_router(number)
@@ -295,7 +295,7 @@
         await signalling
         starting = asyncio.create_task(self.start_router(number))
         await asyncio.sleep(START_SIGNAL_DELAY_S)
-        await router.until_program_runs()
+        await router.wait_for_program()
         await router.send_signals(SIGNALS_DURING_START)
         await starting
 
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -88,7 +88,7 @@
             await self.platform.start_router(router.number)
             echo(f"router {router.name} listens at {router.listen[0]}:{router.listen[1]}")
         else:
-            path = router.configure(*self.platform.surroundings(router.number))
+            path = router.write_configuration(*self.platform.surroundings(router.number))
             echo(f"router {router.name}: LB_CONFIG={path} python -m starlingthread")
 
     def _report(self, done_s: float, phase: str) -> None:
@@ -189,8 +189,8 @@
 
 def _record_crash(router: RouterProcess) -> None:
     process = router.process
-    if process is not None and process.returncode is not None and not router.expected_to_end:
-        router.expected_to_end = True
+    if process is not None and process.returncode is not None and not router.is_exit_expected:
+        router.is_exit_expected = True
         router.record_event("crashed", process.returncode)
 
 
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -145,9 +145,15 @@
             model = server.model
             utilization = round(model.utilization(), 4)
             self.ledger.server_samples.append(
-                ServerSample(server.number, self.schedule.now(), utilization, model.commands, len(server.connections))
+                ServerSample(
+                    server.number,
+                    self.schedule.now(),
+                    utilization,
+                    model.commands_since_sample,
+                    len(server.connections),
+                )
             )
-            model.commands = 0
+            model.commands_since_sample = 0
         self.loop.call_later(_SAMPLE_PERIOD_S, self._sample)
 
     def _write_true_loads(self, oracle: LoadOracleWriter) -> None:
--- a/starlingthread/testbed/worker_base.py
+++ b/starlingthread/testbed/worker_base.py
@@ -11,7 +11,7 @@
 
 from ..emulator.messages import Call, CoordinatorMessage
 from ..emulator.rpc_channel import RpcChannel
-from ..emulator.schedule import EventLoopSchedule
+from ..emulator.schedule import EventLoopScheduler
 from ..experiment.records import Ledger
 from ..experiment.scenario import Scenario
 
@@ -29,7 +29,7 @@
         self.number = number
         self.ledger = Ledger()
         self.loop = asyncio.get_running_loop()
-        self.schedule = EventLoopSchedule(self.loop)
+        self.schedule = EventLoopScheduler(self.loop)
         self.channel: RpcChannel
         self.scenario: Scenario
         self.ended = asyncio.Event()
--- a/starlingthread/testbed/worker_processes.py
+++ b/starlingthread/testbed/worker_processes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..emulator.child_processes import end_with_parent
+from ..emulator.child_processes import parent_death_hook
 from ..emulator.messages import Hello, WorkerMessage
 from ..emulator.rpc_channel import RpcChannel
 from ..experiment.scenario import Scenario
@@ -94,7 +94,7 @@
     async def _spawn(self, worker: WorkerId, port: int) -> asyncio.subprocess.Process:
         command = [sys.executable, "-m", "starlingthread.testbed.worker", str(port), worker.role, str(worker.number)]
         return await asyncio.create_subprocess_exec(
-            *command, stdin=asyncio.subprocess.DEVNULL, preexec_fn=end_with_parent()
+            *command, stdin=asyncio.subprocess.DEVNULL, preexec_fn=parent_death_hook()
         )
 
     def expect_end(self) -> None:
--- a/tests/test_datagram_relay.py
+++ b/tests/test_datagram_relay.py
@@ -36,7 +36,7 @@
         sender = relay.addresses[0][1]
         assert received == ([(b"all", sender)] * 2 + [(b"one", sender)] * 2, [(b"all", sender)] * 2)
         assert not endpoints[0][1].received and relay.oversized == 1
-        relay.extra_loss = 1.0
+        relay.extra_loss_rate = 1.0
         endpoints[0][0].sendto(b"lost", relay.broadcast_address)
         while relay.dropped < 4:
             await asyncio.sleep(0)
--- a/tests/test_emulated_servers.py
+++ b/tests/test_emulated_servers.py
@@ -11,7 +11,7 @@
 
 from starlingthread.emulator.cache_server import CacheServer
 from starlingthread.emulator.origin_model import OriginModel
-from starlingthread.emulator.schedule import EventLoopSchedule
+from starlingthread.emulator.schedule import EventLoopScheduler
 from starlingthread.emulator.server_model import ServerModel
 from starlingthread.experiment import scenario
 from starlingthread.experiment.records import Ledger
@@ -23,7 +23,7 @@
     """A server on a real socket, and a connection to it."""
 
     async def start(self, fleet: scenario.Fleet = FLEET) -> ServerClient:
-        schedule, self.ledger = EventLoopSchedule(asyncio.get_running_loop()), Ledger()
+        schedule, self.ledger = EventLoopScheduler(asyncio.get_running_loop()), Ledger()
         rng = np.random.default_rng(1)
         origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
         fleet = msgspec.structs.replace(fleet, hit_ms=1.0, handshake_ms=0.0)
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -40,7 +40,7 @@
             await asyncio.sleep(0)
             looks += 1
             process = router.process
-            assert process is not None and (process.returncode is None or router.expected_to_end)
+            assert process is not None and (process.returncode is None or router.is_exit_expected)
         assert looks > 1 and router.pid
         await router.kill()
 
@@ -61,6 +61,6 @@
         assert router.process is not None
         await router.process.wait()
         router.sample()
-        assert not router.ledger.router_samples and not await router.is_ready()
+        assert not router.ledger.router_samples and not await router.wait_until_ready()
 
     asyncio.run(play())
--- a/tests/test_server_links.py
+++ b/tests/test_server_links.py
@@ -13,7 +13,7 @@
 from starlingthread.emulator.cache_server import CacheServer
 from starlingthread.emulator.origin_model import OriginModel
 from starlingthread.emulator.port_allocation import PortStripe, free_port
-from starlingthread.emulator.schedule import EventLoopSchedule
+from starlingthread.emulator.schedule import EventLoopScheduler
 from starlingthread.emulator.server_links import RETRANSMIT_TIMEOUT_MS, LinkDirection, ServerLink
 from starlingthread.emulator.server_model import ServerModel
 from starlingthread.experiment import scenario
@@ -22,7 +22,7 @@
 
 
 class ManualClock:
-    """A Schedule whose time the test advances."""
+    """A Scheduler whose time the test advances."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -95,7 +95,7 @@
 
 def test_a_blocked_link_affects_its_group_alone_and_accepts_no_connections() -> None:
     async def script() -> None:
-        schedule, rng = EventLoopSchedule(asyncio.get_running_loop()), np.random.default_rng(1)
+        schedule, rng = EventLoopScheduler(asyncio.get_running_loop()), np.random.default_rng(1)
         fleet = scenario.Fleet(hit_ms=1.0, handshake_ms=0.0, work_cv=0.0)
         origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
         links = [ServerLink(group, UniformDraws(rng)) for group in range(2)]
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -13,8 +13,8 @@
 from starlingthread.experiment import scenario
 
 
-class VirtualSchedule:
-    """A Schedule whose time advances only by ``run``."""
+class VirtualScheduler:
+    """A Scheduler whose time advances only by ``run``."""
 
     def __init__(self) -> None:
         self.time, self.count = 0.0, 0
@@ -39,7 +39,7 @@
     """A server model in virtual time, and the outcomes of its commands."""
 
     def __init__(self, fleet: scenario.Fleet, origin: scenario.Origin | None = None) -> None:
-        self.clock = VirtualSchedule()
+        self.clock = VirtualScheduler()
         rng = np.random.default_rng(1)
         self.origin = OriginModel(origin or scenario.Origin(fetch_ms=10.0, cv=0.0), self.clock, rng)
         self.model = ServerModel(0, fleet, 1.0, self.clock, self.origin, rng)
