--- a/starlingthread/emulator/__init__.py
+++ b/starlingthread/emulator/__init__.py
@@ -1,4 +1,5 @@
-"""The platform on loopback sockets: cache servers, origin, discovery, datagram relay, router processes and faults.
+"""Emulated platform on loopback sockets: cache servers, origin, discovery, datagram relay, routers and faults.
 
-Needs the extra ``lab``; the router never imports anything from here.
+Requires the optional dependencies of the extra ``lab``. The router never imports this package; of the
+baseline routers, one reads the load oracle.
 """
--- a/starlingthread/emulator/cache_server.py
+++ b/starlingthread/emulator/cache_server.py
@@ -1,4 +1,4 @@
-"""A cache server on sockets: its life cycle, its connections and the faults that it is subject to."""
+"""An emulated cache server on sockets: its life cycle, its connections and the faults injected into it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CacheServer:
-    """A server: a model behind one listening socket for each group of routers."""
+    """A cache server: a behavior model behind one listening socket for each group of routers."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.links = links or [ServerLink(0, draws)]
         self.connections: set[ServerConnection] = set()
         self.answer_faults = AnswerFaults(draws)
-        self.malformed = 0  # commands
+        self.malformed_commands = 0
         self.is_listening = False
         self.is_unreachable = False
         self.is_frozen = False
@@ -56,19 +56,19 @@
         self._deferred_output: list[_DeferredOutput] = []
         model.on_overload_crash = self.crash_by_overload
 
-    def record_event(self, what: str, overloading_requests: tuple[str, ...] = ()) -> None:
-        """Write an event of this server to the ledger."""
-        self.ledger.server_events.append(ServerEvent(self.number, what, self.scheduler.now(), overloading_requests))
+    def record_event(self, kind: str, overloading_requests: tuple[str, ...] = ()) -> None:
+        """Append an event of this server to the ledger."""
+        self.ledger.server_events.append(ServerEvent(self.number, kind, self.scheduler.now(), overloading_requests))
 
     # life cycle
 
     @property
     def port(self) -> int:
-        """The port that the first group of routers knows."""
+        """The port at which the first group of routers reaches the server."""
         return self.links[0].port
 
     async def start(self) -> None:
-        """Listen, at the same addresses as before if there were any."""
+        """Listen for connections; a server that has listened before reuses its addresses."""
         self.is_listening = True
         for link in self.links:
             await self._open(link)
@@ -77,7 +77,7 @@
         await link.open(lambda: ServerConnection(self, link))
 
     def crash(self) -> None:
-        """End the process: connections are reset, new ones rejected."""
+        """Emulate the end of the server process: reset open connections and refuse new ones."""
         self.record_event("gone")
         self._stop_listening()
         self.resume(discard=True)
@@ -85,12 +85,12 @@
         self.model.boot(is_warm=False)
 
     def crash_by_overload(self, request_ids: tuple[str, ...]) -> None:
-        """Crash under the work of some requests."""
+        """Crash because the work of the given requests exceeded the capacity."""
         self.record_event("fell", request_ids)
         self.crash()
 
     async def restart(self) -> None:
-        """Start a new process at the same addresses, with an empty memory."""
+        """Start a new server process at the same addresses, with an empty cache."""
         self.model.boot(is_warm=False)
         self.record_event("cold")
         await self.start()
@@ -112,7 +112,7 @@
     # faults
 
     def become_unreachable(self) -> None:
-        """Cut the machine off: open connections stall, new ones are never established."""
+        """Disconnect the machine from the network: open connections stall, and new ones are never established."""
         self.is_unreachable = True
         self.record_event("gone")
         for connection in self.connections:
@@ -124,14 +124,17 @@
             link.blackhole()
 
     async def become_reachable(self) -> None:
-        """Connect the machine again: old connections are reset."""
+        """Reconnect the machine to the network: reset the old connections and listen again."""
         self._reset_connections()
         self.is_unreachable = False
         self.record_event("up")
         await self.start()
 
     async def set_link_conditions(self, groups: list[int], conditions: dict[str, float]) -> None:
-        """Change the links of some groups of routers (all, if none is named): conditions of a ServerLink by name."""
+        """Set conditions, named like the attributes of ServerLink, on the links of the given groups of routers.
+
+        An empty list of groups selects all links.
+        """
         for link in self.links:
             if groups and link.group not in groups:
                 continue
@@ -147,25 +150,28 @@
                     connection.outbound.resume()
 
     def freeze(self) -> None:
-        """Suspend the process; the system still accepts connections and bytes for it."""
+        """Suspend the server process; the kernel still accepts connections and buffers received bytes."""
         self.is_frozen = True
 
     def resume(self, discard: bool = False) -> None:
-        """Continue a frozen process: handle what arrived and send what was due meanwhile, or ``discard`` it."""
+        """Resume a frozen server process.
+
+        Send the output and handle the input that were deferred while it was frozen, or drop both if ``discard``.
+        """
         self.is_frozen = False
-        output, self._deferred_output = self._deferred_output, []
-        pending_input, self._deferred_input = self._deferred_input, []
+        deferred_output, self._deferred_output = self._deferred_output, []
+        deferred_input, self._deferred_input = self._deferred_input, []
         if discard:
             return
-        for deferred in output:
+        for deferred in deferred_output:
             deferred.connection.write(deferred.data)
-        for arrival in pending_input:
+        for arrival in deferred_input:
             arrival.connection.receive(arrival.data, arrival.arrived_at)
 
     def defer_input(self, connection: ServerConnection, data: bytes) -> None:
-        """Keep bytes that arrived while frozen until the server resumes."""
+        """Hold bytes that arrive while the server is frozen until it resumes."""
         self._deferred_input.append(_DeferredInput(connection, data, self.scheduler.now()))
 
     def defer_output(self, connection: ServerConnection, data: bytes) -> None:
-        """Keep bytes to be sent while frozen until the server resumes."""
+        """Hold bytes to be sent while the server is frozen until it resumes."""
         self._deferred_output.append(_DeferredOutput(connection, data))
--- a/starlingthread/emulator/child_processes.py
+++ b/starlingthread/emulator/child_processes.py
@@ -1,4 +1,4 @@
-"""Child processes that end with the process that started them, even if that one is killed."""
+"""Parent death signal for child processes: a child is killed when its parent ends, even if the parent is killed."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 import sys
 from collections.abc import Callable
 
-PR_SET_PDEATHSIG = 1  # of prctl(2): the signal that a process gets when its parent ends
+# Option of prctl(2) that sets the signal sent to a process when its parent ends.
+PR_SET_PDEATHSIG = 1
 
 
 def parent_death_hook() -> Callable[[], None] | None:
-    """Return what a child has to run before its program, as ``preexec_fn``; None where the system can't do it."""
+    """Return a ``preexec_fn`` that has the child killed when its parent ends; None on systems other than Linux."""
     if not sys.platform.startswith("linux"):
         return None
     prctl = ctypes.CDLL(None, use_errno=True).prctl
-    parent = os.getpid()
+    parent_pid = os.getpid()
 
-    def request_signal() -> None:
+    def request_death_signal() -> None:
         prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-        if os.getppid() != parent:  # it has ended meanwhile
+        if os.getppid() != parent_pid:  # The parent ended before the signal was requested.
             os._exit(1)
 
-    return request_signal
+    return request_death_signal
--- a/starlingthread/emulator/datagram_relay.py
+++ b/starlingthread/emulator/datagram_relay.py
@@ -1,4 +1,4 @@
-"""Router-to-router datagrams through a relay that delays, drops, duplicates and reorders them."""
+"""Relay for datagrams between routers, which delays, drops, duplicates and reorders them."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from ..experiment.scenario import Datagrams
 
 MAX_DATAGRAM_BYTES = 256
-_REORDERED_DELAY_FACTOR = 4.0  # for a datagram that later ones are to overtake
+# Factor on the delay of a reordered datagram, so that datagrams sent later arrive first.
+_REORDERED_DELAY_FACTOR = 4.0
 
 _Address = tuple[str, int]
 
 
 class _RelayEndpoint(asyncio.DatagramProtocol):
-    """The address under which the other routers know one router, or all of them if the target is None."""
+    """Socket at which the relay receives datagrams for one router, or for all routers if the target is None."""
 
     def __init__(self, relay: DatagramRelay, target: int | None) -> None:
         self._relay = relay
@@ -29,25 +30,25 @@
 
 
 class DatagramRelay:
-    """One socket for each router, and one that broadcasts to all."""
+    """Forwards datagrams between routers through one socket for each router and one for broadcasts."""
 
     def __init__(self, spec: Datagrams, rng: np.random.Generator) -> None:
         self.spec = spec
-        self.extra_loss_rate = 0.0  # share of datagrams lost beyond the scenario's own
-        self.partitions: list[set[int]] = []  # sets of routers that exchange no datagrams with routers outside
+        self.extra_loss_rate = 0.0  # share of datagrams dropped in addition to the loss rate of the scenario
+        self.partitions: list[set[int]] = []  # sets of routers that exchange datagrams only within their set
         self.sent = 0
         self.delivered = 0
         self.dropped = 0
         self.oversized = 0
         self.unknown_senders = 0
-        self.listeners: list[_Address] = []  # the routers' own addresses
+        self.listeners: list[_Address] = []  # addresses at which the routers themselves listen
         self.addresses: list[_Address] = []
         self.broadcast_address: _Address = ("", 0)
         self._draws = UniformDraws(rng)
         self._transports: list[asyncio.DatagramTransport] = []
 
     async def start(self, listeners: list[_Address]) -> None:
-        """Open the sockets; ``listeners`` are the routers' own addresses in order of their numbers."""
+        """Open the sockets; ``listeners`` are the addresses at which the routers listen, in order of their numbers."""
         self.listeners = listeners
         loop = asyncio.get_running_loop()
         for target in [*range(len(listeners)), None]:
@@ -60,7 +61,7 @@
         self.broadcast_address = addresses[-1]
 
     def forward(self, target: int | None, data: bytes, sender: _Address) -> None:
-        """Forward a datagram to one router, or to all but the sender if the target is None."""
+        """Forward a datagram to the target router, or to all routers but the sender if the target is None."""
         if sender not in self.listeners:
             self.unknown_senders += 1
             return
@@ -87,8 +88,8 @@
                 delay_ms *= _REORDERED_DELAY_FACTOR
             asyncio.get_running_loop().call_later(delay_ms / 1000.0, self._deliver, source, destination, data)
 
-    def _is_partitioned(self, one: int, other: int) -> bool:
-        return any((one in routers) != (other in routers) for routers in self.partitions)
+    def _is_partitioned(self, source: int, destination: int) -> bool:
+        return any((source in routers) != (destination in routers) for routers in self.partitions)
 
     def _deliver(self, source: int, destination: int, data: bytes) -> None:
         transport = self._transports[source]
--- a/starlingthread/emulator/discovery_server.py
+++ b/starlingthread/emulator/discovery_server.py
@@ -1,6 +1,6 @@
-"""Discovery: the endpoint list and its watch over HTTP.
+"""Emulated service discovery: the endpoint list and watches for its changes, over HTTP.
 
-Each router has a port of its own, so that the run knows which router was notified of what.
+Each router connects to a port of its own, so that the ledger records which router was notified of which status.
 """
 
 from __future__ import annotations
@@ -15,12 +15,14 @@
 
 from ..experiment.records import StatusNotification
 
-HEARTBEAT_S = 2.0  # between empty lines on a watch
-_REMOVALS_REMEMBERED = 1000
+# Time between two empty lines on a watch without changes.
+HEARTBEAT_INTERVAL_S = 2.0
+# Limit on the removals kept for incremental updates; a router that has missed older ones gets a snapshot.
+_MAX_RETAINED_REMOVALS = 1000
 
 
 class ListedServer:
-    """A server on the endpoint list. Each group of routers knows it by an address of its own."""
+    """A server on the endpoint list, with a separate address for each group of routers."""
 
     def __init__(self, number: int, name: str, addresses: list[str], zone: str) -> None:
         self.number = number
@@ -28,12 +30,12 @@
         self.addresses = addresses
         self.zone = zone
         self.status = "in_service"
-        self.since_ms = 0  # when it started, by the wall clock
-        self.started_at = 0.0  # the same moment by the machine's monotonic clock, ms
+        self.since_ms = 0  # start of the server process by the wall clock
+        self.started_at = 0.0  # start of the server process by the monotonic clock, ms
         self.changed_at_index = 1
 
-    def endpoint_line(self, router: int = 0) -> dict[str, Any]:
-        """Return the server in the form of the protocol, as one router sees it."""
+    def endpoint_entry(self, router: int = 0) -> dict[str, Any]:
+        """Return the JSON object of this server in the endpoint list that a router receives."""
         return {
             "name": self.name,
             "address": self.addresses[router % len(self.addresses)],
@@ -52,7 +54,7 @@
 
 
 class DiscoveryServer:
-    """All routers' view of the fleet. ``notifications`` gets a record for each endpoint line written to a router."""
+    """Serves the endpoint list to all routers; appends a record to ``notifications`` for each endpoint it sends."""
 
     def __init__(self, routers: int, request_delay_ms: float, notifications: list[StatusNotification]) -> None:
         self.notifications = notifications
@@ -60,17 +62,17 @@
         self.index = 1
         self.entries: dict[int, ListedServer] = {}
         self.is_down = False
-        self.partitioned_routers: set[int] = set()  # their requests stall
+        self.partitioned_routers: set[int] = set()  # routers whose requests and watches stall
         self.requests = 0
         self.failed_requests = 0
         self.ports: list[int] = []
         self._routers = routers
         self._router_of_port = {0: 0}
-        self._request_lock = asyncio.Lock()  # requests are handled one after another
+        self._request_lock = asyncio.Lock()  # serializes the delays of requests
         self._changed = asyncio.Event()
         self._removals: list[_Removal] = []
         self._watches: set[asyncio.Task[Any]] = set()
-        self._silent_watches: set[asyncio.Task[Any]] = set()  # open, and never written to again
+        self._silent_watches: set[asyncio.Task[Any]] = set()  # open watches that get no more data
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
@@ -101,53 +103,53 @@
     # changes
 
     def publish(self, server: ListedServer) -> None:
-        """List a server, or its changed status, under a new index; a terminated one leaves the list."""
+        """Publish a server and its status under a new index; a terminated server is removed from the list."""
         self.index += 1
         server.changed_at_index = self.index
         if server.status == "terminated":
             self.entries.pop(server.number, None)
             self._removals.append(_Removal(self.index, server))
-            del self._removals[:-_REMOVALS_REMEMBERED]
+            del self._removals[:-_MAX_RETAINED_REMOVALS]
         else:
             self.entries[server.number] = server
-        self._wake_watches()
+        self._notify_watches()
 
-    def _wake_watches(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
     def set_down(self, is_down: bool) -> None:
-        """Go down, which ends the watches and fails requests, or recover."""
+        """Take discovery down, which ends all watches and fails requests, or restore it."""
         self.is_down = is_down
         if is_down:
             self._cancel_watches()
 
     def partition(self, routers: set[int], is_partitioned: bool) -> None:
-        """Partition some routers from discovery, so that their requests and watches stall, or end that."""
+        """Start or end a partition between discovery and some routers, whose requests and watches stall meanwhile."""
         if is_partitioned:
             self.partitioned_routers |= routers
         else:
             self.partitioned_routers -= routers
-        self._wake_watches()
+        self._notify_watches()
 
     def silence_watches(self) -> None:
-        """Let the watches that are open now fall silent for good; they stay open."""
+        """Stop sending on all watches that are open now, without closing them; watches opened later work."""
         self._silent_watches |= self._watches
-        self._wake_watches()
+        self._notify_watches()
 
     def snapshot(self, router: int = 0) -> dict[str, Any]:
-        """Return the complete list in the form of the protocol, as one router sees it."""
+        """Return the JSON object of the complete endpoint list that a router receives."""
         return self._endpoint_list(list(self.entries.values()), router, is_snapshot=True)
 
     def _endpoint_list(self, servers: list[ListedServer], router: int, is_snapshot: bool) -> dict[str, Any]:
-        endpoints = [server.endpoint_line(router) for server in servers]
+        endpoints = [server.endpoint_entry(router) for server in servers]
         return {"index": self.index, "snapshot": is_snapshot, "endpoints": endpoints}
 
     def _is_too_old(self, index: int) -> bool:
-        """Return whether changes since an index are unknown, so that only a snapshot can be sent."""
+        """Return whether the changes since an index are no longer known, so that a snapshot has to be sent."""
         if index <= 0 or index > self.index:
             return True
-        return len(self._removals) == _REMOVALS_REMEMBERED and self._removals[0].at_index > index
+        return len(self._removals) == _MAX_RETAINED_REMOVALS and self._removals[0].at_index > index
 
     def _changed_since(self, index: int) -> list[ListedServer]:
         changed = [server for server in self.entries.values() if server.changed_at_index > index]
@@ -158,7 +160,7 @@
         ]
         return changed + removed
 
-    def _record_notified(self, router: int, servers: list[ListedServer]) -> None:
+    def _record_notifications(self, router: int, servers: list[ListedServer]) -> None:
         at = time.monotonic() * 1000.0
         self.notifications.extend(StatusNotification(router, s.number, s.status, at, s.started_at) for s in servers)
 
@@ -173,32 +175,32 @@
         while router in self.partitioned_routers:
             await self._changed.wait()
         if self.is_down:
-            return self._fail(request.transport)
+            return self._failed_response(request.transport)
         if request.query.get("watch") != "1":
-            return self._list(router)
+            return self._list_response(router)
         try:
             after = int(request.query.get("after", "0"))
         except ValueError:
             return web.Response(status=400, text="after: expected a number")
         return await self._watch(request, router, after)
 
-    def _fail(self, transport: asyncio.Transport | None) -> web.Response:
-        """Fail a request: every other one by aborting the connection, the others by an error status.
+    def _failed_response(self, transport: asyncio.Transport | None) -> web.Response:
+        """Fail a request: alternately abort the connection or answer with status 503.
 
-        transport: None if the router has left.
+        ``transport`` is None if the router has disconnected.
         """
         self.failed_requests += 1
         if self.failed_requests % 2 and transport is not None:
             transport.abort()
         return web.Response(status=503)
 
-    def _list(self, router: int) -> web.Response:
+    def _list_response(self, router: int) -> web.Response:
         body = json.dumps(self.snapshot(router))
-        self._record_notified(router, list(self.entries.values()))
+        self._record_notifications(router, list(self.entries.values()))
         return web.Response(text=body, content_type="application/json")
 
     async def _watch(self, request: web.Request, router: int, after: int) -> web.StreamResponse:
-        """Stream changes after an index until the router leaves or discovery goes down."""
+        """Stream the changes after an index until the router disconnects or discovery goes down."""
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
         response.enable_chunked_encoding()
         task = asyncio.current_task()
@@ -220,20 +222,20 @@
         return response
 
     async def _stream_changes(self, response: web.StreamResponse, router: int, after: int) -> None:
-        is_first = True
+        is_first_message = True
         while True:
             changed = self._changed
             while router in self.partitioned_routers or asyncio.current_task() in self._silent_watches:
                 await self._changed.wait()
-            if is_first or after < self.index:
+            if is_first_message or after < self.index:
                 is_snapshot = self._is_too_old(after)
                 servers = list(self.entries.values()) if is_snapshot else self._changed_since(after)
                 body = self._endpoint_list(servers, router, is_snapshot)
                 after = self.index
-                is_first = False
+                is_first_message = False
                 await response.write(json.dumps(body).encode() + b"\n")
-                self._record_notified(router, servers)
+                self._record_notifications(router, servers)
             try:
-                await asyncio.wait_for(changed.wait(), HEARTBEAT_S)
+                await asyncio.wait_for(changed.wait(), HEARTBEAT_INTERVAL_S)
             except TimeoutError:
                 await response.write(b"\n")
--- a/starlingthread/emulator/fault_injector.py
+++ b/starlingthread/emulator/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario into the testbed, each at its time, and ends them at theirs."""
+"""Fault injector: begins and ends the faults of a scenario on the testbed at their scheduled times."""
 
 from __future__ import annotations
 
@@ -15,26 +15,30 @@
 from .fault_targets import affected_link_groups, affects_routers, targets
 from .testbed_interface import Testbed
 
-DEREGISTRATION_DELAY_S = 0.3  # for which new connections still go to a router after SIGTERM
+# Time after SIGTERM during which the load balancer in front of the routers still sends new connections to a router.
+DEREGISTRATION_DELAY_S = 0.3
 
 
 class FaultInjector:
-    """Injects a scenario's faults."""
+    """Injects the faults of the testbed's scenario."""
 
     def __init__(self, testbed: Testbed, rng: np.random.Generator) -> None:
         self.testbed = testbed
         self.scenario = testbed.scenario
-        # Drawn in advance and in order, so that the targets do not depend on the timing of the run.
+        # All targets are drawn in advance and in order, so that they do not depend on the timing of the run.
         self.plan = [(fault, targets(fault, self.scenario, rng)) for fault in self.scenario.faults]
         self._scheduled: set[asyncio.Task[None]] = set()
 
     async def run(self, started_at: float) -> None:
-        """Inject all faults; ``started_at`` is the run's start in milliseconds."""
+        """Inject all faults; return when they and their scheduled actions have ended.
+
+        ``started_at`` is the start of the run in milliseconds.
+        """
         await asyncio.gather(*(self._inject(fault, affected, started_at) for fault, affected in self.plan))
         await asyncio.gather(*self._scheduled)
 
     def schedule(self, delay_s: float, work: Callable[[], Awaitable[None]]) -> None:
-        """Do something after a delay; the run of faults does not end before."""
+        """Run an action after a delay; ``run`` waits for it to end."""
 
         async def wait() -> None:
             await asyncio.sleep(delay_s)
@@ -70,7 +74,7 @@
 
 
 def _describe_target(fault: Fault, affected: tuple[int, ...]) -> str:
-    """Return the target as reports show it; empty for a fault that affects neither servers nor routers."""
+    """Return the target as shown in reports; empty for a fault that affects neither servers nor routers."""
     numbers = ",".join(map(str, affected))
     if affects_routers(fault):
         return f"routers {numbers}"
--- a/starlingthread/emulator/fault_kinds.py
+++ b/starlingthread/emulator/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults, by their names in scenarios."""
+"""Registry of the fault actions by the names of the fault kinds in scenarios."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from .platform_faults import (
     BadClients,
     DatagramLoss,
+    DisconnectingClients,
     DiscoveryOutage,
     DiscoveryPartition,
     IdleClients,
     KilledRouters,
-    LeavingClients,
     PeerPartition,
     RestartedRouters,
     SignalledRouters,
@@ -32,14 +32,14 @@
     Unreachable,
 )
 
-# By kind. A surge is none of them: the arrivals of the load tool contain it.
+# Actions by fault kind. The kind "surge" has no action: the load tool adds a surge to the arrivals.
 FAULT_ACTIONS: dict[str, FaultAction] = {
-    "slow": ServerAttribute("slowdown", normal=1.0),
+    "slow": ServerAttribute("slowdown", normal_value=1.0),
     "heavy-tail": HeavyTail(),
-    "late-reports": ServerAttribute("extra_report_delay_ms", normal=0.0),
-    "reset": ServerAttribute("reset_rate", normal=0.0),
-    "spoilt": ServerAttribute("corruption_rate", normal=0.0),
-    "half-answers": ServerAttribute("truncation_rate", normal=0.0),
+    "late-reports": ServerAttribute("extra_report_delay_ms", normal_value=0.0),
+    "reset": ServerAttribute("reset_rate", normal_value=0.0),
+    "spoilt": ServerAttribute("corruption_rate", normal_value=0.0),
+    "half-answers": ServerAttribute("truncation_rate", normal_value=0.0),
     "pause": Pause(),
     "pauses": RepeatedPauses(),
     "silent": Unreachable(),
@@ -56,9 +56,9 @@
     "lost-datagrams": DatagramLoss(),
     "discovery-down": DiscoveryOutage(),
     "origin-jam": SlowOrigin(),
-    "garbage-clients": BadClients(half_commands=False),
-    "half-commands": BadClients(half_commands=True),
-    "leaving-clients": LeavingClients(),
+    "garbage-clients": BadClients(partial_commands=False),
+    "half-commands": BadClients(partial_commands=True),
+    "leaving-clients": DisconnectingClients(),
     "kill-router": KilledRouters(),
     "stop-router": StoppedRouters(),
     "restart-router": RestartedRouters(),
--- a/starlingthread/emulator/fault_targets.py
+++ b/starlingthread/emulator/fault_targets.py
@@ -1,4 +1,4 @@
-"""Which servers, routers and links a fault affects."""
+"""Selection of the servers, routers and links that a fault affects."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 ROUTER_LINK_KINDS = frozenset({"discovery-cut", "peers-cut"})
 _ROUTER_KIND_SUFFIX = "-router"
-_ROUNDING_SLACK = 1e-9
+# Tolerance for floating-point error, so that a share of exactly n servers is not rounded up to n + 1.
+_ROUNDING_TOLERANCE = 1e-9
 
 
 def affects_routers(fault: Fault) -> bool:
@@ -19,7 +20,7 @@
 
 
 def targets(fault: Fault, scenario: Scenario, rng: np.random.Generator) -> tuple[int, ...]:
-    """Return the servers or routers that a fault affects: those it names, else a part drawn at random."""
+    """Return the numbers of the servers or routers that a fault affects: those it names, else a random sample."""
     if fault.kind in ROUTER_LINK_KINDS:
         return fault.routers or _routers_of_groups(affected_link_groups(fault, scenario), scenario)
     if affects_routers(fault):
@@ -29,13 +30,13 @@
     servers, zones = scenario.fleet.servers, scenario.fleet.zones
     if fault.zone:
         return tuple(n for n in range(servers) if zones[n % len(zones)] == fault.zone)
-    # Drawn even for faults that affect no server, so that the other faults of a seed stay the same.
-    count = max(1, math.ceil(servers * fault.part - _ROUNDING_SLACK)) if fault.part else 1
+    # A sample is drawn even for faults that affect no server: other faults then get the same targets for a seed.
+    count = max(1, math.ceil(servers * fault.part - _ROUNDING_TOLERANCE)) if fault.part else 1
     return tuple(sorted(int(n) for n in rng.choice(servers, size=min(count, servers), replace=False)))
 
 
 def affected_link_groups(fault: Fault, scenario: Scenario) -> list[int]:
-    """Return the groups of routers whose links a fault affects: those it names, else those of its ``from_zone``."""
+    """Return the groups of routers whose links a fault affects, limited to its ``groups`` and ``from_zone`` if set."""
     zones = scenario.fleet.zones
     return [
         group
--- a/starlingthread/emulator/load_oracle.py
+++ b/starlingthread/emulator/load_oracle.py
@@ -1,6 +1,6 @@
-"""The servers' true load, shared through a file with a baseline router that is to know it.
+"""Load oracle: shares the true load of all servers with a baseline router through a memory-mapped file.
 
-It serves comparisons only and is no part of the platform. The file has one cell for each server.
+It is used for comparisons only and is not part of the platform. The file holds one cell for each server.
 """
 
 from __future__ import annotations
@@ -9,23 +9,25 @@
 import struct
 from pathlib import Path
 
-ORACLE_FILE_VARIABLE = "STARLINGTHREAD_TRUTH"  # the environment variable with the path of the file
-LOAD_CELL = struct.Struct("=d")  # queued and running commands, relative to the slots and their speed
+# Name of the environment variable that holds the path of the file.
+ORACLE_FILE_VARIABLE = "STARLINGTHREAD_TRUTH"
+# Format of one cell: the number of queued and running commands, relative to the slots and their speed.
+LOAD_CELL = struct.Struct("=d")
 WRITE_PERIOD_S = 0.005
 
 
 def server_name(number: int) -> str:
-    """Return the name under which discovery lists a server."""
+    """Return the name of a server in the endpoint list."""
     return f"s-{number:04d}"
 
 
 def create_oracle_file(path: Path, servers: int) -> None:
-    """Create the file with a load of zero for each server."""
+    """Create the oracle file with a load of zero for each server."""
     path.write_bytes(bytes(LOAD_CELL.size * servers))
 
 
 class LoadOracleWriter:
-    """The writing end of the file; each process of servers writes the cells of its own ones."""
+    """Writer of the oracle file; each worker process writes the cells of its own servers."""
 
     def __init__(self, path: Path) -> None:
         with path.open("r+b") as file:
--- a/starlingthread/emulator/load_reports.py
+++ b/starlingthread/emulator/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of a server: sampled periodically, delivered late and with noise."""
+"""Load reports of a server, sampled periodically and delivered with delay and noise."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from ..experiment.randomness import LognormalFactors
 from ..experiment.scenario import Fleet
 
-_WIRE_NAMES = ("inflight", "queue", "x0")
+_WIRE_FIELD_NAMES = ("inflight", "queue", "x0")
 
 
 class LoadReport(NamedTuple):
-    """What a server reports about its load."""
+    """Load of a server as it reports it."""
 
     in_flight: float  # commands that run or wait for the origin
     queued: float
-    hit_rate: float  # of recent reads
+    hit_rate: float  # share of recent reads that were cache hits
 
     def wire_fields(self) -> Iterator[tuple[str, float]]:
-        """Return the fields under their names on the wire, in order."""
-        return zip(_WIRE_NAMES, self, strict=True)
+        """Return the pairs of wire name and value, in order."""
+        return zip(_WIRE_FIELD_NAMES, self, strict=True)
 
 
 class _Sample(NamedTuple):
@@ -30,7 +30,7 @@
 
 
 class LoadReporter:
-    """Samples of the load, from which the one that is old enough is reported."""
+    """Samples the load periodically, and reports the newest sample that is at least as old as the report delay."""
 
     def __init__(self, spec: Fleet, noise: LognormalFactors) -> None:
         self._spec = spec
@@ -38,10 +38,10 @@
         self._samples: deque[_Sample] = deque()
 
     def report(self, now: float, extra_delay_ms: float, measure: Callable[[], LoadReport]) -> LoadReport:
-        """Return the report to send now; ``measure`` is called if a new sample is due."""
+        """Return the report to send now, with noise; call ``measure`` if a new sample is due."""
         if not self._samples or now - self._samples[-1].taken_at >= self._spec.report_period_ms:
             self._samples.append(_Sample(now, measure()))
-        newest_allowed = now - self._spec.report_delay_ms - extra_delay_ms
-        while len(self._samples) > 1 and self._samples[1].taken_at <= newest_allowed:
+        newest_reportable_at = now - self._spec.report_delay_ms - extra_delay_ms
+        while len(self._samples) > 1 and self._samples[1].taken_at <= newest_reportable_at:
             self._samples.popleft()
         return LoadReport(*(value * self._noise.next() for value in self._samples[0].report))
--- a/starlingthread/emulator/messages.py
+++ b/starlingthread/emulator/messages.py
@@ -1,6 +1,6 @@
 """Messages between the coordinator of a run and its worker processes.
 
-Each is encoded as a MessagePack array that begins with the tag of its kind.
+Each message is encoded as a MessagePack array whose first element is the tag of its type.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag="hello"):
-    """A worker introduces itself; its first message."""
+    """First message of a worker, which identifies it."""
 
-    role: str  # servers or clients
+    role: str  # "servers" or "clients"
     number: int
 
 
 class Call(msgspec.Struct, array_like=True, frozen=True, tag="c"):
-    """Call a method of the other end."""
+    """Call of a method of the peer process."""
 
     number: int
     method: str
@@ -26,7 +26,7 @@
 
 
 class Reply(msgspec.Struct, array_like=True, frozen=True, tag="r"):
-    """The result of a call, or the text of its error."""
+    """Result of a call, or the text of its error."""
 
     number: int
     is_ok: bool
@@ -34,14 +34,14 @@
 
 
 class OriginFetch(msgspec.Struct, array_like=True, frozen=True, tag="f"):
-    """A server reads a key from the origin."""
+    """Request of a server to read a key from the origin."""
 
     number: int
     key: str
 
 
 class OriginWrite(msgspec.Struct, array_like=True, frozen=True, tag="w"):
-    """A server writes a key at the origin."""
+    """Request of a server to write a key at the origin."""
 
     number: int
     key: str
@@ -49,23 +49,25 @@
 
 
 class OriginAnswer(msgspec.Struct, array_like=True, frozen=True, tag="o"):
-    """The origin's answer to a fetch or write: the version, None if it failed."""
+    """Answer of the origin to a fetch or write: the version of the value, or None if the request failed."""
 
     number: int
     version: int | None
 
 
 class KeyWritten(msgspec.Struct, array_like=True, frozen=True, tag="i"):
-    """A key was written at the origin, so that cached values of it are stale."""
+    """Invalidation of a key that was written at the origin, so that cached values are stale."""
 
     key: str
 
 
 class OverloadCrash(msgspec.Struct, array_like=True, frozen=True, tag="fell"):
-    """A server has crashed by overload."""
+    """Notification that a server has crashed because of overload."""
 
     server: int
 
 
-CoordinatorMessage = Call | OriginAnswer | KeyWritten  # what a worker receives, besides replies
-WorkerMessage = Hello | OriginFetch | OriginWrite | OverloadCrash  # what the coordinator receives, besides replies
+# Messages that the coordinator sends to a worker, besides replies.
+CoordinatorMessage = Call | OriginAnswer | KeyWritten
+# Messages that a worker sends to the coordinator, besides replies.
+WorkerMessage = Hello | OriginFetch | OriginWrite | OverloadCrash
--- a/starlingthread/emulator/origin_model.py
+++ b/starlingthread/emulator/origin_model.py
@@ -1,4 +1,4 @@
-"""The origin: the data store behind the cache servers, without sockets or a clock of its own."""
+"""Model of the origin, the data store behind the cache servers, without sockets or a clock of its own."""
 
 from __future__ import annotations
 
@@ -13,25 +13,27 @@
 from ..experiment.scenario import Origin
 from .schedule import Scheduler
 
-_RECEIPT_TTL_MS = 60000.0
+_IDEMPOTENCY_RECORD_TTL_MS = 60000.0
 
-VersionCallback = Callable[[int | None], None]  # gets the value's version, or None if the request failed
+# Callback that receives the version of the value, or None if the request failed.
+VersionCallback = Callable[[int | None], None]
 
 
 class OriginClient(Protocol):
-    """The origin as a server sees it."""
+    """Interface through which a server uses the origin."""
 
-    def fetch(self, key: str, then: VersionCallback) -> None:
+    def fetch(self, key: str, callback: VersionCallback) -> None:
         """Read a key."""
 
-    def write(self, key: str, idempotency_key: str, then: VersionCallback) -> None:
-        """Write a key, so that all servers invalidate it. A retry with the same idempotency key does not write again.
+    def write(self, key: str, idempotency_key: str, callback: VersionCallback) -> None:
+        """Write a key, which invalidates it at all servers.
 
-        An empty idempotency key stands for a write that is not idempotent.
+        A retry with the same idempotency key does not write again. An empty idempotency key marks a write that is not
+        idempotent.
         """
 
 
-class _Receipt(NamedTuple):
+class _IdempotencyRecord(NamedTuple):
     written_at: float
     version: int
 
@@ -39,11 +41,11 @@
 class _Request(NamedTuple):
     key: str
     is_write: bool
-    then: VersionCallback
+    callback: VersionCallback
 
 
 class OriginModel:
-    """A finite number of workers behind a bounded queue; requests beyond the queue fail at once."""
+    """A fixed number of workers behind a bounded queue; requests fail at once when the queue is full."""
 
     def __init__(self, spec: Origin, scheduler: Scheduler, rng: np.random.Generator) -> None:
         self.spec = spec
@@ -55,52 +57,52 @@
         self.deduplicated_writes = 0
         self.versions: dict[str, int] = {}
         self.on_write: Callable[[str], None] = lambda key: None
-        self._receipts: OrderedDict[str, _Receipt] = OrderedDict()  # of writes, by idempotency key
+        self._records: OrderedDict[str, _IdempotencyRecord] = OrderedDict()  # results of writes by idempotency key
         self._writes_in_flight: dict[str, list[VersionCallback]] = {}  # callbacks by idempotency key
         self._work_factors = LognormalFactors(rng, spec.cv)
         self._queue: deque[_Request] = deque()
         self._busy_workers = 0
 
-    def fetch(self, key: str, then: VersionCallback) -> None:
+    def fetch(self, key: str, callback: VersionCallback) -> None:
         """Read a key."""
         self.fetches += 1
-        self._enqueue(_Request(key, False, then))
+        self._enqueue(_Request(key, False, callback))
 
-    def write(self, key: str, idempotency_key: str, then: VersionCallback) -> None:
+    def write(self, key: str, idempotency_key: str, callback: VersionCallback) -> None:
         """Write a key. A retry with the same idempotency key waits for the first write and gets its version."""
         if not idempotency_key:
             self.writes += 1
-            self._enqueue(_Request(key, True, then))
+            self._enqueue(_Request(key, True, callback))
             return
-        self._expire_receipts()
-        receipt = self._receipts.get(idempotency_key)
-        if receipt is not None:
+        self._expire_idempotency_records()
+        record = self._records.get(idempotency_key)
+        if record is not None:
             self.deduplicated_writes += 1
-            then(receipt.version)
+            callback(record.version)
             return
         if idempotency_key in self._writes_in_flight:
             self.deduplicated_writes += 1
-            self._writes_in_flight[idempotency_key].append(then)
+            self._writes_in_flight[idempotency_key].append(callback)
             return
-        self._writes_in_flight[idempotency_key] = [then]
+        self._writes_in_flight[idempotency_key] = [callback]
         self.writes += 1
         self._enqueue(_Request(key, True, partial(self._finish_idempotent_write, idempotency_key)))
 
-    def _expire_receipts(self) -> None:
-        oldest_kept = self.scheduler.now() - _RECEIPT_TTL_MS
-        while self._receipts and next(iter(self._receipts.values())).written_at < oldest_kept:
-            self._receipts.popitem(last=False)
+    def _expire_idempotency_records(self) -> None:
+        oldest_retained_at = self.scheduler.now() - _IDEMPOTENCY_RECORD_TTL_MS
+        while self._records and next(iter(self._records.values())).written_at < oldest_retained_at:
+            self._records.popitem(last=False)
 
     def _finish_idempotent_write(self, idempotency_key: str, version: int | None) -> None:
         if version is not None:
-            self._receipts[idempotency_key] = _Receipt(self.scheduler.now(), version)
-        for then in self._writes_in_flight.pop(idempotency_key):
-            then(version)
+            self._records[idempotency_key] = _IdempotencyRecord(self.scheduler.now(), version)
+        for callback in self._writes_in_flight.pop(idempotency_key):
+            callback(version)
 
     def _enqueue(self, request: _Request) -> None:
         if len(self._queue) >= self.spec.queue:
             self.failures += 1
-            request.then(None)
+            request.callback(None)
             return
         self._queue.append(request)
         self._start_queued()
@@ -109,13 +111,13 @@
         while self._queue and self._busy_workers < self.spec.slots:
             request = self._queue.popleft()
             self._busy_workers += 1
-            duration = self.spec.fetch_ms * self._work_factors.next() * self.slowdown
-            self.scheduler.after(duration, partial(self._complete, request))
+            duration_ms = self.spec.fetch_ms * self._work_factors.next() * self.slowdown
+            self.scheduler.after(duration_ms, partial(self._complete, request))
 
     def _complete(self, request: _Request) -> None:
         self._busy_workers -= 1
         if request.is_write:
             self.versions[request.key] = self.versions.get(request.key, 0) + 1
             self.on_write(request.key)
-        request.then(self.versions.get(request.key, 0))
+        request.callback(self.versions.get(request.key, 0))
         self._start_queued()
--- a/starlingthread/emulator/platform_faults.py
+++ b/starlingthread/emulator/platform_faults.py
@@ -9,7 +9,7 @@
 
 
 class DiscoveryPartition(FaultAction):
-    """Routers are partitioned from discovery."""
+    """Partition between routers and discovery."""
 
     async def begin(self, injected: InjectedFault) -> None:
         injected.testbed.partition_discovery(set(injected.affected), True)
@@ -19,7 +19,7 @@
 
 
 class PeerPartition(FaultAction):
-    """Routers are partitioned from their peers."""
+    """Partition between routers and their peers."""
 
     async def begin(self, injected: InjectedFault) -> None:
         injected.testbed.partition_peers(set(injected.affected), True)
@@ -29,7 +29,7 @@
 
 
 class DatagramLoss(FaultAction):
-    """A share of the datagrams between routers is lost."""
+    """Loss of a share of the datagrams between routers."""
 
     async def begin(self, injected: InjectedFault) -> None:
         injected.testbed.set_datagram_loss(injected.fault.strength)
@@ -42,7 +42,7 @@
 
 
 class DiscoveryOutage(FaultAction):
-    """Discovery is down."""
+    """Outage of discovery."""
 
     async def begin(self, injected: InjectedFault) -> None:
         injected.testbed.set_discovery_down(True)
@@ -52,7 +52,7 @@
 
 
 class SlowDiscovery(FaultAction):
-    """Each call to discovery takes longer."""
+    """Additional delay of each call to discovery."""
 
     async def begin(self, injected: InjectedFault) -> None:
         injected.testbed.delay_discovery(injected.fault.strength)
@@ -62,14 +62,14 @@
 
 
 class SilentWatches(FaultAction):
-    """The watches that are open at this moment fall silent for good; new ones work."""
+    """Discovery sends nothing more on the watches that are open when the fault begins; watches opened later work."""
 
     async def begin(self, injected: InjectedFault) -> None:
         injected.testbed.silence_watches()
 
 
 class SlowOrigin(FaultAction):
-    """The origin is slower by a factor."""
+    """Slowdown of the origin by a factor."""
 
     async def begin(self, injected: InjectedFault) -> None:
         injected.testbed.slow_origin(injected.fault.strength)
@@ -79,26 +79,26 @@
 
 
 class BadClients(FaultAction):
-    """Clients send garbage, or half commands."""
+    """Clients that send garbage or incomplete commands."""
 
-    def __init__(self, half_commands: bool) -> None:
-        self._half_commands = half_commands
+    def __init__(self, partial_commands: bool) -> None:
+        self._partial_commands = partial_commands
 
     async def begin(self, injected: InjectedFault) -> None:
         fault = injected.fault
-        await injected.testbed.bad_clients(fault.strength, fault.length_s, self._half_commands)
+        await injected.testbed.bad_clients(fault.strength, fault.length_s, self._partial_commands)
 
 
 class IdleClients(FaultAction):
-    """A crowd of clients connects, says little or nothing and comes back when it is disconnected."""
+    """Many clients that connect, send little or nothing, and reconnect when they are disconnected."""
 
     async def begin(self, injected: InjectedFault) -> None:
         fault = injected.fault
         await injected.testbed.call_clients("idle_clients", int(fault.strength), fault.length_s)
 
 
-class LeavingClients(FaultAction):
-    """A share of the clients closes its connection before the answer."""
+class DisconnectingClients(FaultAction):
+    """Clients that close the connection before the answer, for a share of the requests."""
 
     async def begin(self, injected: InjectedFault) -> None:
         await injected.testbed.call_clients("leave", injected.fault.strength)
@@ -111,7 +111,7 @@
 
 
 class KilledRouters(FaultAction):
-    """Routers are killed, and started again at the end."""
+    """Routers that are killed by SIGKILL and started again when the fault ends."""
 
     async def begin(self, injected: InjectedFault) -> None:
         for number in injected.affected:
@@ -122,7 +122,7 @@
 
 
 class StoppedRouters(FaultAction):
-    """Routers are stopped by SIGSTOP."""
+    """Routers that are stopped by SIGSTOP and continued by SIGCONT when the fault ends."""
 
     async def begin(self, injected: InjectedFault) -> None:
         for number in injected.affected:
@@ -134,14 +134,17 @@
 
 
 class RestartedRouters(FaultAction):
-    """Routers are restarted gracefully."""
+    """Graceful restart of routers."""
 
     async def begin(self, injected: InjectedFault) -> None:
         await asyncio.gather(*(injected.testbed.restart_router(number) for number in injected.affected))
 
 
 class SignalledRouters(FaultAction):
-    """Routers get signals in series, are killed as early as allowed after SIGTERM, and get signals as they start."""
+    """Restart of routers that receive signals before, during and after their shutdown.
+
+    They are killed as soon after SIGTERM as the shutdown rules allow.
+    """
 
     async def begin(self, injected: InjectedFault) -> None:
         await asyncio.gather(*(injected.testbed.signal_and_restart_router(n) for n in injected.affected))
--- a/starlingthread/emulator/router_process.py
+++ b/starlingthread/emulator/router_process.py
@@ -1,4 +1,4 @@
-"""The routers under test: real processes, their configuration, and the resources that they use."""
+"""Processes of the routers under test: configuration, life cycle and resource usage."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class RouterProcess:
-    """One router. It is started, signalled and sampled here, and by nobody else."""
+    """One router process. Only this class starts, signals and samples it."""
 
     def __init__(self, number: int, scenario: Scenario, folder: Path, ledger: Ledger) -> None:
         self.number = number
@@ -49,7 +49,7 @@
         self.folder = folder
         self.ledger = ledger
         self.name = f"r{number}"
-        stripe = PortStripe(0, 1 + scenario.machine.server_processes)  # the other stripes are the server workers'
+        stripe = PortStripe(0, 1 + scenario.machine.server_processes)  # stripes 1.. belong to the server workers
         self.listen = ("127.0.0.1", free_port(socket.SOCK_STREAM, stripe))
         self.peer_listen = ("127.0.0.1", free_port(socket.SOCK_DGRAM, stripe))
         self.process: asyncio.subprocess.Process | None = None
@@ -60,7 +60,7 @@
 
     @property
     def pid(self) -> int:
-        """The process id, 0 when it does not run."""
+        """The process id, or 0 if the process is not running."""
         return self.process.pid if self.process is not None and self.process.returncode is None else 0
 
     @property
@@ -68,7 +68,7 @@
         return self.folder / f"{self.name}.log"
 
     def record_event(self, kind: str, exit_code: int = 0) -> None:
-        """Write an event of this router to the ledger."""
+        """Append an event of this router to the ledger."""
         self.ledger.router_events.append(RouterEvent(self.number, kind, time.monotonic() * 1000.0, exit_code))
 
     # start
@@ -76,7 +76,7 @@
     def write_configuration(
         self, discovery_port: int, peers: list[_Address], broadcast_address: _Address, endpoint_list: dict[str, Any]
     ) -> Path:
-        """Write the router's configuration file; return its path."""
+        """Write the configuration file of the router; return its path."""
         routers = self.scenario.routers
         config = {
             "name": self.name,
@@ -97,7 +97,7 @@
     async def start(
         self, discovery_port: int, peers: list[_Address], broadcast_address: _Address, endpoint_list: dict[str, Any]
     ) -> None:
-        """Write the configuration and start the process."""
+        """Write the configuration file and start the process."""
         self.starts += 1
         config_path = self.write_configuration(discovery_port, peers, broadcast_address, endpoint_list)
         environment = self._environment(config_path, discovery_port)
@@ -110,7 +110,8 @@
             stderr=self._log,
             preexec_fn=parent_death_hook(),
         )
-        # Set together: a sample taken meanwhile must not mistake the process that was killed for one that crashed.
+        # The attributes change together, after the last await: otherwise a sample taken while the process is being
+        # created reports the previous, killed process as crashed.
         self.process, self.is_exit_expected, self._monitored = process, False, None
         self._limit_resources(process.pid)
 
@@ -135,9 +136,10 @@
         return environment
 
     def _limit_resources(self, pid: int) -> None:
-        """Limit the process's descriptors, and pin it to a core if the scenario says so."""
+        """Limit the file descriptors of the process, and pin it to a core if the scenario requires that."""
         routers = self.scenario.routers
-        with contextlib.suppress(psutil.Error):  # it may have ended already; its exit code is reported elsewhere
+        # The process may have ended already; its exit code is reported elsewhere.
+        with contextlib.suppress(psutil.Error):
             self._monitored = psutil.Process(pid)
             self._monitored.rlimit(psutil.RLIMIT_NOFILE, (routers.sockets, routers.sockets))
         if routers.pin:
@@ -146,7 +148,7 @@
                 os.sched_setaffinity(pid, {cores[self.number % len(cores)]})
 
     async def wait_until_ready(self) -> bool:
-        """Wait until the router answers ``mn``; return False if it ends or takes too long."""
+        """Wait until the router answers ``mn``; return False if the process ends or the wait times out."""
         deadline = time.monotonic() + _READY_TIMEOUT_S
         while time.monotonic() < deadline and self.pid:
             if await self._answers_noop():
@@ -172,7 +174,7 @@
     # life cycle
 
     def sample(self) -> None:
-        """Write the resources that the process uses right now to the ledger."""
+        """Append a sample of the resources that the process uses now to the ledger."""
         if not self.pid or self._monitored is None:
             return
         with contextlib.suppress(psutil.Error):
@@ -187,15 +189,15 @@
                 )
             )
 
-    def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it runs."""
+    def signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self.pid and self.process is not None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def wait_for_program(self) -> None:
-        """Wait until the shell that starts the router, if there is one, has become the router's program.
+        """Wait until the shell that starts the router, if there is one, has executed the router program.
 
-        Only from then on it is sure to have been told which signals to ignore.
+        Until then, the signals that the router command ignores may still have their default effect.
         """
         with contextlib.suppress(psutil.Error):
             for _ in range(_MAX_SHELL_CHECKS):
@@ -203,15 +205,15 @@
                     return
                 await asyncio.sleep(_SIGNAL_PERIOD_S)
 
-    async def send_signals(self, numbers: tuple[Signals, ...], delay_s: float = 0.0) -> None:
-        """Send signals in quick succession after a delay, as far as the process still runs."""
+    async def send_signals(self, signals: tuple[Signals, ...], delay_s: float = 0.0) -> None:
+        """Send signals in quick succession after a delay; signals to a process that has ended are dropped."""
         await asyncio.sleep(delay_s)
-        for number in numbers:
-            self.signal(number)
+        for signal_number in signals:
+            self.signal(signal_number)
             await asyncio.sleep(_SIGNAL_PERIOD_S)
 
     async def kill(self, event: str = "killed") -> None:
-        """Kill the process with SIGKILL, and record it as an event of this kind."""
+        """Kill the process with SIGKILL, and record an event of the given kind."""
         if self.pid and self.process is not None:
             self.is_exit_expected = True
             self.signal(signal.SIGKILL)
@@ -220,7 +222,7 @@
         self._close_log()
 
     async def terminate(self, timeout_s: float) -> int:
-        """Shut the router down gracefully, or kill it after a timeout; return its exit code."""
+        """Shut the router down with SIGTERM, or kill it after a timeout; return its exit code."""
         if not self.pid or self.process is None:
             return self.process.returncode or 0 if self.process is not None else 0
         self.is_exit_expected = True
@@ -243,7 +245,7 @@
             self._log = None
 
     def log_tail(self, lines: int = 5) -> str:
-        """Return the last lines of the router's log, for an error that names the cause."""
+        """Return the last lines of the log of the router, to show the cause of a failure in an error."""
         with contextlib.suppress(OSError):
             return "\n".join(self._log_path.read_text("utf-8", "replace").strip().splitlines()[-lines:])
         return ""
--- a/starlingthread/emulator/router_settings.py
+++ b/starlingthread/emulator/router_settings.py
@@ -1,4 +1,4 @@
-"""The settings object that a router under test is given, made from a scenario."""
+"""Settings object of a router under test, built from a scenario."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def router_settings(scenario: Scenario, router: int) -> dict[str, Any]:
-    """Return the settings object of a router, in the form of the protocol."""
+    """Return the settings object of a router, with the JSON keys of the protocol."""
     fleet = scenario.fleet
     return {
         "clients": {"marksRetry": False},
--- a/starlingthread/emulator/server_answers.py
+++ b/starlingthread/emulator/server_answers.py
@@ -1,4 +1,4 @@
-"""Answers of an emulated server in the meta protocol, and the faults that they may be subject to."""
+"""Answers of an emulated server in the meta protocol, and the faults that are injected into them."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class RenderedAnswer(NamedTuple):
-    """The bytes of an answer, and the CRC-32 of the value or receipt in it."""
+    """The bytes of an answer, and the CRC-32 of the value or receipt that it contains."""
 
     data: bytes
-    digest: int
+    checksum: int
 
 
 def render_answer(command: Command, server: int, report: LoadReport, padding: bytes) -> RenderedAnswer:
-    """Return the answer of a command that was served; a value is filled up to the length of the padding."""
+    """Return the answer to a served command; a value is padded to the length of ``padding``."""
     load = ",".join(f"{name}={value:.3f}" for name, value in report.wire_fields())
     request_id = command.request_id
     if command.is_write:
@@ -40,22 +40,22 @@
 
 
 def render_stats(report: LoadReport) -> bytes:
-    """Return the answer of ``stats load``."""
+    """Return the answer to the command ``stats load``."""
     return "".join(f"STAT {name} {value:.4f}\r\n" for name, value in report.wire_fields()).encode() + b"END\r\n"
 
 
 class AnswerFault(enum.Enum):
-    """What goes wrong with one answer."""
+    """Fault injected into one answer."""
 
     NONE = enum.auto()
-    RESET = enum.auto()  # the connection is reset in its place
-    TRUNCATED_BY_CLOSE = enum.auto()  # half of it, then the connection ends
-    TRUNCATED_BY_STALL = enum.auto()  # half of it, then silence
+    RESET = enum.auto()  # the connection is reset instead of an answer
+    TRUNCATED_BY_CLOSE = enum.auto()  # half of the answer is sent, then the connection is closed
+    TRUNCATED_BY_STALL = enum.auto()  # half of the answer is sent, and the connection stays open
     CORRUPTED = enum.auto()
 
 
 class _Corruption(enum.IntEnum):
-    """The ways in which servers, or proxies in between, corrupt answers."""
+    """The ways in which a server, or a proxy in front of it, corrupts an answer."""
 
     GARBAGE = 0
     OTHER_REQUEST_ID = 1
@@ -65,7 +65,7 @@
 
 
 class AnswerFaults:
-    """The shares of a server's answers that are subject to faults."""
+    """Rates at which faults are injected into the answers of a server."""
 
     def __init__(self, draws: UniformDraws) -> None:
         self.reset_rate = 0.0
@@ -74,7 +74,7 @@
         self._draws = draws
 
     def draw(self, is_served: bool, link_truncation_rate: float) -> AnswerFault:
-        """Draw the fault of an answer; answers of commands that were not served are only subject to resets."""
+        """Draw the fault of an answer at random; the only fault of an answer to a command not served is a reset."""
         if self._occurs(self.reset_rate):
             return AnswerFault.RESET
         if not is_served:
@@ -91,7 +91,7 @@
         return rate > 0.0 and self._draws.next() < rate
 
     def corrupt(self, answer: bytes, request_id: str) -> bytes:
-        """Return an answer corrupted in a way drawn at random."""
+        """Return the answer, corrupted in a randomly drawn way."""
         corruption = _Corruption(int(self._draws.next() * len(_Corruption)))
         if corruption is _Corruption.GARBAGE:
             return b"\x00\xffgarbage\r\n"
--- a/starlingthread/emulator/server_connection.py
+++ b/starlingthread/emulator/server_connection.py
@@ -1,4 +1,4 @@
-"""A connection of a router to an emulated server: parses commands of the meta protocol and answers them in order."""
+"""Server side of a router's connection: parses commands of the meta protocol and answers them in order."""
 
 from __future__ import annotations
 
@@ -30,41 +30,42 @@
 MAX_LINE_BYTES = 4096
 MAX_VALUE_BYTES = 1 << 20
 _LINE_END = b"\r\n"
-_ZERO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets the connection
+# Value of SO_LINGER with which closing a socket resets its connection.
+_ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 class RequestFlags(NamedTuple):
-    """What the flags of a command say about its request."""
+    """Properties of a request that the flags of its command carry."""
 
     request_id: str
     idempotency_key: str
 
 
-def parse_flags(words: list[str]) -> RequestFlags:
-    """Return the opaque id and the fields that a command's flags carry; what is missing is empty."""
+def parse_flags(tokens: list[str]) -> RequestFlags:
+    """Parse the flags of a command: the request id from the opaque flag, and the idempotency key; empty if missing."""
     request_id = ""
     fields: dict[str, str] = {}
-    for word in words:
-        if word[0] == "O":
-            request_id = word[1:]
-        elif word[0] == "P":
-            fields = dict(item.partition("=")[::2] for item in word[1:].split(","))
+    for token in tokens:
+        if token[0] == "O":
+            request_id = token[1:]
+        elif token[0] == "P":
+            fields = dict(item.partition("=")[::2] for item in token[1:].split(","))
     return RequestFlags(request_id, fields.get("k", ""))
 
 
 class PendingAnswer:
-    """The place of one answer in the order of a connection."""
+    """One entry in the ordered queue of answers of a connection."""
 
     __slots__ = ("command", "data", "delivery")
 
     def __init__(self, data: bytes | None = None, delivery: Delivery | None = None) -> None:
-        self.data = data  # None until the command has ended
+        self.data = data  # bytes of the answer, None until the command has ended
         self.command: Command | None = None
         self.delivery = delivery
 
 
 class ConnectionHost(Protocol):
-    """The server, as far as its connections know it."""
+    """Interface through which a connection uses its server."""
 
     model: ServerModel
     scheduler: Scheduler
@@ -72,7 +73,7 @@
     connections: set[ServerConnection]
     answer_faults: AnswerFaults
     padding: bytes
-    malformed: int
+    malformed_commands: int
     is_unreachable: bool
     is_frozen: bool
 
@@ -92,39 +93,40 @@
         self.inbound = LinkDirection(link, False, server.scheduler, self._on_data)
         self.outbound = LinkDirection(link, True, server.scheduler, self._send)
         self.transport: asyncio.Transport
-        self.is_dead = False  # nothing is read or written any more
+        self.is_dead = False  # whether reading and writing have stopped for good
         self._buffer = bytearray()
-        self._first_byte_at = 0.0  # when the command at the front of the buffer began to arrive
+        self._first_byte_at = 0.0  # arrival time of the first byte of the command at the front of the buffer
         self._pending: deque[PendingAnswer] = deque()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server; at an unreachable one, never read."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are not of that class
+        """Register the connection with the server; an unreachable server never reads from it."""
+        # Transports of uvloop are not instances of asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
         if self.server.is_unreachable:
             self.is_dead = True
             self.transport.pause_reading()
         self.server.connections.add(self)
-        self.server.model.handshake()
+        self.server.model.charge_handshake()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the commands that are still pending."""
         self.is_dead = True
         self.server.connections.discard(self)
         for pending in self._pending:
-            self._abandon(pending)
+            self._cancel_pending(pending)
         self._pending.clear()
 
-    def _abandon(self, pending: PendingAnswer) -> None:
+    def _cancel_pending(self, pending: PendingAnswer) -> None:
         command, delivery = pending.command, pending.delivery
         if delivery is not None and delivery.outcome == OUT:
             self._end_delivery(delivery, CUT)
-            if command is not None and command.is_started:  # after waiting in the queue
+            if command is not None and command.is_started:  # the command has started after waiting in the queue
                 delivery.disposition = RUN
         if command is not None:
             self.server.model.cancel(command)
 
     def eof_received(self) -> bool:
-        """Close the connection: a router that ends its sending gives up its attempts."""
+        """Close the connection: a router that closes its sending direction cancels its attempts."""
         return False
 
     def data_received(self, data: bytes) -> None:
@@ -139,16 +141,19 @@
         elif not self.is_dead:
             self.receive(data, self.server.scheduler.now())
 
-    def receive(self, data: bytes, at: float) -> None:
-        """Handle bytes that arrived at a time; a server that was frozen does so even if the connection has ended."""
+    def receive(self, data: bytes, arrived_at: float) -> None:
+        """Handle bytes that arrived at the given time.
+
+        Input deferred while the server was frozen is handled even if the connection has ended meanwhile.
+        """
         if not self._buffer:
-            self._first_byte_at = at
+            self._first_byte_at = arrived_at
         self._buffer += data
         while self._handle_next_command():
-            self._first_byte_at = at
+            self._first_byte_at = arrived_at
 
     def _handle_next_command(self) -> bool:
-        """Take one command off the buffer; return False if it isn't complete."""
+        """Remove one command from the buffer and handle it; return False if no complete command is buffered."""
         line_length = self._buffer.find(_LINE_END)
         if line_length < 0:
             if len(self._buffer) > MAX_LINE_BYTES:
@@ -156,33 +161,33 @@
                 self._answer_now(LINE_TOO_LONG_ANSWER)
                 self.transport.close()
             return False
-        words = self._buffer[:line_length].decode("latin-1").split(" ")
+        tokens = self._buffer[:line_length].decode("latin-1").split(" ")
         body_size = 0
         command_size = line_length + len(_LINE_END)
-        if words[0] == "ms" and len(words) > 2 and words[2].isdigit():
-            body_size = int(words[2]) + len(_LINE_END)
+        if tokens[0] == "ms" and len(tokens) > 2 and tokens[2].isdigit():
+            body_size = int(tokens[2]) + len(_LINE_END)
             if body_size > MAX_VALUE_BYTES or len(self._buffer) < command_size + body_size:
                 return False
         del self._buffer[: command_size + body_size]
-        self._dispatch(words)
+        self._dispatch(tokens)
         return True
 
-    def _dispatch(self, words: list[str]) -> None:
-        name = words[0]
+    def _dispatch(self, tokens: list[str]) -> None:
+        command_name = tokens[0]
         model = self.server.model
-        if name in ("mg", "ms") and len(words) > 3:
-            self._submit(words, is_write=name == "ms")
-        elif name == "mn":
+        if command_name in ("mg", "ms") and len(tokens) > 3:
+            self._submit(tokens, is_write=command_name == "ms")
+        elif command_name == "mn":
             self._answer_now(DRAINING_ANSWER if model.draining else NOOP_ANSWER)
-        elif name == "stats" and words[1:] == ["load"] and model.spec.probes:
+        elif command_name == "stats" and tokens[1:] == ["load"] and model.spec.probes:
             self._answer_now(render_stats(model.report()))
         else:
-            self.server.malformed += 1
-            self._answer_now(BAD_COMMAND_ANSWER if name in ("mg", "ms") else UNKNOWN_COMMAND_ANSWER)
+            self.server.malformed_commands += 1
+            self._answer_now(BAD_COMMAND_ANSWER if command_name in ("mg", "ms") else UNKNOWN_COMMAND_ANSWER)
 
-    def _submit(self, words: list[str], is_write: bool) -> None:
+    def _submit(self, tokens: list[str], is_write: bool) -> None:
         server = self.server
-        flags = parse_flags(words[2:])
+        flags = parse_flags(tokens[2:])
         delivery = Delivery(flags.request_id, server.model.number, self._first_byte_at, server.scheduler.now())
         server.ledger.deliveries.append(delivery)
         pending = PendingAnswer(delivery=delivery)
@@ -196,7 +201,7 @@
         def on_finish(command: Command, outcome: CommandOutcome) -> None:
             self._finish(pending, delivery, command, outcome)
 
-        command = Command(flags.request_id, words[1], is_write, flags.idempotency_key, on_finish)
+        command = Command(flags.request_id, tokens[1], is_write, flags.idempotency_key, on_finish)
         pending.command = command
         server.model.submit(command)
         if command.is_started:
@@ -209,7 +214,7 @@
     # answers
 
     def _finish(self, pending: PendingAnswer, delivery: Delivery, command: Command, outcome: CommandOutcome) -> None:
-        """Answer a command that has ended, with the faults of the server and the link."""
+        """Answer a command that has ended, subject to the faults of the server and the link."""
         answer = self._render(delivery, command, outcome)
         delivery.ended_at = self.server.scheduler.now()
         if self.is_dead or command.is_cancelled:
@@ -228,11 +233,12 @@
             return
         self.write(answer[: len(answer) // 2])
         if fault is AnswerFault.TRUNCATED_BY_CLOSE:
-            self.transport.close()  # what is written is still sent, then the connection ends
+            # Data that has been written is still sent before the connection ends.
+            self.transport.close()
         self.is_dead = True
 
     def _render(self, delivery: Delivery, command: Command, outcome: CommandOutcome) -> bytes:
-        """Return the answer of a command, and record the outcome in its delivery."""
+        """Return the answer to a command, and record the outcome in its delivery."""
         if outcome is CommandOutcome.BUSY:
             delivery.outcome = REJECTED
             return BUSY_ANSWER
@@ -243,11 +249,11 @@
         delivery.outcome = ANSWERED
         model = self.server.model
         answer = render_answer(command, model.number, model.report(), self.server.padding)
-        delivery.checksum = answer.digest
+        delivery.checksum = answer.checksum
         return answer.data
 
-    def _end_delivery(self, delivery: Delivery, end: str) -> None:
-        delivery.outcome = end
+    def _end_delivery(self, delivery: Delivery, outcome: str) -> None:
+        delivery.outcome = outcome
         delivery.ended_at = self.server.scheduler.now()
 
     def _answer_now(self, answer: bytes) -> None:
@@ -255,7 +261,7 @@
         self._flush()
 
     def _flush(self) -> None:
-        """Send the answers that no earlier one is missing for."""
+        """Send the answers at the front of the queue that are complete, up to the first command in progress."""
         if self.is_dead:
             return
         ready = []
@@ -266,7 +272,7 @@
             self.write(b"".join(ready))
 
     def write(self, data: bytes) -> None:
-        """Send bytes through the emulated link, or when the server resumes if it is frozen."""
+        """Send bytes through the emulated link; a frozen server sends them when it resumes."""
         if self.server.is_frozen:
             self.server.defer_output(self, data)
         elif not self.is_dead:
--- a/starlingthread/emulator/server_faults.py
+++ b/starlingthread/emulator/server_faults.py
@@ -10,26 +10,27 @@
 from .fault_actions import FaultAction, InjectedFault
 from .fault_targets import affected_link_groups
 
-DRAIN_PERIOD_S = 3.0  # that a draining server has for its commands in flight
+# Time that a draining server has to finish its commands in flight.
+DRAIN_PERIOD_S = 3.0
 
 
 # servers
 
 
 class ServerAttribute(FaultAction):
-    """An attribute of the servers is set to the strength of the fault."""
+    """Sets an attribute of the servers to the strength of the fault."""
 
     affects_servers = True
 
-    def __init__(self, name: str, normal: float) -> None:
+    def __init__(self, name: str, normal_value: float) -> None:
         self._name = name
-        self._normal = normal
+        self._normal_value = normal_value
 
     async def begin(self, injected: InjectedFault) -> None:
         await self._set(injected, injected.fault.strength)
 
     async def end(self, injected: InjectedFault) -> None:
-        await self._set(injected, self._normal)
+        await self._set(injected, self._normal_value)
 
     async def _set(self, injected: InjectedFault, value: float) -> None:
         for number in injected.affected:
@@ -37,7 +38,7 @@
 
 
 class HeavyTail(FaultAction):
-    """A share of the commands takes many times longer."""
+    """Multiplies the duration of a share of the commands."""
 
     affects_servers = True
 
@@ -52,7 +53,7 @@
 
 
 class Pause(FaultAction):
-    """The servers freeze."""
+    """Freezes the servers until the fault ends."""
 
     affects_servers = True
 
@@ -64,7 +65,7 @@
 
 
 class RepeatedPauses(FaultAction):
-    """The servers freeze for a moment again and again, one after another."""
+    """Freezes each server repeatedly for a short time, at offsets between the servers."""
 
     affects_servers = True
 
@@ -84,7 +85,7 @@
 
 
 class Unreachable(FaultAction):
-    """The servers' machines are cut off from the network."""
+    """Disconnects the machines of the servers from the network."""
 
     affects_servers = True
 
@@ -94,11 +95,11 @@
 
     async def end(self, injected: InjectedFault) -> None:
         await injected.call_servers("become_reachable")
-        injected.publish_return_later(restarted=False)
+        injected.publish_recovery_later(restarted=False)
 
 
 class Crash(FaultAction):
-    """The servers' processes die, and start again at the end."""
+    """Crashes the server processes, and restarts them when the fault ends."""
 
     affects_servers = True
 
@@ -108,11 +109,11 @@
 
     async def end(self, injected: InjectedFault) -> None:
         await injected.call_servers("restart")
-        injected.publish_return_later(restarted=True)
+        injected.publish_recovery_later(restarted=True)
 
 
 class Replacement(FaultAction):
-    """The servers are replaced by new ones at the same addresses before discovery notices."""
+    """Replaces the servers by new ones at the same addresses before discovery detects the crash."""
 
     affects_servers = True
 
@@ -120,11 +121,11 @@
         await injected.call_servers("crash")
         await asyncio.sleep(injected.fault.strength / 1000.0)
         await injected.call_servers("restart")
-        injected.publish_return_later(restarted=True)
+        injected.publish_recovery_later(restarted=True)
 
 
 class ScaleDown(FaultAction):
-    """The servers drain and terminate; new ones start at the end."""
+    """Drains and terminates the servers; new ones start when the fault ends."""
 
     affects_servers = True
 
@@ -137,19 +138,19 @@
 
     async def end(self, injected: InjectedFault) -> None:
         await injected.call_servers("restart")
-        injected.publish_return_later(restarted=True)
+        injected.publish_recovery_later(restarted=True)
 
 
 # links
 
 
 class _LinkFault(FaultAction):
-    """The links between the servers and some routers get other conditions."""
+    """Base class of faults that change the conditions of the links between the servers and some routers."""
 
     affects_servers = True
 
     def conditions(self, fault: Fault, is_active: bool) -> dict[str, float]:
-        """Return the conditions of the links while the fault is active, or after it."""
+        """Return the link conditions that apply while the fault is active, or after it has ended."""
         raise NotImplementedError
 
     async def begin(self, injected: InjectedFault) -> None:
@@ -167,7 +168,7 @@
 
 
 class LinkCondition(_LinkFault):
-    """A condition of the links is set to the strength of the fault."""
+    """Sets one link condition to the strength of the fault."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -177,7 +178,7 @@
 
 
 class LinkCut(_LinkFault):
-    """The links are blocked, both ways or one way."""
+    """Blocks the links in one or both directions."""
 
     def conditions(self, fault: Fault, is_active: bool) -> dict[str, float]:
         return {
--- a/starlingthread/emulator/server_links.py
+++ b/starlingthread/emulator/server_links.py
@@ -1,10 +1,10 @@
-"""Network links between a server and the routers: each group of routers knows the server by an address of its own.
+"""Emulated network links between a server and the routers, with a separate server address for each group of routers.
 
-So a link can fail for some routers and not for others, as networks do: blocked both ways or one way, slow, lossy, or
-closed in the middle of answers. Routers belong to the group of their number modulo ``routers.link_groups``.
+A link can therefore fail for some routers only: it can be blocked in one or both directions, slow, lossy, or closed in
+the middle of answers. The group of a router is its number modulo ``routers.link_groups``.
 
-What was sent into a blocked link arrives when it is unblocked, as TCP retransmits it; no new connections are
-established meanwhile. One thing differs from a real network: a server learns at once that a router has closed its end.
+Data sent into a blocked link arrives when the link is unblocked, as with retransmissions of TCP; no new connections
+are established while it is blocked. Unlike in a real network, a server learns at once that a router has closed its end.
 """
 
 from __future__ import annotations
@@ -21,14 +21,16 @@
 from .port_allocation import WHOLE_RANGE, PortStripe, free_port
 from .schedule import Scheduler
 
-RETRANSMIT_TIMEOUT_MS = 200.0  # the least that Linux waits before TCP retransmits a lost segment
-_SHORTEST_WAIT_MS = 0.5
+# Minimum time after which TCP retransmits a lost segment on Linux.
+RETRANSMIT_TIMEOUT_MS = 200.0
+_MIN_TIMER_MS = 0.5
 _BACKLOG = 512
-_BLACKHOLE_FILLERS = 2  # connections that fill the accept queue of a listening socket with a backlog of 0
+# Number of connections that fill the accept queue of a listening socket with a backlog of 0.
+_BLACKHOLE_FILLER_CONNECTIONS = 2
 
 
 class ServerLink:
-    """One address of a server, and the network conditions between the server and the routers that use the address."""
+    """One address of a server, and the network conditions between the server and the routers that use it."""
 
     def __init__(
         self, group: int, draws: UniformDraws, base_delay_ms: float = 0.0, stripe: PortStripe = WHOLE_RANGE
@@ -36,11 +38,11 @@
         self.group = group
         self.draws = draws
         self.port = 0
-        self.base_delay_ms = base_delay_ms  # one way, by distance
-        self.delay_ms = base_delay_ms  # one way, with what a fault adds
-        self.loss_rate = 0.0  # of pieces, which are delivered after a retransmission
-        self.truncation_rate = 0.0  # of answers, after half of which the connection is closed
-        self.inbound_blocked = False  # towards the server
+        self.base_delay_ms = base_delay_ms  # one-way delay due to the distance
+        self.delay_ms = base_delay_ms  # one-way delay including the delay that a fault adds
+        self.loss_rate = 0.0  # share of chunks that are delivered only after a retransmission
+        self.truncation_rate = 0.0  # share of answers that are cut in half by closing the connection
+        self.inbound_blocked = False  # whether data from the routers to the server is blocked
         self.outbound_blocked = False
         self._stripe = stripe
         self._listener: asyncio.Server | None = None
@@ -48,18 +50,18 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether a direction is blocked, so that no connection can be established."""
+        """Whether a direction is blocked; no connection can then be established."""
         return self.inbound_blocked or self.outbound_blocked
 
     @property
     def is_transparent(self) -> bool:
-        """Whether the link neither delays nor changes anything."""
+        """Whether the link delivers all data unchanged and without delay."""
         return not (self.delay_ms or self.loss_rate or self.truncation_rate or self.is_blocked)
 
     def set_conditions(self, conditions: dict[str, float]) -> None:
-        """Set conditions by the names of their attributes; a delay is added to the base delay.
+        """Set conditions by attribute name; ``delay_ms`` is added to the base delay.
 
-        Raise a ValueError for a name that is no condition.
+        Raise a ValueError for a name that is not a condition.
         """
         for name, value in conditions.items():
             if name == "delay_ms":
@@ -76,7 +78,7 @@
                 raise ValueError(f"unknown link condition {name!r}")
 
     async def open(self, connection: Callable[[], asyncio.Protocol]) -> None:
-        """Listen, at the same address as before if there was one; a blocked link's address does not respond."""
+        """Listen for connections, or be unresponsive if blocked; a link that has listened before reuses its address."""
         self.port = self.port or free_port(socket.SOCK_STREAM, self._stripe)
         if self.is_blocked:
             self.blackhole()
@@ -86,7 +88,7 @@
         self._listener = await asyncio.get_running_loop().create_server(connection, sock=listening, backlog=_BACKLOG)
 
     def _listening_socket(self, backlog: int) -> socket.socket:
-        """Return a socket that listens at the link's address; raise an OSError if the address is taken."""
+        """Return a socket that listens at the address of the link; raise an OSError if the address is in use."""
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -98,24 +100,24 @@
         return listening
 
     def close(self) -> None:
-        """Stop listening: new connections are refused by the system."""
+        """Stop listening; the kernel then refuses new connections."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
         self._clear_blackhole()
 
     def blackhole(self) -> None:
-        """Let connection attempts time out.
+        """Make connection attempts time out.
 
-        A listening socket whose accept queue is full answers no SYN, as an unreachable machine does not.
+        A listening socket whose accept queue is full does not answer a SYN, like an unreachable machine.
         """
         self.close()
         try:
             listening = self._listening_socket(backlog=0)
-        except OSError:  # the address is not free yet: new connections are refused instead
+        except OSError:  # The address is still in use; new connections are refused instead of timing out.
             return
         self._blackhole_sockets.append(listening)
-        for _ in range(_BLACKHOLE_FILLERS):
+        for _ in range(_BLACKHOLE_FILLER_CONNECTIONS):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
@@ -128,15 +130,15 @@
         self._blackhole_sockets = []
 
 
-class _Piece(NamedTuple):
-    due_at: float  # ms, infinite while the link is blocked
+class _Chunk(NamedTuple):
+    due_at: float  # delivery time in ms, infinite while the link is blocked
     data: bytes
 
 
 class LinkDirection:
-    """One direction of one connection: delivers pieces in order, each as late as the link's conditions make it."""
+    """One direction of a connection: delivers chunks of data in order, delayed by the conditions of the link."""
 
-    __slots__ = ("_deliver", "_is_outbound", "_is_timer_set", "_link", "_pieces", "_scheduler")
+    __slots__ = ("_chunks", "_deliver", "_is_outbound", "_is_timer_set", "_link", "_scheduler")
 
     def __init__(
         self, link: ServerLink, is_outbound: bool, scheduler: Scheduler, deliver: Callable[[bytes], None]
@@ -145,15 +147,15 @@
         self._is_outbound = is_outbound
         self._scheduler = scheduler
         self._deliver = deliver
-        self._pieces: deque[_Piece] = deque()
+        self._chunks: deque[_Chunk] = deque()
         self._is_timer_set = False
 
     def push(self, data: bytes) -> None:
-        """Send a piece."""
-        if not self._pieces and self._link.is_transparent:
+        """Send a chunk of data."""
+        if not self._chunks and self._link.is_transparent:
             self._deliver(data)
             return
-        self._pieces.append(_Piece(self._due_at(), data))
+        self._chunks.append(_Chunk(self._due_at(), data))
         self._deliver_due()
 
     def _due_at(self) -> float:
@@ -164,19 +166,19 @@
         return self._scheduler.now() + link.delay_ms + (RETRANSMIT_TIMEOUT_MS if is_lost else 0.0)
 
     def resume(self) -> None:
-        """Apply changed conditions: pieces that were blocked are sent again."""
-        self._pieces = deque(
-            _Piece(self._due_at(), piece.data) if piece.due_at == math.inf else piece for piece in self._pieces
+        """Apply changed link conditions; chunks that were blocked are sent again."""
+        self._chunks = deque(
+            _Chunk(self._due_at(), chunk.data) if chunk.due_at == math.inf else chunk for chunk in self._chunks
         )
         self._deliver_due()
 
     def _deliver_due(self) -> None:
-        while self._pieces and self._pieces[0].due_at <= self._scheduler.now():
-            self._deliver(self._pieces.popleft().data)
-        if self._pieces and self._pieces[0].due_at < math.inf and not self._is_timer_set:
+        while self._chunks and self._chunks[0].due_at <= self._scheduler.now():
+            self._deliver(self._chunks.popleft().data)
+        if self._chunks and self._chunks[0].due_at < math.inf and not self._is_timer_set:
             self._is_timer_set = True
-            wait = max(_SHORTEST_WAIT_MS, self._pieces[0].due_at - self._scheduler.now())
-            self._scheduler.after(wait, self._on_timer)
+            wait_ms = max(_MIN_TIMER_MS, self._chunks[0].due_at - self._scheduler.now())
+            self._scheduler.after(wait_ms, self._on_timer)
 
     def _on_timer(self) -> None:
         self._is_timer_set = False
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -1,8 +1,8 @@
-"""How a cache server behaves, without sockets or a clock of its own.
+"""Behavior model of a cache server, without sockets or a clock of its own.
 
-The same objects serve the emulator (on the event loop's clock) and models in virtual time: they see only a
-``Scheduler``. All times are milliseconds. A server is a queue in front of ``slots`` workers whose speed ramps up
-after a cold start, with an LRU cache in memory and the origin behind it.
+The model depends only on a ``Scheduler``, so that the emulator runs it on the event loop and simulations in virtual
+time. All times are in milliseconds. A server is a queue in front of ``slots`` workers, whose speed ramps up after a
+cold start, with an LRU cache in memory and the origin behind it.
 """
 
 from __future__ import annotations
@@ -22,12 +22,14 @@
 
 HIT_FLAGS = "h1"
 MISS_FLAGS = "h0"
-COALESCED_MISS_FLAGS = "h0 Z"  # a miss that shares the origin fetch of an earlier one
-_HIT_RATE_GAIN = 0.02  # of the exponentially weighted moving average
+# Flags of a miss that shares the origin fetch of an earlier miss.
+COALESCED_MISS_FLAGS = "h0 Z"
+# Weight of a new lookup in the exponentially weighted moving average of the hit rate.
+_HIT_RATE_EWMA_WEIGHT = 0.02
 
 
 class CommandOutcome(enum.Enum):
-    """How a command ended at a server."""
+    """Outcome of a command at a server."""
 
     SERVED = "served"
     FAILED = "failed"
@@ -35,7 +37,7 @@
 
 
 class Command:
-    """A read or write at a server. ``on_finish`` is called once, unless the server restarts before."""
+    """A read or write at a server. ``on_finish`` is called once, unless the server restarts first."""
 
     __slots__ = (
         "flags",
@@ -62,7 +64,7 @@
         self.is_write = is_write
         self.idempotency_key = idempotency_key
         self.on_finish = on_finish
-        self.flags = ""  # hit or miss, as the answer's flags say it
+        self.flags = ""  # flags of the answer that tell a hit from a miss
         self.version = 0
         self.is_started = False
         self.is_cancelled = False
@@ -94,16 +96,16 @@
         self.tail_share = 0.0
         self.extra_report_delay_ms = 0.0
         self.on_overload_crash: Callable[[tuple[str, ...]], None] = lambda request_ids: None
-        self.commands_since_sample = 0  # since the last sample, which resets it
+        self.commands_since_sample = 0  # reset by the server worker with each sample
         self._work_factors = LognormalFactors(rng, spec.work_cv)
         self._draws = UniformDraws(rng)
         self._report_noise = LognormalFactors(rng, spec.report_noise)
         self.boot(is_warm=True)
 
     def boot(self, is_warm: bool) -> None:
-        """Start with an empty memory and queue, and at full capacity if the server ``is_warm``."""
+        """Start with an empty cache and an empty queue, at full capacity if ``is_warm``."""
         now = self.scheduler.now()
-        self.incarnation = object()  # work that was begun in an earlier incarnation has no effect
+        self.incarnation = object()  # identity of this server process; work begun by an earlier one has no effect
         self.cache: OrderedDict[str, int] = OrderedDict()
         self.fetches_in_flight: dict[str, list[Command]] = {}
         self.queue: deque[Command] = deque()
@@ -113,12 +115,12 @@
         self._warm_up = WarmUp(self.spec, self.base_speed, None if is_warm else now)
         self._reporter = LoadReporter(self.spec, self._report_noise)
         self._hit_rate = 0.5
-        self._busy_accounted_at = now
-        self._busy_time = 0.0
+        self._busy_slots_accounted_at = now
+        self._busy_slot_ms = 0.0
         self._utilization_since = now
 
     def capacity_share(self) -> float:
-        """Return the present capacity as a share of the capacity when warmed up."""
+        """Return the current capacity as a share of the capacity when warmed up."""
         return self._warm_up.capacity_share(self.scheduler.now())
 
     # commands
@@ -126,8 +128,8 @@
     def submit(self, command: Command) -> None:
         """Accept, queue or reject a command that has been received completely."""
         self.commands_since_sample += 1
-        mean_work = self.spec.write_ms if command.is_write else self.spec.hit_ms
-        if self._warm_up.is_overloaded_by(self.scheduler.now(), command.request_id, mean_work):
+        mean_work_ms = self.spec.write_ms if command.is_write else self.spec.hit_ms
+        if self._warm_up.add_work_and_check_overload(self.scheduler.now(), command.request_id, mean_work_ms):
             self.crashed = True
             self.on_overload_crash(self._warm_up.recent_request_ids())
             return
@@ -139,34 +141,34 @@
             return
         self._start(command)
 
-    def handshake(self) -> None:
+    def charge_handshake(self) -> None:
         """Charge the work of a new connection to a slot, if one is free."""
         if self.spec.handshake_ms <= 0 or self.busy_slots >= self.spec.slots:
             return
         self._occupy_slot()
         incarnation = self.incarnation
-        self.scheduler.after(self._duration(self.spec.handshake_ms), lambda: self._release_slot(incarnation))
+        self.scheduler.after(self._duration_ms(self.spec.handshake_ms), lambda: self._release_slot(incarnation))
 
     def cancel(self, command: Command) -> None:
-        """Give up a command: if it has not started, it never runs."""
+        """Cancel a command; a command that has not started yet never runs."""
         command.is_cancelled = True
 
-    def _duration(self, work: float) -> float:
-        return work * self.slowdown / (self.base_speed * self.capacity_share())
+    def _duration_ms(self, work_ms: float) -> float:
+        return work_ms * self.slowdown / (self.base_speed * self.capacity_share())
 
     def _start(self, command: Command) -> None:
         command.is_started = True
         self._occupy_slot()
         if command.is_write:
-            work = self.spec.write_ms
+            work_ms = self.spec.write_ms
         else:
             self._record_lookup(command)
-            work = self.spec.hit_ms + (0.0 if command.flags == HIT_FLAGS else self.spec.miss_ms)
+            work_ms = self.spec.hit_ms + (0.0 if command.flags == HIT_FLAGS else self.spec.miss_ms)
         if self.tail_share and self._draws.next() < self.tail_share:
-            work *= self.tail_factor
+            work_ms *= self.tail_factor
         incarnation = self.incarnation
-        duration = self._duration(work * self._work_factors.next())
-        self.scheduler.after(duration, lambda: self._finish_work(incarnation, command))
+        duration_ms = self._duration_ms(work_ms * self._work_factors.next())
+        self.scheduler.after(duration_ms, lambda: self._finish_work(incarnation, command))
 
     def _record_lookup(self, command: Command) -> None:
         is_hit = command.key in self.cache
@@ -176,7 +178,7 @@
             command.flags = COALESCED_MISS_FLAGS
         else:
             command.flags = MISS_FLAGS
-        self._hit_rate += _HIT_RATE_GAIN * ((1.0 if is_hit else 0.0) - self._hit_rate)
+        self._hit_rate += _HIT_RATE_EWMA_WEIGHT * ((1.0 if is_hit else 0.0) - self._hit_rate)
 
     def _finish_work(self, incarnation: object, command: Command) -> None:
         if incarnation is not self.incarnation:
@@ -196,9 +198,9 @@
             command.version = version
             command.finish(CommandOutcome.SERVED)
             return
-        waiting = self.fetches_in_flight.get(command.key)
-        if waiting is not None:
-            waiting.append(command)
+        waiting_commands = self.fetches_in_flight.get(command.key)
+        if waiting_commands is not None:
+            waiting_commands.append(command)
             return
         self.fetches_in_flight[command.key] = [command]
 
@@ -224,38 +226,38 @@
         self.origin.write(command.key, command.idempotency_key, on_written)
 
     def _finish_with_version(self, command: Command, version: int | None) -> None:
-        """End a command with what the origin answered: a version, or None if the origin failed."""
+        """Finish a command with the answer of the origin: a version, or None if the origin failed."""
         command.version = version or 0
         command.finish(CommandOutcome.FAILED if version is None else CommandOutcome.SERVED)
 
     # memory
 
     def store(self, key: str, version: int) -> None:
-        """Cache a value; evict the least recently used one if the memory is full."""
+        """Cache a value; evict the least recently used value if the cache is full."""
         self.cache[key] = version
         self.cache.move_to_end(key)
         if len(self.cache) > self.spec.memory_keys:
             self.cache.popitem(last=False)
 
     def invalidate(self, key: str) -> None:
-        """Evict a value that a write has made stale."""
+        """Evict a value that is stale because of a write."""
         self.cache.pop(key, None)
 
     # slots
 
-    def _account_busy_time(self) -> None:
+    def _account_busy_slots(self) -> None:
         now = self.scheduler.now()
-        self._busy_time += self.busy_slots * (now - self._busy_accounted_at)
-        self._busy_accounted_at = now
+        self._busy_slot_ms += self.busy_slots * (now - self._busy_slots_accounted_at)
+        self._busy_slots_accounted_at = now
 
     def _occupy_slot(self) -> None:
-        self._account_busy_time()
+        self._account_busy_slots()
         self.busy_slots += 1
 
     def _release_slot(self, incarnation: object) -> None:
         if incarnation is not self.incarnation:
             return
-        self._account_busy_time()
+        self._account_busy_slots()
         self.busy_slots -= 1
         while self.queue and self.busy_slots < self.spec.slots:
             command = self.queue.popleft()
@@ -266,20 +268,20 @@
 
     def utilization(self) -> float:
         """Return the mean share of slots in use since the last call."""
-        self._account_busy_time()
+        self._account_busy_slots()
         now = self.scheduler.now()
-        span = max(1e-9, now - self._utilization_since)
-        utilization = self._busy_time / (span * self.spec.slots)
+        elapsed_ms = max(1e-9, now - self._utilization_since)
+        utilization = self._busy_slot_ms / (elapsed_ms * self.spec.slots)
         self._utilization_since = now
-        self._busy_time = 0.0
+        self._busy_slot_ms = 0.0
         return utilization
 
     def true_load(self) -> float:
-        """Return the number of queued and running commands, relative to the slots and their present speed."""
+        """Return the number of queued and running commands, relative to the slots and their current speed."""
         return (self.busy_slots + len(self.queue)) * self.slowdown / (self.spec.slots * self.base_speed)
 
     def report(self) -> LoadReport:
-        """Return the load report that an answer carries now: delayed and noisy."""
+        """Return the load report that an answer carries now, delayed and with noise."""
         return self._reporter.report(self.scheduler.now(), self.extra_report_delay_ms, self._measure_load)
 
     def _measure_load(self) -> LoadReport:
--- a/starlingthread/emulator/testbed_interface.py
+++ b/starlingthread/emulator/testbed_interface.py
@@ -1,4 +1,4 @@
-"""What faults can do to the running platform."""
+"""Interface through which faults act on the running platform."""
 
 from __future__ import annotations
 
@@ -10,63 +10,63 @@
 
 
 class Testbed(Protocol):
-    """The running platform, as far as faults act on it. Servers and routers are named by their numbers."""
+    """The operations of the running platform that faults use. Servers and routers are identified by their numbers."""
 
     scenario: Scenario
 
     async def call_server(self, number: int, method: str) -> None:
-        """Call a method of a server. Raise a ConnectionError if the process that plays it has ended."""
+        """Call a method of a server. Raise a ConnectionError if its worker process has ended."""
 
     async def set_server_attribute(self, number: int, name: str, value: float) -> None:
         """Set an attribute of a server."""
 
     async def set_link_conditions(self, number: int, groups: list[int], conditions: dict[str, float], /) -> None:
-        """Change a server's links to some groups of routers, all if none is named."""
+        """Set conditions of the links between a server and the given groups of routers; an empty list selects all."""
 
     def publish_status(self, number: int, status: str, restarted: bool = False) -> None:
-        """Change a server's status at discovery."""
+        """Publish a status of a server at discovery."""
 
     def set_discovery_down(self, is_down: bool) -> None:
-        """Take discovery down, or up again."""
+        """Take discovery down, or restore it."""
 
     def partition_discovery(self, routers: set[int], is_partitioned: bool, /) -> None:
-        """Partition routers from discovery, or end that."""
+        """Start or end a partition between routers and discovery."""
 
     def delay_discovery(self, delay_ms: float, /) -> None:
-        """Let each call to discovery take so much longer."""
+        """Delay each call to discovery by the given time."""
 
     def silence_watches(self) -> None:
-        """Let the watches that are open now fall silent for good."""
+        """Stop sending on the watches that are open now, without closing them."""
 
     def partition_peers(self, routers: set[int], is_partitioned: bool, /) -> None:
-        """Partition routers from their peers, so that datagrams reach only one another, or end that."""
+        """Start or end a partition between the given routers and all others, which blocks datagrams between them."""
 
     def set_datagram_loss(self, share: float) -> None:
         """Drop a share of the datagrams between routers."""
 
     def slow_origin(self, factor: float) -> None:
-        """Let the requests to the origin take longer by a factor."""
+        """Multiply the duration of requests to the origin by a factor."""
 
     async def call_clients(self, method: str, *arguments: object) -> None:
-        """Call a method of all processes that play clients."""
+        """Call a method of all worker processes that emulate clients."""
 
-    async def bad_clients(self, per_second: float, seconds: float, half_commands: bool, /) -> None:
-        """Start clients that send garbage, or half commands."""
+    async def bad_clients(self, rate_per_s: float, duration_s: float, partial_commands: bool, /) -> None:
+        """Start clients that send garbage or incomplete commands."""
 
     async def kill_router(self, number: int) -> None:
         """Kill a router with SIGKILL."""
 
     async def start_router(self, number: int) -> None:
-        """Start a router; clients use it as soon as it is ready."""
+        """Start a router; clients connect to it as soon as it is ready."""
 
     async def restart_router(self, number: int) -> None:
-        """Shut a router down gracefully and start its successor."""
+        """Shut a router down gracefully and start a new process."""
 
     async def signal_and_restart_router(self, number: int) -> None:
-        """Send a router signals in series, the last SIGTERM, kill it as early as allowed and start its successor."""
+        """Send a router signals that end with SIGTERM, kill it as early as allowed, and start a new process."""
 
-    def signal_router(self, number: int, which: signal.Signals, /) -> None:
+    def signal_router(self, number: int, signal_number: signal.Signals, /) -> None:
         """Send a signal to a router."""
 
     def record_fault(self, record: FaultRecord, /) -> None:
-        """Write a fault that was injected to the ledger."""
+        """Append a fault that was injected to the ledger."""
--- a/starlingthread/emulator/warm_up.py
+++ b/starlingthread/emulator/warm_up.py
@@ -1,4 +1,4 @@
-"""Warm-up of a server after a cold start: its growing capacity, and the overload that makes it crash meanwhile."""
+"""Warm-up of a server after a cold start: the capacity ramp, and the overload that crashes the server during it."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 
 
 class _RecentCommand(NamedTuple):
-    at: float
-    work: float  # ms
+    received_at: float
+    work_ms: float
     request_id: str
 
 
 class WarmUp:
-    """Capacity that grows linearly from ``cold_from`` to 1 in ``cold_ms``; work beyond a multiple of it is overload."""
+    """Capacity ramp from ``cold_from`` to 1 over ``cold_ms``; work beyond a multiple of the capacity is overload."""
 
     def __init__(self, spec: Fleet, speed: float, started_at: float | None) -> None:
-        """Start at a time in milliseconds; None stands for a server that has warmed up long ago."""
+        """Start the ramp at a time in milliseconds; None means that the server has already warmed up."""
         self._spec = spec
         self._speed = speed
         self._started_at = started_at
         self._recent_commands: deque[_RecentCommand] = deque()
-        self._recent_work = 0.0  # ms, the sum over the recent commands
+        self._recent_work_ms = 0.0  # sum over the recent commands
 
     def capacity_share(self, now: float) -> float:
         """Return the capacity at a time as a share of the capacity when warmed up."""
         if self._started_at is None:
             return 1.0
-        age = now - self._started_at
-        if age >= self._spec.cold_ms:
+        age_ms = now - self._started_at
+        if age_ms >= self._spec.cold_ms:
             return 1.0
-        return self._spec.cold_from + (1.0 - self._spec.cold_from) * age / self._spec.cold_ms
+        return self._spec.cold_from + (1.0 - self._spec.cold_from) * age_ms / self._spec.cold_ms
 
-    def is_overloaded_by(self, now: float, request_id: str, work: float) -> bool:
-        """Count the work (ms) of a command; return whether the recent work now exceeds what the server survives."""
+    def add_work_and_check_overload(self, now: float, request_id: str, work_ms: float) -> bool:
+        """Add the work of a command; return whether the recent work now exceeds the overload limit."""
         share = self.capacity_share(now)
         if share >= 1.0:
             self._recent_commands.clear()
-            self._recent_work = 0.0
+            self._recent_work_ms = 0.0
             return False
-        window = self._spec.tip_after_ms
-        self._recent_commands.append(_RecentCommand(now, work, request_id))
-        self._recent_work += work
-        while self._recent_commands[0].at <= now - window:
-            self._recent_work -= self._recent_commands.popleft().work
-        budget = self._spec.overload_factor * share * self._spec.slots * self._speed * window
-        return self._recent_work > budget
+        window_ms = self._spec.tip_after_ms
+        self._recent_commands.append(_RecentCommand(now, work_ms, request_id))
+        self._recent_work_ms += work_ms
+        while self._recent_commands[0].received_at <= now - window_ms:
+            self._recent_work_ms -= self._recent_commands.popleft().work_ms
+        budget_ms = self._spec.overload_factor * share * self._spec.slots * self._speed * window_ms
+        return self._recent_work_ms > budget_ms
 
     def recent_request_ids(self) -> tuple[str, ...]:
-        """Return the requests whose work counts as recent, oldest first."""
+        """Return the ids of the requests whose work counts as recent, oldest first."""
         return tuple(command.request_id for command in self._recent_commands)
--- a/tests/test_datagram_relay.py
+++ b/tests/test_datagram_relay.py
@@ -1,4 +1,4 @@
-"""The relay of datagrams between routers."""
+"""Tests of the relay for datagrams between routers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         endpoints[0][0].sendto(b"one", relay.addresses[1])
         endpoints[0][0].sendto(b"all", relay.broadcast_address)
         endpoints[0][0].sendto(b"x" * 257, relay.broadcast_address)
-        endpoints[3][0].sendto(b"stranger", relay.broadcast_address)
+        endpoints[3][0].sendto(b"unknown", relay.broadcast_address)
         while relay.delivered < 6 or relay.unknown_senders < 1:
             await asyncio.sleep(0)
         while len(endpoints[1][1].received) + len(endpoints[2][1].received) < 6:
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -1,4 +1,4 @@
-"""Emulated discovery: lists, watches, outages, and the record of who was notified."""
+"""Tests of emulated discovery: lists, watches, outages, and the records of notifications."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         writers.append(writer)
         return reader, await reader.readline()
 
-    async def until(reader: asyncio.StreamReader, text: bytes) -> bytes:
+    async def read_until(reader: asyncio.StreamReader, text: bytes) -> bytes:
         while text not in (line := await reader.readline()):
             assert line, "the answer ended"
         return line
@@ -30,14 +30,18 @@
         discovery.entries = {server.number: server for server in servers}
         await discovery.start()
         _, status = await call(discovery.ports[0], "/registry/instances")
-        assert b"200" in status and {(sent.router, sent.server) for sent in notifications} == {(0, 0), (0, 1), (0, 2)}
+        assert b"200" in status and {(record.router, record.server) for record in notifications} == {
+            (0, 0),
+            (0, 1),
+            (0, 2),
+        }
         watch, status = await call(discovery.ports[1], "/registry/instances?watch=1&after=1")
         assert b"200" in status
-        line = await until(watch, b'"endpoints":')
+        line = await read_until(watch, b'"endpoints":')
         assert b'"snapshot": false' in line and b'"endpoints": []' in line
         servers[1].status = "terminating"
         discovery.publish(servers[1])
-        line = await until(watch, b"terminating")
+        line = await read_until(watch, b"terminating")
         assert b'"index": 2' in line and notifications[-1].router == 1 and notifications[-1].status == "terminating"
         discovery.set_down(True)
         with contextlib.suppress(ConnectionError):
--- a/tests/test_emulated_servers.py
+++ b/tests/test_emulated_servers.py
@@ -1,4 +1,4 @@
-"""Emulated cache servers on sockets, and their faults."""
+"""Tests of emulated cache servers on sockets, and of their faults."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class ServerClient:
-    """A server on a real socket, and a connection to it."""
+    """A server on a real socket, and a client connection to it."""
 
     async def start(self, fleet: scenario.Fleet = FLEET) -> ServerClient:
-        schedule, self.ledger = EventLoopScheduler(asyncio.get_running_loop()), Ledger()
+        scheduler, self.ledger = EventLoopScheduler(asyncio.get_running_loop()), Ledger()
         rng = np.random.default_rng(1)
-        origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
+        origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), scheduler, rng)
         fleet = msgspec.structs.replace(fleet, hit_ms=1.0, handshake_ms=0.0)
-        model = ServerModel(0, fleet, 1.0, schedule, origin, rng)
-        self.server = CacheServer(model, 50, schedule, self.ledger, rng)
+        model = ServerModel(0, fleet, 1.0, scheduler, origin, rng)
+        self.server = CacheServer(model, 50, scheduler, self.ledger, rng)
         self.server.model.store("k", 0)
         await self.server.start()
         return await self.connect()
@@ -37,15 +37,15 @@
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.server.port)
         return self
 
-    async def get(self, request_id: str, within: float = 2.0) -> bytes:
-        """Get a key; return the answer or what there is of it, ``reset`` or ``nothing``."""
+    async def get(self, request_id: str, timeout_s: float = 2.0) -> bytes:
+        """Get a key; return the complete or partial answer, ``reset`` or ``nothing``."""
         self.writer.write(f"mg k v O{request_id} Pc=read,d=480\r\n".encode())
-        return await self.read_answer(within)
+        return await self.read_answer(timeout_s)
 
-    async def read_answer(self, within: float = 2.0) -> bytes:
+    async def read_answer(self, timeout_s: float = 2.0) -> bytes:
         line = b""
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 line = await self.reader.readline()
                 if line.startswith(b"VA "):
                     line += await self.reader.readexactly(int(line.split()[1]) + 2)
@@ -83,7 +83,7 @@
     run_with_client(script)
 
 
-def test_each_fault_of_a_server_shows_on_its_sockets() -> None:
+def test_each_fault_of_a_server_is_visible_on_its_sockets() -> None:
     async def script(client: ServerClient) -> None:
         server = client.server
         server.freeze()
@@ -91,12 +91,12 @@
         server.resume()
         assert (await client.read_answer()).startswith(b"VA 50 O1")
         server.answer_faults.truncation_rate = 1.0
-        half = await client.get("2", 0.1)
-        assert half.startswith(b"VA ") or half == b"nothing"
-        assert len(half) < 60
+        partial_answer = await client.get("2", 0.1)
+        assert partial_answer.startswith(b"VA ") or partial_answer == b"nothing"
+        assert len(partial_answer) < 60
         server.answer_faults.truncation_rate, server.answer_faults.corruption_rate = 0.0, 1.0
         answers = set()
-        for _ in range(12):  # one of the five ways only shows behind the answer
+        for _ in range(12):  # one of the five corruptions only adds data after the answer
             await client.connect()
             answers.add(await client.get("3", 0.1))
         server.answer_faults.corruption_rate = 0.0
@@ -115,12 +115,12 @@
         await client.connect()
         server.drain()
         assert await client.get("6") == b"SERVER_ERROR busy\r\n"
-        old = server.port
+        old_port = server.port
         server.crash()
         with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection("127.0.0.1", old)
+            await asyncio.open_connection("127.0.0.1", old_port)
         await server.restart()
-        assert server.port == old and server.model.capacity_share() < 0.3
+        assert server.port == old_port and server.model.capacity_share() < 0.3
         await client.connect()
         assert b" h0 " in await client.get("7")
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults of scenarios: what each kind does to the testbed, and their targets."""
+"""Tests of the faults of scenarios: the calls of each kind to the testbed, and the choice of targets."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from starlingthread.experiment import scenario, validation
 from starlingthread.experiment.records import FaultRecord
 
-CALM = scenario.Scenario("calm")
+FAULTLESS = scenario.Scenario("faultless")
 
 
 class RecordingTestbed:
-    """A testbed that records what faults do to it."""
+    """A testbed that records the calls of faults."""
 
     def __init__(self, spec: scenario.Scenario) -> None:
         self.scenario = spec
@@ -38,8 +38,8 @@
     async def call_clients(self, method: str, *arguments: object) -> None:
         self.actions.append((method, *arguments))
 
-    async def bad_clients(self, per_second: float, seconds: float, half_commands: bool) -> None:
-        self.actions.append(("bad clients", half_commands))
+    async def bad_clients(self, rate_per_s: float, duration_s: float, partial_commands: bool) -> None:
+        self.actions.append(("bad clients", partial_commands))
 
     async def set_link_conditions(self, number: int, groups: list[int], conditions: dict[str, float]) -> None:
         self.actions.append(("link", number, " ".join(f"{name}={value:g}" for name, value in conditions.items())))
@@ -77,8 +77,8 @@
     async def start_router(self, number: int) -> None:
         self.actions.append(("start", number))
 
-    def signal_router(self, number: int, which: signal.Signals) -> None:
-        self.actions.append((which.name, number))
+    def signal_router(self, number: int, signal_number: signal.Signals) -> None:
+        self.actions.append((signal_number.name, number))
 
     def record_fault(self, record: FaultRecord) -> None:
         self.records.append(record)
@@ -146,8 +146,8 @@
         zone="bloco-b",
         every_s=0.001,
     )
-    quick = scenario.Discovery(notice_ms=0.0, crash_notice_ms=0.0)
-    spec = msgspec.structs.replace(CALM, faults=(fault,), discovery=quick, fleet=scenario.Fleet(servers=2))
+    discovery = scenario.Discovery(notice_ms=0.0, crash_notice_ms=0.0)
+    spec = msgspec.structs.replace(FAULTLESS, faults=(fault,), discovery=discovery, fleet=scenario.Fleet(servers=2))
     testbed = RecordingTestbed(spec)
     asyncio.run(FaultInjector(testbed, np.random.default_rng(1)).run(0.0))
     assert sorted(testbed.actions, key=str) == sorted(EXPECTED[kind], key=str)
@@ -156,5 +156,5 @@
 
 def test_targets_depend_on_the_seed_alone() -> None:
     fault = scenario.Fault("slow", 0.0, 1.0, 2.0, part=0.3)
-    drawn = [targets(fault, CALM, np.random.default_rng(s)) for s in (1, 1, 2)]
+    drawn = [targets(fault, FAULTLESS, np.random.default_rng(seed)) for seed in (1, 1, 2)]
     assert drawn[0] == drawn[1] != drawn[2] and len(drawn[0]) == 3
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -1,4 +1,4 @@
-"""The emulator's router processes: no false crash is reported while one restarts."""
+"""Tests of the emulator's router processes: a restart is not reported as a crash, and sampling an ended one is safe."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from starlingthread.experiment.scenario_file import parse
 
 
-def a_router(folder: Path, code: str) -> RouterProcess:
+def make_router(folder: Path, code: str) -> RouterProcess:
     scenario = parse(
         f"""
 name = "starts"
@@ -28,39 +28,42 @@
 
 
 def test_a_killed_and_restarted_router_is_not_reported_as_crashed(tmp_path: Path) -> None:
-    """On a busy machine the old process was seen as crashed while the new one was being made."""
+    """While a new process is created, the old one must not look crashed.
 
-    async def play() -> None:
-        router = a_router(tmp_path, "import time; time.sleep(60)")
+    On a busy machine the sampler ran during the creation and reported the killed process as crashed.
+    """
+
+    async def run() -> None:
+        router = make_router(tmp_path, "import time; time.sleep(60)")
         await router.start(1, [], ("127.0.0.1", 2), {})
         await router.kill()
         starting = asyncio.create_task(router.start(1, [], ("127.0.0.1", 2), {}))
-        looks = 0
+        polls = 0
         while not starting.done():
             await asyncio.sleep(0)
-            looks += 1
+            polls += 1
             process = router.process
             assert process is not None and (process.returncode is None or router.is_exit_expected)
-        assert looks > 1 and router.pid
+        assert polls > 1 and router.pid
         await router.kill()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_sampling_a_router_that_has_ended_raises_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two of three starts of 200 routers ended in a traceback."""
+    """A router may end before psutil can inspect it: two of three starts of 200 routers failed with a traceback."""
 
-    async def play() -> None:
-        router = a_router(tmp_path, "pass")
+    async def run() -> None:
+        router = make_router(tmp_path, "pass")
 
-        def gone(pid: int) -> psutil.Process:
+        def raise_no_such_process(pid: int) -> psutil.Process:
             raise psutil.NoSuchProcess(pid)
 
-        monkeypatch.setattr(psutil, "Process", gone)
+        monkeypatch.setattr(psutil, "Process", raise_no_such_process)
         await router.start(1, [], ("127.0.0.1", 2), {})
         assert router.process is not None
         await router.process.wait()
         router.sample()
         assert not router.ledger.router_samples and not await router.wait_until_ready()
 
-    asyncio.run(play())
+    asyncio.run(run())
--- a/tests/test_server_links.py
+++ b/tests/test_server_links.py
@@ -1,4 +1,4 @@
-"""Links between servers and groups of routers, and the ports of the processes of a run."""
+"""Tests of the links between servers and groups of routers, and of the port allocation of a run."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from starlingthread.experiment.records import Ledger
 
 
-class ManualClock:
+class ManualScheduler:
     """A Scheduler whose time the test advances."""
 
     def __init__(self) -> None:
@@ -31,8 +31,8 @@
     def now(self) -> float:
         return self.time
 
-    def after(self, delay: float, then: Callable[[], None]) -> None:
-        self.calls.append((self.time + delay, then))
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        self.calls.append((self.time + delay_ms, callback))
 
     def advance(self, until: float) -> None:
         while due := [call for call in self.calls if call[0] <= until]:
@@ -43,35 +43,35 @@
         self.time = until
 
 
-class Lane(NamedTuple):
-    """One direction of a link, and what it has delivered."""
+class DirectionFixture(NamedTuple):
+    """One direction of a link, and the data that it has delivered."""
 
-    clock: ManualClock
+    clock: ManualScheduler
     link: ServerLink
     direction: LinkDirection
     delivered: list[bytes]
 
 
-def lane(is_outbound: bool = False, **conditions: float) -> Lane:
-    clock = ManualClock()
+def make_direction(is_outbound: bool = False, **conditions: float) -> DirectionFixture:
+    clock = ManualScheduler()
     delivered: list[bytes] = []
     link = ServerLink(0, UniformDraws(np.random.default_rng(1)))
     for name, value in conditions.items():
         setattr(link, name, value)
-    return Lane(clock, link, LinkDirection(link, is_outbound, clock, delivered.append), delivered)
+    return DirectionFixture(clock, link, LinkDirection(link, is_outbound, clock, delivered.append), delivered)
 
 
 def test_a_plain_link_adds_no_delay_and_a_slow_or_lossy_one_keeps_the_order() -> None:
-    _, _, plain, delivered = lane()
+    _, _, plain, delivered = make_direction()
     plain.push(b"1")
     assert delivered == [b"1"]
-    clock, link, slow, delivered = lane(delay_ms=30.0)
+    clock, link, slow, delivered = make_direction(delay_ms=30.0)
     slow.push(b"1")
     link.loss_rate = 1.0
     clock.advance(10.0)
     slow.push(b"2")
     link.loss_rate = link.delay_ms = 0.0
-    slow.push(b"3")  # would overtake
+    slow.push(b"3")  # without ordering this chunk would arrive before the second
     clock.advance(29.0)
     assert delivered == []
     clock.advance(31.0)
@@ -80,8 +80,8 @@
     assert delivered == [b"1", b"2", b"3"]
 
 
-def test_data_in_a_blocked_direction_arrives_when_it_heals_and_the_other_direction_works() -> None:
-    clock, link, inbound, delivered = lane(inbound_blocked=True)
+def test_data_in_a_blocked_direction_arrives_when_it_is_unblocked_and_the_other_direction_works() -> None:
+    clock, link, inbound, delivered = make_direction(inbound_blocked=True)
     answers: list[bytes] = []
     outbound = LinkDirection(link, True, clock, answers.append)
     inbound.push(b"1")
@@ -95,12 +95,12 @@
 
 def test_a_blocked_link_affects_its_group_alone_and_accepts_no_connections() -> None:
     async def script() -> None:
-        schedule, rng = EventLoopScheduler(asyncio.get_running_loop()), np.random.default_rng(1)
+        scheduler, rng = EventLoopScheduler(asyncio.get_running_loop()), np.random.default_rng(1)
         fleet = scenario.Fleet(hit_ms=1.0, handshake_ms=0.0, work_cv=0.0)
-        origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), schedule, rng)
+        origin = OriginModel(scenario.Origin(fetch_ms=1.0, cv=0.0), scheduler, rng)
         links = [ServerLink(group, UniformDraws(rng)) for group in range(2)]
-        model = ServerModel(0, fleet, 1.0, schedule, origin, rng)
-        server = CacheServer(model, 50, schedule, Ledger(), rng, links)
+        model = ServerModel(0, fleet, 1.0, scheduler, origin, rng)
+        server = CacheServer(model, 50, scheduler, Ledger(), rng, links)
         await server.start()
         streams = [await asyncio.open_connection("127.0.0.1", link.port) for link in links]
 
@@ -116,7 +116,7 @@
         assert await is_answered(0, 1) and await is_answered(1, 2)
         await server.set_link_conditions([1], {"inbound_blocked": False, "outbound_blocked": True})
         assert await is_answered(0, 3) and not await is_answered(1, 4)
-        assert len(server.ledger.deliveries) == 4  # the request came, only the answer was blocked
+        assert len(server.ledger.deliveries) == 4  # the request arrived, only the answer was blocked
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.open_connection("127.0.0.1", links[1].port), 0.1)
         await server.set_link_conditions([1], {"inbound_blocked": False, "outbound_blocked": False})
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -1,4 +1,4 @@
-"""The models of a cache server and the origin, in virtual time."""
+"""Tests of the models of a cache server and the origin, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class VirtualScheduler:
-    """A Scheduler whose time advances only by ``run``."""
+    """A Scheduler whose time advances only in ``run``."""
 
     def __init__(self) -> None:
         self.time, self.count = 0.0, 0
@@ -23,14 +23,14 @@
     def now(self) -> float:
         return self.time
 
-    def after(self, delay: float, then: Callable[[], None]) -> None:
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
         self.count += 1
-        heapq.heappush(self.due, (self.time + delay, self.count, then))
+        heapq.heappush(self.due, (self.time + delay_ms, self.count, callback))
 
     def run(self, until: float = 1e9) -> None:
         while self.due and self.due[0][0] <= until:
-            self.time, _, then = heapq.heappop(self.due)
-            then()
+            self.time, _, callback = heapq.heappop(self.due)
+            callback()
         if until < 1e9:
             self.time = max(self.time, until)
 
@@ -118,12 +118,12 @@
         PREDICTABLE, cold_from=0.1, cold_ms=1e6, waiting=999, overload_factor=4.0, tip_after_ms=1000.0
     )
     crashes: list[tuple[str, ...]] = []
-    for gap, is_crash in ((7.0, False), (4.0, True)):  # budget: 4 x 0.1 x 2 slots x 1000 ms of work; 4 ms a command
+    for gap_ms, is_crash in ((7.0, False), (4.0, True)):  # limit: 4 x 0.1 x 2 slots x 1000 ms of work; 4 ms per command
         server = ModelServer(fleet)
         server.model.boot(is_warm=False)
         server.model.on_overload_crash = crashes.append
         for number in range(600):
-            server.clock.run(number * gap)
+            server.clock.run(number * gap_ms)
             if not server.model.crashed:
                 server.submit(str(number), f"k{number}")
         assert server.model.crashed == is_crash
