--- a/starlingthread/emulator/router_process.py
+++ b/starlingthread/emulator/router_process.py
@@ -49,11 +49,11 @@
         self.folder = folder
         self.ledger = ledger
         self.name = f"r{number}"
-        stripe = PortStripe(0, 1 + scenario.machine.server_processes)  # stripes 1.. belong to the server workers
+        stripe = PortStripe(0, 1 + scenario.machine.server_processes)  # stripes from 1 on belong to the server workers
         self.listen = ("127.0.0.1", free_port(socket.SOCK_STREAM, stripe))
         self.peer_listen = ("127.0.0.1", free_port(socket.SOCK_DGRAM, stripe))
         self.process: asyncio.subprocess.Process | None = None
-        self.starts = 0
+        self.start_count = 0
         self.is_exit_expected = False
         self._monitored: psutil.Process | None = None
         self._log: IO[bytes] | None = None
@@ -82,7 +82,7 @@
             "name": self.name,
             "listen": _format_address(self.listen),
             "discovery": f"127.0.0.1:{discovery_port}",
-            "seed": f"{self.scenario.seed * 1000003 + self.number * 101 + self.starts:016x}",
+            "seed": f"{self.scenario.seed * 1000003 + self.number * 101 + self.start_count:016x}",
             "limits": {"cores": routers.cores, "memory_mb": routers.memory_mb, "sockets": routers.sockets},
             "peer_listen": _format_address(self.peer_listen),
             "peers": [_format_address(peer) for peer in peers],
@@ -98,7 +98,7 @@
         self, discovery_port: int, peers: list[_Address], broadcast_address: _Address, endpoint_list: dict[str, Any]
     ) -> None:
         """Write the configuration file and start the process."""
-        self.starts += 1
+        self.start_count += 1
         config_path = self.write_configuration(discovery_port, peers, broadcast_address, endpoint_list)
         environment = self._environment(config_path, discovery_port)
         self._log = self._log_path.open("ab")
--- a/starlingthread/emulator/server_connection.py
+++ b/starlingthread/emulator/server_connection.py
@@ -78,10 +78,10 @@
     is_frozen: bool
 
     def defer_input(self, connection: ServerConnection, data: bytes) -> None:
-        """Keep bytes that arrived at a frozen server until it resumes."""
+        """Hold bytes that arrive at a frozen server until it resumes."""
 
     def defer_output(self, connection: ServerConnection, data: bytes) -> None:
-        """Keep bytes that a frozen server would send until it resumes."""
+        """Hold bytes that a frozen server would send until it resumes."""
 
 
 class ServerConnection(asyncio.Protocol):
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -1,8 +1,8 @@
 """Behavior model of a cache server, without sockets or a clock of its own.
 
-The model depends only on a ``Scheduler``, so that the emulator runs it on the event loop and simulations in virtual
-time. All times are in milliseconds. A server is a queue in front of ``slots`` workers, whose speed ramps up after a
-cold start, with an LRU cache in memory and the origin behind it.
+The model reads the time only from a ``Scheduler``, so that it runs on the event loop in the emulator and in virtual
+time in simulations. All times are in milliseconds. A server is a queue in front of ``slots`` workers, whose speed
+ramps up after a cold start, with an LRU cache in memory and the origin behind it.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 class ServerModel:
-    """One cache server: worker slots, a bounded queue, LRU memory, warm-up, overload crashes and load reports."""
+    """One cache server: worker slots, a bounded queue, an LRU cache, warm-up, overload crashes and load reports."""
 
     def __init__(
         self,
@@ -230,7 +230,7 @@
         command.version = version or 0
         command.finish(CommandOutcome.FAILED if version is None else CommandOutcome.SERVED)
 
-    # memory
+    # cache
 
     def store(self, key: str, version: int) -> None:
         """Cache a value; evict the least recently used value if the cache is full."""
--- a/tests/test_emulated_discovery.py
+++ b/tests/test_emulated_discovery.py
@@ -18,7 +18,7 @@
 
     async def read_until(reader: asyncio.StreamReader, text: bytes) -> bytes:
         while text not in (line := await reader.readline()):
-            assert line, "the answer ended"
+            assert line, f"the response ended before {text!r}"
         return line
 
     writers: list[asyncio.StreamWriter] = []
