--- a/tests/test_datagram_relay.py
+++ b/tests/test_datagram_relay.py
@@ -1,4 +1,4 @@
-"""The relay of datagrams between routers."""
+"""Tests of the relay for datagrams between routers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         endpoints[0][0].sendto(b"one", relay.addresses[1])
         endpoints[0][0].sendto(b"all", relay.broadcast_address)
         endpoints[0][0].sendto(b"x" * 257, relay.broadcast_address)
-        endpoints[3][0].sendto(b"stranger", relay.broadcast_address)
+        endpoints[3][0].sendto(b"unknown", relay.broadcast_address)
         while relay.delivered < 6 or relay.unknown_senders < 1:
             await asyncio.sleep(0)
         while len(endpoints[1][1].received) + len(endpoints[2][1].received) < 6:
@@ -36,7 +36,7 @@
         sender = relay.addresses[0][1]
         assert received == ([(b"all", sender)] * 2 + [(b"one", sender)] * 2, [(b"all", sender)] * 2)
         assert not endpoints[0][1].received and relay.oversized == 1
-        relay.extra_loss = 1.0
+        relay.extra_loss_rate = 1.0
         endpoints[0][0].sendto(b"lost", relay.broadcast_address)
         while relay.dropped < 4:
             await asyncio.sleep(0)
