--- a/starlingthread/net/discovery/actor.py
+++ b/starlingthread/net/discovery/actor.py
@@ -58,13 +58,13 @@
         parser: EndpointListParser,
         address: tuple[str, int],
         supervisor: TaskSupervisor,
-        pushed: bool = False,
+        lists_pushed: bool = False,
     ) -> None:
         self.router = router
         self.parser = parser
         self.address = address
         self.supervisor = supervisor
-        self.pushed = pushed  # lists are pushed: the router never asks, and this actor keeps a watch open by itself
+        self.lists_pushed = lists_pushed  # the router never asks, and this actor keeps a watch open by itself
         self.clock = router.clock
         self.counters = router.counters
         self.deadlines = router.deadlines
@@ -82,10 +82,10 @@
         """How many servers the router's list has, draining ones included."""
         return len(self._listed)
 
-    def apply_settings(self, zones: tuple[str, ...], server_kinds: tuple[str, ...], pushed: bool = False) -> None:
+    def apply_settings(self, zones: tuple[str, ...], server_kinds: tuple[str, ...], lists_pushed: bool = False) -> None:
         """Apply changed settings. If zones or server kinds are numbered anew, the next call fetches the whole list."""
-        self.pushed = pushed
-        self.watch_wanted = self.watch_wanted or pushed
+        self.lists_pushed = lists_pushed
+        self.watch_wanted = self.watch_wanted or lists_pushed
         if self.parser.set_names(zones, server_kinds):
             self.version = 0
 
@@ -119,12 +119,12 @@
         self.counters.increment("discovery.failures")
         log.info("discovery-failed", reason=reason)
         self.router.mailbox.must_put(EndpointsReceived(EndpointList(EndpointListKind.FAILED, self.version), {}))
-        if self.pushed:
+        if self.lists_pushed:
             self.deadlines.set(self.clock.now() + self._next_backoff(), self._retry_watch)
 
     async def run(self) -> None:
         """Handle messages until cancelled."""
-        if self.pushed:
+        if self.lists_pushed:
             self.watch(True)
         while True:
             for message in self.mailbox.take():
@@ -203,7 +203,7 @@
         return WATCH_RETRY_BASE_MS * (1 << doublings) * self._rng.uniform(*BACKOFF_JITTER)
 
     def _retry_watch(self) -> None:
-        if self.pushed and self.watch_wanted:
+        if self.lists_pushed and self.watch_wanted:
             self.watch(True)
 
     def _apply_list(self, text: bytes) -> None:
--- a/starlingthread/router_process/actors.py
+++ b/starlingthread/router_process/actors.py
@@ -29,7 +29,7 @@
         self.fleet = ServerFleet(settings, self.router, supervisor, 0, config.idle_timeout)
         parser = EndpointListParser(config.zones, config.server_kinds)
         self.discovery = DiscoveryActor(
-            self.router, parser, config.discovery, supervisor, pushed=not settings.must_poll
+            self.router, parser, config.discovery, supervisor, lists_pushed=not settings.must_poll
         )
         self.peers = PeerActor(self.router, config.peers, config.peers_all, router_index)
         self.members = MembershipActor(self.router, self.peers, router_index)
@@ -56,7 +56,7 @@
         self.router.apply_settings(config.settings)
         self.clients.apply_settings(config.settings)
         self.fleet.apply_settings(config.settings, config.idle_timeout)
-        self.discovery.apply_settings(config.zones, config.server_kinds, pushed=not config.settings.must_poll)
+        self.discovery.apply_settings(config.zones, config.server_kinds, lists_pushed=not config.settings.must_poll)
         # Polls even if the address is unchanged: the new settings take effect with the next endpoint list.
         self.discovery.set_address(config.discovery)
         self.peers.set_addresses(config.peers, config.peers_all)
--- a/starlingthread/router_process/process.py
+++ b/starlingthread/router_process/process.py
@@ -125,7 +125,7 @@
 
         That is so in an upgrade, and where lists are pushed, as a pushed list binds at once.
         """
-        if self._handover.inherited is None and not self.actors.discovery.pushed:
+        if self._handover.inherited is None and not self.actors.discovery.lists_pushed:
             return
         self.actors.discovery.watch(True)
         with contextlib.suppress(TimeoutError):
