--- a/starlingthread/net/__init__.py
+++ b/starlingthread/net/__init__.py
@@ -1,1 +1,1 @@
-"""What touches sockets: clients, cache servers, discovery and the other routers."""
+"""Network I/O: connections to clients, cache servers, discovery, operators and other routers."""
--- a/starlingthread/net/discovery/__init__.py
+++ b/starlingthread/net/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Service discovery: endpoint lists, fetched as a whole or watched for changes, over HTTP/1.1 that h11 parses."""
+"""Client of service discovery: fetches whole endpoint lists or watches them for changes, over HTTP/1.1 with h11."""
 
 from .actor import LIST_PATH, DiscoveryActor
 from .endpoint_list import EndpointListParser, parse_address
--- a/starlingthread/net/discovery/endpoint_list.py
+++ b/starlingthread/net/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Parser of the endpoint lists that discovery sends as JSON."""
+"""Parser for the endpoint lists that discovery sends as JSON."""
 
 from __future__ import annotations
 
@@ -18,57 +18,57 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return the host and port of 'host:port'; raise a ValueError if it is not an address."""
+    """Return the host and port of 'host:port'; raise a ValueError if the text is not such an address."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{text!r} is no address")
+        raise ValueError(f"invalid address {text!r}: expected host:port")
     return host.strip("[]"), int(port)
 
 
 class EndpointListParser:
-    """Turns discovery's JSON objects into the router's endpoint lists."""
+    """Converts discovery's JSON objects to the router's endpoint lists."""
 
     def __init__(self, zones: tuple[str, ...], server_kinds: tuple[str, ...]) -> None:
-        self.zones = _number(zones)
-        self.server_kinds = _number(server_kinds)
+        self.zone_indexes = _index_by_name(zones)
+        self.server_kind_indexes = _index_by_name(server_kinds)
         self.ids = ServerIds()
 
     def set_names(self, zones: tuple[str, ...], server_kinds: tuple[str, ...]) -> bool:
-        """Number zones and server kinds anew; return whether that changed anything."""
-        numbered = (_number(zones), _number(server_kinds))
-        changed = numbered != (self.zones, self.server_kinds)
-        self.zones, self.server_kinds = numbered
+        """Set the names of the zones and server kinds; return whether an index of one of them has changed."""
+        indexes = (_index_by_name(zones), _index_by_name(server_kinds))
+        changed = indexes != (self.zone_indexes, self.server_kind_indexes)
+        self.zone_indexes, self.server_kind_indexes = indexes
         return changed
 
     def parse(self, raw: object, kind: EndpointListKind | None = None) -> EndpointsReceived:
-        """Parse one object; its 'snapshot' decides on the kind unless that is given.
+        """Parse one JSON object; its 'snapshot' field determines the kind unless a kind is given.
 
-        Raises EndpointListError if it is not a list.
+        Raises EndpointListError if the object is not an endpoint list.
         """
         try:
             return self._parse(raw, kind)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            raise EndpointListError(f"not a list: {error!r}") from None
+            raise EndpointListError(f"invalid endpoint list: {error!r}") from None
 
     def _parse(self, raw: Any, kind: EndpointListKind | None) -> EndpointsReceived:
         endpoints = []
         addresses = {}
-        # Sorted by name, so that even ids that collide within one list are the same at every router.
+        # Ids are assigned in the order of names, so that they are the same at every router even if hashes collide.
         for entry in sorted(raw["endpoints"], key=lambda entry: str(entry["name"])):
-            server = self.ids.assign(str(entry["name"]))
+            server_id = self.ids.assign(str(entry["name"]))
             if entry.get("address"):
-                addresses[server] = parse_address(entry["address"])
-            endpoints.append(self._endpoint(server, entry))
+                addresses[server_id] = parse_address(entry["address"])
+            endpoints.append(self._endpoint(server_id, entry))
         if kind is None:
             kind = EndpointListKind.FULL if raw["snapshot"] else EndpointListKind.DELTA
         return EndpointsReceived(EndpointList(kind, int(raw["index"]), tuple(endpoints)), addresses)
 
-    def _endpoint(self, server: int, entry: Any) -> Endpoint:
-        # An unknown zone or kind is numbered behind the known ones, so it matches none of them.
+    def _endpoint(self, server_id: int, entry: Any) -> Endpoint:
+        # An unknown zone or kind gets the index after the last known one, so it matches none of them.
         return Endpoint(
-            server=server,
-            zone=self.zones.get(entry.get("zone"), len(self.zones)),
-            kind=self.server_kinds.get(entry.get("type"), len(self.server_kinds)),
+            server=server_id,
+            zone=self.zone_indexes.get(entry.get("zone"), len(self.zone_indexes)),
+            kind=self.server_kind_indexes.get(entry.get("type"), len(self.server_kind_indexes)),
             cell=int(entry.get("group") or 0),
             state=SERVER_STATES[entry["status"]],
             weight=float(entry.get("weight", 1.0)),
@@ -76,5 +76,5 @@
         )
 
 
-def _number(names: tuple[str, ...]) -> dict[str, int]:
-    return {name: number for number, name in enumerate(names)}
+def _index_by_name(names: tuple[str, ...]) -> dict[str, int]:
+    return {name: index for index, name in enumerate(names)}
--- a/starlingthread/net/discovery/errors.py
+++ b/starlingthread/net/discovery/errors.py
@@ -1,11 +1,11 @@
-"""The errors of discovery."""
+"""Errors of calls to discovery and of the endpoint lists it sends."""
 
 from __future__ import annotations
 
 
 class EndpointListError(Exception):
-    """What discovery sent is not an endpoint list."""
+    """Discovery sent data that is not a valid endpoint list; the text says what is wrong."""
 
 
 class DiscoveryCallError(Exception):
-    """A call to discovery failed: a time-out, an HTTP status, or an end before its time. The text is the reason."""
+    """A call to discovery failed: a timeout, an HTTP error status or a premature end. The text is the reason."""
--- a/starlingthread/net/discovery/server_ids.py
+++ b/starlingthread/net/discovery/server_ids.py
@@ -1,4 +1,4 @@
-"""Numeric server ids, derived from the servers' names."""
+"""Numeric server ids, derived from the names of the servers."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class ServerIds:
-    """Derives ids from names alone, so that they are the same at every router and after every restart."""
+    """Assigns each server an id that depends only on names, so it is the same at every router and after a restart."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, int] = {}
         self._assigned: set[int] = set()
 
-    def retain(self, numbers: Collection[int]) -> None:
-        """Forget all names but those of these ids. Bounds the memory where servers come and go all day."""
-        self._by_name = {name: number for name, number in self._by_name.items() if number in numbers}
+    def retain(self, server_ids: Collection[int]) -> None:
+        """Remove all names except those of these ids. Bounds the memory use while servers are added and removed."""
+        self._by_name = {name: server_id for name, server_id in self._by_name.items() if server_id in server_ids}
         self._assigned = set(self._by_name.values())
 
     def lookup(self, name: str) -> int | None:
-        """Return the id of a name that was assigned and retained, or None."""
+        """Return the id of a name, or None if it was not assigned or not retained."""
         return self._by_name.get(name)
 
     def assign(self, name: str) -> int:
-        """Return the id of a name. On a hash collision the later name is hashed again with another salt."""
-        known = self._by_name.get(name)
-        if known is not None:
-            return known
+        """Return the id of a name. On a hash collision the name assigned later is hashed again with another salt."""
+        known_id = self._by_name.get(name)
+        if known_id is not None:
+            return known_id
         salt = 0
-        number = _hash(name, salt)
-        while number in self._assigned:
+        server_id = _hash(name, salt)
+        while server_id in self._assigned:
             salt += 1
-            number = _hash(name, salt)
-        self._by_name[name] = number
-        self._assigned.add(number)
-        return number
+            server_id = _hash(name, salt)
+        self._by_name[name] = server_id
+        self._assigned.add(server_id)
+        return server_id
 
 
 def _hash(name: str, salt: int) -> int:
--- a/starlingthread/net/late_timers.py
+++ b/starlingthread/net/late_timers.py
@@ -1,16 +1,16 @@
-"""Timers that are handled late: a time-out noticed late says more about our own load than about the peer."""
+"""Detection of timers that are handled late, as their timeouts may be caused by this process instead of the peer."""
 
 from __future__ import annotations
 
 from ..core.clock import Clock
 
-LATE_TIMER_MS = 10.0  # past its due time, from which on a timer counts as handled late
+LATE_THRESHOLD_MS = 10.0  # a timer handled more than this after its due time counts as late
 
 
 def is_handled_late(clock: Clock, due: float) -> bool:
-    """Whether a timer due at this clock time (ms) is handled so late that our own load may be the cause.
+    """Return whether a timer due at this clock time (ms) is handled so late that this process may be the cause.
 
-    Guards against giving up, after a pause of this process or on an overloaded core, on what has arrived but is not
-    yet processed: it would be retried, which costs even more of the core.
+    After a pause of this process or on an overloaded core, data may have arrived that is not processed yet. A timeout
+    would then cause a needless retry, which adds to the load of the core.
     """
-    return clock.now() - due > LATE_TIMER_MS
+    return clock.now() - due > LATE_THRESHOLD_MS
--- a/starlingthread/net/peers.py
+++ b/starlingthread/net/peers.py
@@ -1,4 +1,4 @@
-"""The UDP socket for messages between routers, which may be late or lost."""
+"""The UDP socket for messages between routers. Messages may be delayed or lost."""
 
 from __future__ import annotations
 
@@ -14,47 +14,52 @@
 
 
 class PeerActor(asyncio.DatagramProtocol):
-    """Owns one socket for all peers and routes what it receives, by its first byte.
+    """Owns one socket for all peers and dispatches received messages by their first byte.
 
-    Messages that no handler takes go into the decision module's mailbox. (asyncio's streams have no datagrams.)
+    Messages without a handler are put into the router's mailbox for the decision module. A datagram protocol is used
+    because asyncio's streams do not support datagrams.
     """
 
     def __init__(
-        self, router: Router, peers: list[tuple[str, int]], everyone: tuple[str, int] | None, router_index: int
+        self,
+        router: Router,
+        addresses: list[tuple[str, int]],
+        broadcast_address: tuple[str, int] | None,
+        router_index: int,
     ) -> None:
         self.router = router
         self.counters = router.counters
         self.router_index = router_index
-        self.set_addresses(peers, everyone)
+        self.set_addresses(addresses, broadcast_address)
         self.transport: asyncio.DatagramTransport | None = None
-        self.socket: socket.socket | None = None  # open until close(), also while receiving is paused
-        self.handlers: dict[int, Callable[[int, bytes], None]] = {}  # by the first byte of a message
+        self.socket: socket.socket | None = None  # stays open until close(), also while receiving is paused
+        self.handlers: dict[int, Callable[[int, bytes], None]] = {}  # handlers by the first byte of a message
 
-    def set_addresses(self, peers: list[tuple[str, int]], everyone: tuple[str, int] | None) -> None:
-        """Set the addresses of all routers by index, and the one that reaches all of them, if there is one."""
-        self.peers = peers
-        self.everyone = everyone
-        self._index_by_address = {address: index for index, address in enumerate(peers)}
+    def set_addresses(self, addresses: list[tuple[str, int]], broadcast_address: tuple[str, int] | None) -> None:
+        """Set the addresses of all routers, by router index, and the broadcast address that reaches all, if any."""
+        self.addresses = addresses
+        self.broadcast_address = broadcast_address
+        self._index_by_address = {address: index for index, address in enumerate(addresses)}
 
     async def listen(self, host: str, port: int, inherited: socket.socket | None = None) -> None:
-        """Open the socket, or use the one inherited from the previous process, and start to receive."""
+        """Open a socket, or use the one inherited from the previous process, and start receiving."""
         self.socket = inherited if inherited is not None else _bind(host, port)
         await self.resume_receiving()
 
     async def resume_receiving(self) -> None:
-        """Receive messages, for the first time or again."""
+        """Start or resume receiving messages."""
         if self.socket is not None and self.transport is None:
             loop = asyncio.get_running_loop()
             self.transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=self.socket.dup())
 
     def pause_receiving(self) -> None:
-        """Receive nothing, as another process does on the same socket."""
+        """Stop receiving, as another process receives on the same socket."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Route a message; one from an unknown address, or too long for a peer's, is counted and dropped."""
+        """Dispatch a message; count and drop one that is too long, from an unknown address or from this router."""
         sender = self._index_by_address.get((addr[0], addr[1]))
         if sender is None or len(data) > MAX_MESSAGE_BYTES or sender == self.router_index:
             self.counters.increment("peers.unknown_sender")
@@ -67,24 +72,24 @@
             self.counters.increment("peers.received")
 
     def error_received(self, exc: Exception) -> None:
-        """Count an error that the network returned; messages may be lost anyway."""
+        """Count an error that the network returned. It needs no other handling, as senders tolerate lost messages."""
         self.counters.increment("peers.errors")
 
     def send(self, peer: int | None, payload: bytes) -> None:
-        """Send a message to one router, or to all others (None)."""
+        """Send a message to one router by its index, or to all others if peer is None."""
         if self.transport is None or len(payload) > MAX_MESSAGE_BYTES:
             self.counters.increment("peers.not_sent")
             return
-        for address in self._targets(peer):
+        for address in self._destinations(peer):
             self.transport.sendto(payload, address)
             self.counters.increment("peers.sent")
 
-    def _targets(self, peer: int | None) -> list[tuple[str, int]]:
+    def _destinations(self, peer: int | None) -> list[tuple[str, int]]:
         if peer is not None:
-            return [self.peers[peer]] if peer < len(self.peers) else []
-        if self.everyone:
-            return [self.everyone]
-        return [address for index, address in enumerate(self.peers) if index != self.router_index]
+            return [self.addresses[peer]] if peer < len(self.addresses) else []
+        if self.broadcast_address:
+            return [self.broadcast_address]
+        return [address for index, address in enumerate(self.addresses) if index != self.router_index]
 
     def close(self) -> None:
         """Close the socket."""
@@ -95,7 +100,7 @@
 
 def _bind(host: str, port: int) -> socket.socket:
     udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    if hasattr(socket, "SO_REUSEPORT"):  # during an upgrade two processes are bound to the port
+    if hasattr(socket, "SO_REUSEPORT"):  # during an upgrade, two processes bind the same port
         with contextlib.suppress(OSError):
             udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     udp_socket.bind((host, port))
--- a/starlingthread/net/streams.py
+++ b/starlingthread/net/streams.py
@@ -1,4 +1,4 @@
-"""Socket options and disconnect detection that asyncio's streams lack; for clients and cache servers."""
+"""Socket options and disconnect detection that asyncio streams lack, for connections of clients and cache servers."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 import socket
 from collections.abc import Callable
 
-# Poll events of a connection whose peer has closed or reset it, reported also while earlier bytes lie unread.
+# Poll events of a connection that its peer has closed or reset; they are reported even while received bytes are unread.
 PEER_CLOSED_EVENTS = select.POLLHUP | select.POLLERR | getattr(select, "POLLRDHUP", 0)
 
 
-def limit_read_size(writer: asyncio.StreamWriter, size: int) -> None:
-    """Limit the bytes that a stream reads at once.
+def limit_read_size(writer: asyncio.StreamWriter, max_bytes: int) -> None:
+    """Limit the number of bytes that a stream reads at once.
 
-    Guards memory: asyncio's default is 256 KB, for each connection that waits.
+    This bounds the memory use: asyncio by default allocates 256 KB for each connection that waits for data.
     """
     if hasattr(writer.transport, "max_size"):
-        writer.transport.max_size = size
+        writer.transport.max_size = max_bytes
 
 
 def disable_nagle(writer: asyncio.StreamWriter) -> None:
-    """Send small writes at once (TCP_NODELAY).
+    """Disable Nagle's algorithm (TCP_NODELAY), so that small writes are sent at once.
 
-    asyncio does this for connections that we open; of those that we accept it can't tell that they are TCP. What
-    Nagle's algorithm delays is lost when a connection is reset, and answers wait for the peer's ACK.
+    asyncio does this only for outgoing connections, as it can't tell that an accepted connection is TCP. With Nagle's
+    algorithm, an answer waits for the peer's ACK, and bytes that still wait when a connection is reset are lost.
     """
-    with contextlib.suppress(OSError):  # a socket that is no TCP socket delays nothing
+    with contextlib.suppress(OSError):  # the socket is not a TCP socket, so the algorithm does not apply
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def has_poll_event(writer: asyncio.StreamWriter, events: int) -> bool:
-    """Return whether the system reports one of these poll events for a connection now."""
+    """Return whether poll() currently reports one of these events for a connection."""
     if writer.transport.is_closing():
         return False
     poll = select.poll()
@@ -41,10 +41,11 @@
 
 
 class StreamProtocol(asyncio.StreamReaderProtocol):
-    """A stream protocol whose connection may be reset without a traceback in the log.
+    """A stream protocol that prevents a traceback in the log after a connection reset.
 
-    asyncio keeps the reset in a future, and marks it as retrieved when the protocol is finalized. The garbage collector
-    may finalize that future first, if the protocol was moved to an older generation before the future was created.
+    asyncio stores the reset as the exception of a future, and marks it as retrieved when the protocol is finalized. If
+    the protocol is in an older generation of the garbage collector than the future, the collector may finalize the
+    future first, and asyncio then logs that its exception was never retrieved.
     """
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -58,7 +59,7 @@
 async def open_stream(host: str, port: int, limit: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Connect to an address and return the connection's streams; raise an OSError if that fails.
 
-    limit: bytes after which reading pauses, half of what may lie unread.
+    limit: the reader's limit in bytes; reading from the socket pauses when more than twice as many are unread.
     """
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=limit)
@@ -68,20 +69,21 @@
 
 
 class DisconnectAwareProtocol(StreamProtocol):
-    """A stream protocol that reports the peer's end of file or reset at once, whatever the stream's reader awaits."""
+    """A stream protocol that reports the peer's end of file or reset at once, even while nothing reads the stream."""
 
     def __init__(self, on_connected: Callable[[asyncio.StreamReader, asyncio.StreamWriter], None], limit: int) -> None:
         super().__init__(asyncio.StreamReader(limit=limit), on_connected)
         self.on_disconnect: Callable[[], None] = lambda: None
-        self.consume: Callable[[bytes], bool] | None = None  # returns whether it has dealt with what was received
+        # Handles received data before the stream's reader does; returns True if the reader must not get the data.
+        self.consume: Callable[[bytes], bool] | None = None
 
     def data_received(self, data: bytes) -> None:
-        """Hand data to the stream's reader, unless they are dealt with already."""
+        """Pass received data to the stream's reader unless the consume callback has handled it."""
         if self.consume is None or not self.consume(data):
             super().data_received(data)
 
     def eof_received(self) -> bool | None:
-        """Handle an end of file; return whether the transport stays open."""
+        """Handle the peer's end of file; return whether the transport stays open."""
         stays_open = super().eof_received()
         self.on_disconnect()
         return stays_open
--- a/starlingthread/net/timer.py
+++ b/starlingthread/net/timer.py
@@ -1,4 +1,4 @@
-"""A timer that an actor restarts again and again."""
+"""A restartable one-shot timer for actors."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Timer:
-    """One callback with at most one deadline at a time."""
+    """One callback with at most one pending deadline."""
 
     __slots__ = ("_callback", "_deadline", "_deadlines")
 
@@ -17,12 +17,12 @@
         self._callback = callback
         self._deadline: Deadline | None = None
 
-    def restart(self, at: float) -> None:
-        """Call back at that time (ms of the router's clock) and no longer at an earlier set one."""
+    def restart(self, due: float) -> None:
+        """Replace the pending deadline, if any, by one at this time of the router's clock (ms)."""
         self.cancel()
-        self._deadline = self._deadlines.set(at, self._callback)
+        self._deadline = self._deadlines.set(due, self._callback)
 
     def cancel(self) -> None:
-        """Do not call back, if a call is due at all."""
+        """Cancel the pending deadline, if any."""
         self._deadlines.clear(self._deadline)
         self._deadline = None
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and watches over real sockets, with each interleaving forced by a scripted discovery."""
+"""Endpoint lists and watches over real sockets; a scripted discovery server forces each interleaving."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def accept_watch(harness: RouterHarness) -> Peer:
-    """Accept a watch call and send the response's header."""
+    """Accept a watch call and send the head of its response."""
     peer = await harness.discovery.accept()
     assert (await peer.until(b"\r\n\r\n")).startswith(f"GET {LIST_PATH}?watch=1".encode())
     await peer.send(WATCHED)
@@ -36,12 +36,12 @@
 
 
 def start_watch(harness: RouterHarness) -> None:
-    """Have the router watch for changes at once, not at its random moment."""
+    """Make the router watch for changes at once instead of at a random time."""
     harness.program.actors.discovery.watch(True)
 
 
 async def open_watch(harness: RouterHarness) -> Peer:
-    """Have the router watch, accept the call and send a heartbeat on it."""
+    """Make the router watch for changes, accept the call and send a heartbeat on it."""
     start_watch(harness)
     watch = await accept_watch(harness)
     await watch.send(chunk(b"\n"))
@@ -54,9 +54,9 @@
 def test_pushed_lists_are_watched_before_clients_are_accepted_without_the_modules_request(
     tmp_path: Path,
 ) -> None:
-    """The router must learn of a draining server that the agent lists from the start; once, no one watched."""
+    """Guards against pushed lists that nobody watches: a server listed as draining from the start would be missed."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as harness:
             watch = await accept_watch(harness)
             assert not harness.program.is_serving
@@ -65,13 +65,13 @@
             await until(lambda: harness.program.is_serving)
             assert server_states(harness) == {"s-1": ServerState.DRAINING, "s-2": ServerState.READY}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_pushed_watch_that_ends_is_reopened_within_the_drain_grace(tmp_path: Path) -> None:
-    """The drain grace runs whether or not a watch is open: a drain may begin just as a watch ends."""
+    """The grace period of a drain elapses whether or not a watch is open, and a drain may begin as a watch ends."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as harness:
             watch = await accept_watch(harness)
             await watch.send(chunk(listing(2, *harness.entries()) + b"\n"))
@@ -92,20 +92,20 @@
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             assert len(backoffs) == 1 and backoffs[0] < 50.0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_process_whose_agent_is_silent_serves_from_the_cached_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The router must start while discovery is down: nine in ten must be ready within 10 s."""
+    """Routers must start while discovery is down: 9 of 10 must be ready within 10 s."""
     monkeypatch.setattr("starlingthread.router_process.process.DISCOVERY_TIMEOUT_S", 0.01)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, settings__discovery="automatic") as harness:
             assert harness.program.control.ready()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 # Framing of lists
@@ -114,9 +114,9 @@
 @pytest.mark.parametrize("indent", [None, 1, 4])
 @pytest.mark.parametrize("end", [b"\n", b"\r\n", b""])
 def test_a_list_takes_effect_however_it_is_formatted_and_split(tmp_path: Path, indent: int | None, end: bytes) -> None:
-    """It may have many lines, and the last one may have no line end."""
+    """A list may span many lines, and its last line may lack a line end."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
             watch = await accept_watch(harness)
@@ -129,19 +129,19 @@
             await until(lambda: server_states(harness)["s-1"] == ServerState.READY)
             assert harness.counters["discovery.failures"] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_complete_lists_before_a_reset_take_effect_and_a_partial_one_does_not(tmp_path: Path) -> None:
-    """A connection that is reset in the middle of a list loses that list alone."""
+    """A connection reset in the middle of a list discards only that list."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
             watch = await harness.discovery.accept()
             await watch.until(b"\r\n\r\n")
-            first, second = ({**e, "status": "terminating"} for e in harness.entries())
-            await watch.send(b"HTTP/1.1 200 OK\r\n\r\n")  # no length: it ends with the connection
+            first, second = ({**server, "status": "terminating"} for server in harness.entries())
+            await watch.send(b"HTTP/1.1 200 OK\r\n\r\n")  # without a length, so the body ends with the connection
             await watch.send(listing(2, first, full=False) + listing(3, second, full=False)[:-9])
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             watch.reset()
@@ -149,14 +149,14 @@
             await step()
             assert server_states(harness)["s-2"] == ServerState.READY
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("invalid", [b'{"index": "\n', b"nonsense\n", b'{"index": 1}}', b"[1]\n", b'"a"\n', b"{]}"])
 def test_an_invalid_list_ends_the_call_and_those_before_it_take_effect(tmp_path: Path, invalid: bytes) -> None:
-    """The router must not wait for the end of an object that never ends, with changes queued after it."""
+    """Guards against waiting for the end of an object that never ends while later changes are queued behind it."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
             watch = await accept_watch(harness)
@@ -166,26 +166,26 @@
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             await until(lambda: harness.counters["discovery.failures"] == 1)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_list_that_arrives_too_slowly_is_abandoned(tmp_path: Path) -> None:
-    """Bytes keep arriving, so that the silence timeout never ends the call."""
+    """Bytes keep arriving, so the idle timeout never ends the call."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             start_watch(harness)
             watch = await accept_watch(harness)
             await watch.send(chunk(b'{"index": 1,'))
             await step()
-            harness.router.clock._base += LIST_TIMEOUT_MS / 2  # no silence is that long
+            harness.router.clock._base += LIST_TIMEOUT_MS / 2  # shorter than the idle timeout
             await watch.send(chunk(b" "))
             await step()
             harness.router.clock._base += LIST_TIMEOUT_MS / 2 + 1.0
             await watch.send(chunk(b" "))
             await until(lambda: harness.counters["discovery.failures"] == 1)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 TEXT = st.text(st.characters(codec="utf-8"), max_size=6)
@@ -222,7 +222,7 @@
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.lists(st.binary(max_size=12) | st.sampled_from([b"{", b"}", b'"', b"\\", b"\n", b'{"a":1}']), max_size=12))
 def test_no_bytes_raise_anything_but_a_list_error(parts: list[bytes]) -> None:
-    """The splitter never buffers more than it was fed."""
+    """The splitter also never buffers more bytes than it received."""
     splitter = JsonObjectSplitter()
     try:
         for part in parts:
@@ -232,13 +232,13 @@
     assert len(splitter) <= len(b"".join(parts))
 
 
-# Silence on a watch
+# Idle timeout of a watch
 
 
 def test_a_silent_watch_is_reopened_within_the_time_left(tmp_path: Path) -> None:
-    """A change that it missed must be known to the router 6 s after the watch fell silent."""
+    """The router must receive a change that a silent watch missed within 6 s of the last byte."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             _watch = await open_watch(harness)
             await until(lambda: harness.counters["discovery.watches"] == 1)
@@ -247,19 +247,19 @@
             harness.router.mailbox.wake()
             await step()
             assert harness.counters["discovery.failures"] == 0
-            for _ in range(200):  # in small steps, as a check that is itself late does not count
+            for _ in range(200):  # in small steps, as a timeout that is handled late is not a failure
                 harness.router.clock._base += 1.0
                 harness.router.mailbox.wake()
                 await step(3)
             assert harness.counters["discovery.failures"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_silence_that_is_checked_too_late_is_no_failure(tmp_path: Path) -> None:
-    """After a stall of the process unread data is read before the watch is considered silent."""
+    """After a pause of the process, unread data must be read before the idle timeout ends the watch."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2) as harness:
             watch = await open_watch(harness)
             await step()
@@ -270,13 +270,13 @@
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             assert harness.counters["discovery.failures"] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_open_watch_is_not_opened_again(tmp_path: Path) -> None:
-    """After a failure of an older call the module may request a watch again."""
+    """The decision module may request a watch again after an older call has failed."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2) as harness:
             start_watch(harness)
             watch = await accept_watch(harness)
@@ -287,18 +287,18 @@
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             assert harness.counters["discovery.watches"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_bytes_of_the_old_watch_are_ignored_after_a_change_of_the_address(tmp_path: Path) -> None:
-    """They are already in the socket's buffer when the address changes."""
+    """The bytes are already in the socket's buffer when the address changes."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2) as harness:
             old = await open_watch(harness)
             await step()
             await old.send(chunk(listing(9, entry("s-1", "127.0.0.1:1", "terminating"), full=False)))
-            # The event loop has not read that yet.
+            # The event loop has not read these bytes yet.
             harness.program.actors.discovery.set_address(("127.0.0.1", harness.discovery.port))
             new = await accept_watch(harness)
             await new.send(chunk(listing(2, *harness.entries())))
@@ -307,4 +307,4 @@
             assert server_states(harness)["s-1"] == ServerState.READY and harness.program.actors.discovery.version == 2
             assert harness.counters["discovery.failures"] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_discovery_lists.py
+++ b/tests/test_discovery_lists.py
@@ -1,4 +1,4 @@
-"""Discovery: parsing of endpoint lists, a change of the address, and the ids of servers."""
+"""Discovery: parsing of endpoint lists, a change of the discovery address, and the assignment of server ids."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_a_list_is_parsed_and_unknown_zones_and_kinds_come_after_the_known() -> None:
-    """A zone or kind that the settings do not name has the next index."""
+    """A zone or kind that is not in the settings gets the index after the last one that is."""
     parser = EndpointListParser(("a", "b"), ("m1", "m2"))
     unusual = {**ENTRY, "name": "s-2", "zone": "x", "type": None, "status": "terminating"}
     listing = parser.parse({"index": 4, "snapshot": False, "endpoints": [unusual, ENTRY]})
@@ -48,14 +48,14 @@
     )
 )
 def test_any_json_is_parsed_or_raises_a_list_error(raw: object) -> None:
-    """No other exception may come of a list."""
+    """No list may raise any other exception."""
     for document in (raw, {"index": 1, "snapshot": True, "endpoints": [raw, {**ENTRY, "zone": raw}]}):
         with contextlib.suppress(EndpointListError):
             assert EndpointListParser(("a",), ("m1",)).parse(document).event.kind in EndpointListKind
 
 
 def test_ids_are_derived_from_the_name_and_collisions_are_resolved() -> None:
-    """Two routers have the same ids, in whatever order they met the names."""
+    """Two routers assign the same ids, in whatever order they receive the names."""
     names = [f"s-{n}" for n in range(300)]
     one, other = ServerIds(), ServerIds()
     assert [one.assign(name) for name in names] == [other.assign(name) for name in reversed(names)][::-1]
@@ -66,9 +66,9 @@
 
 
 def test_a_new_address_of_discovery_is_called_at_once_and_the_ended_watch_is_no_failure() -> None:
-    """On a reload the router must learn soon what the new address sends."""
+    """After a reload the router must get the lists of the new address soon, without a failure counted."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         harness = RouterHarness()
         calls = []
         discovery = DiscoveryActor(harness.router, EndpointListParser((), ()), ("127.0.0.1", 1), TaskSupervisor())
@@ -95,11 +95,11 @@
         assert not harness.router.mailbox.take()
         await discovery.supervisor.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_removed_names_are_released_and_have_the_same_id_when_they_return() -> None:
-    """The ids of servers that are no longer listed do not accumulate."""
+    """Guards against unbounded memory for the ids of servers that are no longer listed."""
     ids = ServerIds()
     first, second = ids.assign("s-1"), ids.assign("s-2")
     ids.retain({second})
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The management interface on hand-fed streams, and the telemetry against any order of events."""
+"""The management interface on in-memory streams, and the telemetry after any sequence of events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from starlingthread.core.task_supervisor import TaskSupervisor
 from starlingthread.core.telemetry import FinalStatus
 from starlingthread.events import AttemptResult
-from starlingthread.net.management import MAX_HEAD, REQUEST_TIMEOUT_MS, ManagementServer
+from starlingthread.net.management import MAX_HEAD_BYTES, REQUEST_TIMEOUT_MS, ManagementServer
 
 from .balancer_driver import THROUGH
 from .fakes import Writer
@@ -44,7 +44,7 @@
 
 
 class Caller(Writer):
-    """A caller's end, with what a StreamWriter has for one."""
+    """The caller's end of a connection: a fake StreamWriter for the server, and the reader that the test feeds."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,11 +55,11 @@
         self.transport.sent += data
 
     def write_eof(self) -> None:
-        self.reader.feed_eof()  # the other side closes in turn
+        self.reader.feed_eof()  # the caller closes its end in turn
 
 
 class ManagementFixture:
-    """A management server whose connections are hand-fed."""
+    """A management server whose connections get their input from the test."""
 
     def __init__(self, max_connections: int = 4) -> None:
         self.router_harness, self.control, self.supervisor = RouterHarness(), FakeRouter(), TaskSupervisor()
@@ -82,7 +82,7 @@
 def send_request(request: bytes, control: FakeRouter | None = None) -> tuple[int, Any]:
     """Send one request; return the status and the decoded body of the response."""
 
-    async def play() -> bytes:
+    async def scenario() -> bytes:
         fixture = ManagementFixture()
         fixture.management.control = control or fixture.control
         caller = fixture.connect(request)
@@ -91,32 +91,32 @@
         await fixture.supervisor.stop()
         return bytes(caller.transport.sent)
 
-    head, _, body = asyncio.run(play()).partition(b"\r\n\r\n")
+    head, _, body = asyncio.run(scenario()).partition(b"\r\n\r\n")
     assert b"Connection: close" in head and f"Content-Length: {len(body)}".encode() in head
     return int(head.split()[1]), json.loads(body)
 
 
-def line(method: str, target: str) -> bytes:
+def request_head(method: str, target: str) -> bytes:
     return f"{method} {target} HTTP/1.1\r\nHost: a\r\n\r\n".encode()
 
 
 @pytest.mark.parametrize(
     ("request_bytes", "status"),
     [
-        (line("GET", "/api/ready"), 200),
-        (line("GET", "/api/telemetry"), 200),
-        (line("POST", "/api/exclude?member=s-1"), 200),
-        (line("POST", "/api/include?member=s%2D1"), 200),
-        (line("POST", "/api/exclude?member=s-2"), 404),
-        (line("POST", "/api/exclude"), 400),
-        (line("POST", "/api/exclude?member="), 400),
-        (line("POST", "/api/exclude?member=s-1&member=s-1"), 400),
-        (line("GET", "/api/exclude?member=s-1"), 405),
-        (line("POST", "/api/ready"), 405),
-        (line("GET", "/"), 404),
+        (request_head("GET", "/api/ready"), 200),
+        (request_head("GET", "/api/telemetry"), 200),
+        (request_head("POST", "/api/exclude?member=s-1"), 200),
+        (request_head("POST", "/api/include?member=s%2D1"), 200),
+        (request_head("POST", "/api/exclude?member=s-2"), 404),
+        (request_head("POST", "/api/exclude"), 400),
+        (request_head("POST", "/api/exclude?member="), 400),
+        (request_head("POST", "/api/exclude?member=s-1&member=s-1"), 400),
+        (request_head("GET", "/api/exclude?member=s-1"), 405),
+        (request_head("POST", "/api/ready"), 405),
+        (request_head("GET", "/"), 404),
         (b"what is this\r\n\r\n", 400),
         (b"\x00\xff\r\n\r\n", 400),
-        (b"GET /" + b"a" * (2 * MAX_HEAD), 431),
+        (b"GET /" + b"a" * (2 * MAX_HEAD_BYTES), 431),
         (b"POST /api/include?member=s-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", 200),
         (b"POST /api/include?member=s-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"a" * 65537, 413),
     ],
@@ -128,15 +128,15 @@
 def test_a_router_that_is_not_ready_responds_503() -> None:
     control = FakeRouter()
     control.is_ready = False
-    assert send_request(line("GET", "/api/ready"), control) == (503, {"ready": False})
+    assert send_request(request_head("GET", "/api/ready"), control) == (503, {"ready": False})
 
 
 def test_incomplete_requests_are_evicted_at_the_limit_and_closed_at_the_timeout() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         fixture = ManagementFixture(max_connections=2)
         incomplete = [fixture.connect(b"GET /api") for _ in range(2)]
         await fixture.settle()
-        caller = fixture.connect(line("GET", "/api/telemetry"))
+        caller = fixture.connect(request_head("GET", "/api/telemetry"))
         await fixture.settle()
         assert caller.transport.sent.startswith(b"HTTP/1.1 200 ")
         assert incomplete[0].transport.closed and not incomplete[1].transport.closed
@@ -144,14 +144,14 @@
         assert incomplete[1].transport.closed
         await fixture.supervisor.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @settings(max_examples=60, deadline=None)
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["submit", "reject", "disconnect", "ok", "error", "full", "pass"]),
+            st.sampled_from(["submit", "reject", "disconnect", "ok", "error", "full", "advance"]),
             st.integers(0, 2),
             st.integers(0, 5),
         ),
@@ -162,27 +162,31 @@
     harness = RouterHarness()
     requests: list[PendingRequest] = []
     results = {"ok": AttemptResult.OK, "error": AttemptResult.ERROR, "full": AttemptResult.FULL}
-    for step, cls, which in steps:
+    for step, class_index, parameter in steps:
         now = harness.clock.time
         if step in ("submit", "reject"):
             request = PendingRequest(
-                harness, THROUGH.classes[cls], which + 1, now + 900.0, b"p", now, is_write=cls != 0
+                harness, THROUGH.classes[class_index], parameter + 1, now + 900.0, b"p", now, is_write=class_index != 0
             )
             requests.append(request)
             harness.router.submit(request) if step == "submit" else harness.router.reject(request)
             harness.router.turn()
         elif step == "disconnect" and requests:
-            harness.deliver(ClientDisconnected(requests[which % len(requests)]))
-        elif step == "pass":
-            harness.advance_time(200.0 * which)
+            harness.deliver(ClientDisconnected(requests[parameter % len(requests)]))
+        elif step == "advance":
+            harness.advance_time(200.0 * parameter)
         elif harness.started and step in results:
-            harness.deliver(AttemptEnded(harness.started[which % len(harness.started)], results[step], payload=b""))
+            harness.deliver(AttemptEnded(harness.started[parameter % len(harness.started)], results[step], payload=b""))
         telemetry = harness.router.telemetry
-        ends = {
-            cls.name: {end: telemetry.finished_count(cls.name, end) for end in FinalStatus} for cls in THROUGH.classes
+        finished = {
+            request_class.name: {end: telemetry.finished_count(request_class.name, end) for end in FinalStatus}
+            for request_class in THROUGH.classes
         }
-        assert sum(map(sum, (e.values() for e in ends.values()))) + telemetry.inflight == len(requests)
-        answered = sum(e[FinalStatus.SUCCESS] + e[FinalStatus.BUSY] + e[FinalStatus.FAILURE] for e in ends.values())
+        assert sum(map(sum, (counts.values() for counts in finished.values()))) + telemetry.inflight == len(requests)
+        answered = sum(
+            counts[FinalStatus.SUCCESS] + counts[FinalStatus.BUSY] + counts[FinalStatus.FAILURE]
+            for counts in finished.values()
+        )
         assert answered == len(harness.answers)
     harness.advance_time(2000.0)
     assert harness.router.telemetry.inflight == 0
