--- a/starlingthread/net/discovery/actor.py
+++ b/starlingthread/net/discovery/actor.py
@@ -72,7 +72,7 @@
         self.deadlines = router.deadlines
         self.mailbox: Mailbox[Message] = Mailbox(MAX_MAILBOX_MESSAGES)
         self.version = 0  # version of the router's list; 0 makes the next call fetch the whole list
-        self.watch_wanted = False  # whether the router wants to be notified of changes
+        self.watch_wanted = False  # True while the router wants to be notified of changes
         self._listed_ids: set[int] = set()  # ids of the servers in the router's list
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_tasks: set[asyncio.Task[None]] = set()
--- a/starlingthread/net/discovery/call.py
+++ b/starlingthread/net/discovery/call.py
@@ -15,7 +15,7 @@
 from .errors import DiscoveryCallError
 from .json_stream import JsonObjectSplitter
 
-CONNECT_TIMEOUT_MS = 1000.0  # a host that is down does not even reject a connection
+CONNECT_TIMEOUT_MS = 1000.0  # time limit for connecting, as a host that is down does not answer at all
 IDLE_TIMEOUT_MS = 3000.0  # a call fails if discovery sends no byte for this long
 # Replaces the general idle timeout once a watch has received data: discovery sends at least every 2 s on a watch.
 WATCH_IDLE_TIMEOUT_MS = 2500.0
@@ -33,7 +33,7 @@
         self._deadlines = deadlines
         self._task = task
         self._deadline: Deadline | None = None
-        self.expired = False  # whether the task was cancelled by this timer
+        self.expired = False  # True if this timer has cancelled the task
 
     def restart(self, timeout_ms: float) -> None:
         """Start the timeout again from now."""
--- a/starlingthread/net/failover.py
+++ b/starlingthread/net/failover.py
@@ -13,7 +13,7 @@
 from .peers import PeerActor
 from .timer import Timer
 
-if TYPE_CHECKING:  # imported at run time only when failover is enabled, to avoid its cost otherwise
+if TYPE_CHECKING:  # these modules are imported at run time only when failover is enabled, to avoid their cost otherwise
     from ..failover.plan import PlanChange
     from ..failover.zones import ZoneFailover
     from ..membership.datagram import RejectReason
--- a/starlingthread/net/management.py
+++ b/starlingthread/net/management.py
@@ -24,7 +24,7 @@
 READ_SIZE_BYTES = 4096
 MAX_HEAD_BYTES = 8192
 MAX_BODY_BYTES = 65536  # the body of a request is read and ignored
-REQUEST_TIMEOUT_MS = 6000.0  # from accepting the connection to the end of the request
+REQUEST_TIMEOUT_MS = 6000.0  # time limit from accepting a connection to the end of its request
 RESPONSE_TIMEOUT_MS = 500.0  # time limit for sending the response
 # After the response, input is read and discarded for up to this long, so that a caller that is still sending receives
 # the response before the connection is reset.
--- a/starlingthread/net/members.py
+++ b/starlingthread/net/members.py
@@ -12,11 +12,11 @@
 from .peers import PeerActor
 from .timer import Timer
 
-if TYPE_CHECKING:  # imported at run time only when membership is enabled, to avoid its cost otherwise
+if TYPE_CHECKING:  # the module is imported at run time only when membership is enabled, to avoid its cost otherwise
     from ..membership.swim import Membership
 
 VERSION = 0xA1  # first byte of a membership datagram; equals VERSION in membership/codec.py
-LOG_EVENTS = ("member-up", "member-suspected", "member-down")  # indexed by membership.messages.MemberState
+LOG_EVENTS = ("member-up", "member-suspected", "member-down")  # event names, indexed by membership.messages.MemberState
 
 
 class MembershipActor:
@@ -27,7 +27,7 @@
         self.peers = peers
         self.router_index = router_index
         self.membership: Membership | None = None
-        self.on_change: Callable[[], None] = lambda: None  # called after a member's state has changed
+        self.on_change: Callable[[], None] = lambda: None  # callback after a member's state has changed
         self._options = MembershipOptions()
         self._timer = Timer(router.deadlines, self._tick)
 
--- a/starlingthread/net/peer_keys.py
+++ b/starlingthread/net/peer_keys.py
@@ -15,7 +15,7 @@
 
 
 def read_peer_keys(options: MembershipOptions) -> tuple[bytes, ...]:
-    """Return the keys, that of outgoing datagrams first; one empty key if no file is configured. Raises PeerKeyError."""
+    """Return the keys, the one for sending first; one empty key if no file is configured. Raises PeerKeyError."""
     file_names = [name for name in (options.key_file, options.old_key_file) if name]
     return tuple(_read_key(name) for name in file_names) or (b"",)
 
--- a/starlingthread/net/peers.py
+++ b/starlingthread/net/peers.py
@@ -32,7 +32,7 @@
         self.router_index = router_index
         self.set_addresses(addresses, broadcast_address)
         self.transport: asyncio.DatagramTransport | None = None
-        self.socket: socket.socket | None = None  # stays open until close(), also while receiving is paused
+        self.socket: socket.socket | None = None  # the socket stays open until close(), also while receiving is paused
         self.handlers: dict[int, Callable[[int, bytes], None]] = {}  # handlers by the first byte of a message
 
     def set_addresses(self, addresses: list[tuple[str, int]], broadcast_address: tuple[str, int] | None) -> None:
