--- a/starlingthread/config.py
+++ b/starlingthread/config.py
@@ -15,8 +15,8 @@
 JsonShape: TypeAlias = dict[str, str]  # the type of each value of a JSON object, by its path
 
 DEFAULT_SOCKETS = 256
-DEFAULT_MEMORY = 32  # MB
-DEFAULT_IDLE_TIMEOUT = 15000.0  # ms
+DEFAULT_MEMORY_MB = 32  # MB
+DEFAULT_IDLE_TIMEOUT_MS = 15000.0  # ms
 MIN_CORES = 0.05
 CACHED_LIST_KEY = "known"
 TYPE_NAMES = {
@@ -131,7 +131,7 @@
         discovery=parse_address(raw["discovery"]),
         seed=int(raw.get("seed", "0"), 16),
         sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
-        memory=float(limits.get("memory_mb", DEFAULT_MEMORY)),
+        memory=float(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
         cores=max(MIN_CORES, float(limits.get("cores", 1.0))),
         management=_optional_address(raw.get("management") or os.environ.get("LB_MANAGEMENT")),
         peer_listen=_optional_address(raw.get("peer_listen")),
@@ -141,7 +141,7 @@
         settings=settings_from_json(settings),
         zones=tuple(settings.get("zones", ())),
         server_kinds=tuple(settings.get("kinds", ())),
-        idle_timeout=float(settings["permissions"].get("idleCloseMs", DEFAULT_IDLE_TIMEOUT)),
+        idle_timeout=float(settings["permissions"].get("idleCloseMs", DEFAULT_IDLE_TIMEOUT_MS)),
         shape=json_shape(raw),
     )
 
--- a/starlingthread/failover/evidence.py
+++ b/starlingthread/failover/evidence.py
@@ -13,7 +13,7 @@
 MIN_SILENT_SERVERS = 2  # of a zone that has as many; a single one may have failed by itself
 MIN_SILENT_SHARE = 0.25  # of the zone's servers, if that is more
 OVERDUE_FACTOR = 4.0  # times the typical response time after which a pending request counts as unanswered
-MIN_OVERDUE = 100.0  # ms; a shorter pause may be one of the network or of this process
+MIN_OVERDUE_MS = 100.0  # ms; a shorter pause may be one of the network or of this process
 RESPONSE_TIME_GAIN = 0.05  # weight of one response in the typical response time
 
 
@@ -61,7 +61,7 @@
         """Count the pending requests that are overdue as unanswered."""
         if self.typical_response_time <= 0:
             return
-        overdue_before = now - max(MIN_OVERDUE, OVERDUE_FACTOR * self.typical_response_time)
+        overdue_before = now - max(MIN_OVERDUE_MS, OVERDUE_FACTOR * self.typical_response_time)
         for server, sent_at in [*self.pending_since.items()]:
             if sent_at < overdue_before:
                 self.on_no_response(server, sent_at)
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -17,8 +17,8 @@
 from ..balance.rendezvous import MASK, mix
 from .recovery import ZoneState
 from .votes import (
-    MAX_SEQUENCE_AHEAD,
-    VOTE_LIFETIME,
+    MAX_SEQUENCE_AHEAD_MS,
+    VOTE_LIFETIME_MS,
     ReceivedVote,
     VoteTable,
     ZoneStatus,
@@ -27,8 +27,10 @@
 )
 
 MIN_LOST_VOTES = 2
-SETTLE_TIME = 500.0  # ms for which others may vote against a loss, unless the majority of all witnesses votes for it
-REPEAT_INTERVAL = VOTE_LIFETIME / 3  # ms between votes on a contested zone: two datagrams in a row may be lost
+SETTLE_TIME_MS = 500.0  # ms for which others may vote against a loss, unless the majority of all witnesses votes for it
+VOTE_REPEAT_INTERVAL_MS = (
+    VOTE_LIFETIME_MS / 3
+)  # ms between votes on a contested zone: two datagrams in a row may be lost
 
 
 class PlanChange(NamedTuple):
@@ -97,7 +99,11 @@
             self.votes.remove(zone, self.router_index)
             return None
         previous = self.votes.get(zone, self.router_index)
-        if previous is not None and previous.vote.status == status and now - previous.received_at < REPEAT_INTERVAL:
+        if (
+            previous is not None
+            and previous.vote.status == status
+            and now - previous.received_at < VOTE_REPEAT_INTERVAL_MS
+        ):
             return None
         if status == ZoneStatus.HEALTHY and not self.is_contested(now, zone):
             return None
@@ -109,7 +115,7 @@
 
     def receive_vote(self, now: float, vote: ZoneVote) -> bool:
         """Merge a vote of another router; tell whether it was newer than the last one."""
-        if vote.witness == self.router_index or vote.sequence > now + MAX_SEQUENCE_AHEAD:
+        if vote.witness == self.router_index or vote.sequence > now + MAX_SEQUENCE_AHEAD_MS:
             return False
         previous = self.votes.get(vote.zone, vote.witness)
         if previous is not None and previous.vote.sequence >= vote.sequence:
@@ -124,7 +130,7 @@
         lost = lost_votes >= MIN_LOST_VOTES and 2 * lost_votes > votes
         is_certain = 2 * lost_votes > len(self.witnesses(zone))
         if lost and not self.is_lost(zone) and not is_certain:
-            lost = now - self.lost_since(now, zone) >= SETTLE_TIME
+            lost = now - self.lost_since(now, zone) >= SETTLE_TIME_MS
         if lost == self.is_lost(zone):
             return
         self.zones.setdefault(zone, ZoneState()).set_lost(now, lost)
--- a/starlingthread/failover/votes.py
+++ b/starlingthread/failover/votes.py
@@ -14,8 +14,8 @@
 from ..balance.rendezvous import mix
 
 WITNESS_COUNT = 15  # of a zone; odd, so that two halves do not tie
-VOTE_LIFETIME = 3000.0  # ms
-MAX_SEQUENCE_AHEAD = 3600e3  # ms ahead of our clock: a sequence number is the Unix time, or the last one plus one
+VOTE_LIFETIME_MS = 3000.0  # ms
+MAX_SEQUENCE_AHEAD_MS = 3600e3  # ms ahead of our clock: a sequence number is the Unix time, or the last one plus one
 
 
 class ZoneStatus(IntEnum):
@@ -67,7 +67,11 @@
         """Replace the vote of a witness on a zone."""
         previous = self._votes.get((vote.zone, vote.witness))
         status_since = now
-        if previous is not None and previous.vote.status == vote.status and now - previous.received_at <= VOTE_LIFETIME:
+        if (
+            previous is not None
+            and previous.vote.status == vote.status
+            and now - previous.received_at <= VOTE_LIFETIME_MS
+        ):
             status_since = previous.status_since
         self._votes[vote.zone, vote.witness] = ReceivedVote(vote, now, status_since)
 
@@ -84,5 +88,5 @@
         return [
             received
             for (voted_zone, witness), received in self._votes.items()
-            if voted_zone == zone and witness in witnesses and now - received.received_at < VOTE_LIFETIME
+            if voted_zone == zone and witness in witnesses and now - received.received_at < VOTE_LIFETIME_MS
         ]
--- a/starlingthread/failover/zones.py
+++ b/starlingthread/failover/zones.py
@@ -16,9 +16,9 @@
 from .topology import Distance, Topology
 from .votes import ZoneStatus, ZoneVote
 
-FIRST_TRIAL_DELAY = 250.0  # ms between trial requests to a closed zone; doubled with each that gets no response
-MAX_TRIAL_DELAY = 4000.0  # ms
-RESPONSE_LIFETIME = 3000.0  # ms for which a response shows that a zone is healthy
+FIRST_TRIAL_DELAY_MS = 250.0  # ms between trial requests to a closed zone; doubled with each that gets no response
+MAX_TRIAL_DELAY_MS = 4000.0  # ms
+RESPONSE_LIFETIME_MS = 3000.0  # ms for which a response shows that a zone is healthy
 NO_RESPONSE = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
 NO_EVIDENCE = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
 
@@ -89,8 +89,8 @@
         """Record a request to a server; if its zone is closed, this is a trial and the next one waits longer."""
         self._evidence_of(zone).on_sent(now, server)
         if zone in self._backoffs or self.plan.is_lost(zone):
-            delay = self._backoffs[zone].delay if zone in self._backoffs else FIRST_TRIAL_DELAY
-            self._backoffs[zone] = TrialBackoff(now + delay, min(MAX_TRIAL_DELAY, 2 * delay))
+            delay = self._backoffs[zone].delay if zone in self._backoffs else FIRST_TRIAL_DELAY_MS
+            self._backoffs[zone] = TrialBackoff(now + delay, min(MAX_TRIAL_DELAY_MS, 2 * delay))
 
     def on_outcome(self, now: float, zone: int, server: int, result: AttemptResult, sent_at: float) -> None:
         """Record how an attempt that was sent at that time has ended."""
@@ -121,7 +121,7 @@
 
     def _avoid_if_lost(self, now: float, zone: int) -> None:
         if self._is_observed_lost(zone):
-            self._backoffs.setdefault(zone, TrialBackoff(now + FIRST_TRIAL_DELAY, FIRST_TRIAL_DELAY))
+            self._backoffs.setdefault(zone, TrialBackoff(now + FIRST_TRIAL_DELAY_MS, FIRST_TRIAL_DELAY_MS))
             self._vote(now, zone)
 
     # votes
@@ -159,7 +159,7 @@
         if self._is_observed_lost(zone):
             return ZoneStatus.LOST
         # A response from before the first vote for a loss says nothing against it.
-        outdated = max(now - RESPONSE_LIFETIME, self.plan.lost_since(now, zone))
+        outdated = max(now - RESPONSE_LIFETIME_MS, self.plan.lost_since(now, zone))
         return ZoneStatus.HEALTHY if self._evidence_of(zone).last_response_at > outdated else None
 
     def _vote(self, now: float, zone: int) -> None:
@@ -169,4 +169,4 @@
         was_lost = self.plan.is_lost(zone)
         self.plan.update_zone(now, zone)
         if was_lost and not self.plan.is_lost(zone) and zone in self._backoffs:
-            self._backoffs[zone] = TrialBackoff(now, FIRST_TRIAL_DELAY)  # others reach it again: try at once
+            self._backoffs[zone] = TrialBackoff(now, FIRST_TRIAL_DELAY_MS)  # others reach it again: try at once
--- a/starlingthread/logs.py
+++ b/starlingthread/logs.py
@@ -31,7 +31,7 @@
     import structlog
 
 LOGGER_NAME = "starlingthread"
-MAX_QUEUED = 1000  # lines; further ones are dropped
+MAX_QUEUED_LINES = 1000  # lines; further ones are dropped
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S.%f"
 
 structlog.configure(
@@ -104,7 +104,7 @@
     """Owns the writing thread. Format and level may change while it runs."""
 
     def __init__(self, options: LogOptions, stream: TextIO = sys.stderr) -> None:
-        records: queue.Queue[object] = queue.Queue(MAX_QUEUED)
+        records: queue.Queue[object] = queue.Queue(MAX_QUEUED_LINES)
         self._stream_handler = logging.StreamHandler(stream)
         self._listener = QueueListener(records, self._stream_handler)
         self._logger = logging.getLogger(LOGGER_NAME)
--- a/starlingthread/membership/members.py
+++ b/starlingthread/membership/members.py
@@ -7,7 +7,7 @@
 
 from .messages import MemberState, MemberUpdate
 
-DEAD_PROBE_INTERVAL = 8  # probe periods; lets the halves of a healed partition find each other
+DEAD_PROBE_INTERVAL_PERIODS = 8  # probe periods; lets the halves of a healed partition find each other
 
 
 class StateChange(NamedTuple):
@@ -52,7 +52,7 @@
         self._period += 1
         others = [number for number in range(len(records)) if number != self._own_id]
         dead = [number for number in others if records[number].state == MemberState.DEAD]
-        if dead and self._period % DEAD_PROBE_INTERVAL == 0:
+        if dead and self._period % DEAD_PROBE_INTERVAL_PERIODS == 0:
             return self._rng.choice(dead)
         while self._round:
             target = self._round.pop()
--- a/starlingthread/membership/swim.py
+++ b/starlingthread/membership/swim.py
@@ -27,12 +27,12 @@
 from .messages import MAX_INCARNATION, MemberState, MemberUpdate, Message, MessageKind
 from .update_queue import UpdateQueue
 
-DEFAULT_PERIOD = 1000.0  # ms between two probes of one member
-DIRECT_ACK_SHARE = 0.3  # of the period, for a direct ack; the rest is for the indirect ones
+DEFAULT_PERIOD_MS = 1000.0  # ms between two probes of one member
+DIRECT_ACK_PERIOD_SHARE = 0.3  # of the period, for a direct ack; the rest is for the indirect ones
 INDIRECT_PROBES = 3  # members that receive a ping request, or the notice that this one leaves
-SUSPICION_FACTOR = 4.0  # suspicion time-out in periods, times the log10 of the members
-STALL_SHARE = 0.5  # of a period; a tick that is later by more shows that this process stalled
-MAX_INCARNATION_AHEAD = 3600.0  # s ahead of our clock: an incarnation starts as the Unix time and rises by one
+SUSPICION_TIMEOUT_FACTOR = 4.0  # suspicion time-out in periods, times the log10 of the members
+STALL_PERIOD_SHARE = 0.5  # of a period; a tick that is later by more shows that this process stalled
+MAX_INCARNATION_AHEAD_S = 3600.0  # s ahead of our clock: an incarnation starts as the Unix time and rises by one
 MAX_RELAYED_PINGS = 64  # pings on behalf of others whose acks are awaited
 
 
@@ -66,7 +66,7 @@
         keys: tuple[bytes, ...],
         seed: int,
         send: Callable[[int, bytes], None],
-        period: float = DEFAULT_PERIOD,
+        period: float = DEFAULT_PERIOD_MS,
     ) -> None:
         """keys: the first one seals, all of them open; send: called with a member and a datagram; period: ms."""
         self.own_id = own_id
@@ -119,7 +119,7 @@
         """Handle the time-out of the current probe and start the next one, if next_tick_at has come."""
         if now < self.next_tick_at:
             return
-        if now - self.next_tick_at > STALL_SHARE * self.period:
+        if now - self.next_tick_at > STALL_PERIOD_SHARE * self.period:
             self._on_stall(now)
         probe = self._probe
         if probe is not None:
@@ -146,7 +146,7 @@
         self._sequence += 1
         self._probe = Probe(target, self._sequence, now)
         self._send(target, MessageKind.PING, self._sequence)
-        self.next_tick_at = now + DIRECT_ACK_SHARE * self.period * self.local_health.multiplier
+        self.next_tick_at = now + DIRECT_ACK_PERIOD_SHARE * self.period * self.local_health.multiplier
 
     def _send_ping_requests(self, probe: Probe) -> None:
         candidates = [
@@ -172,7 +172,7 @@
             self._merge(now, MemberUpdate(probe.target, MemberState.SUSPECT, record.incarnation))
 
     def _expire_suspicions(self, now: float) -> None:
-        periods = SUSPICION_FACTOR * max(1.0, math.log10(self.member_count))
+        periods = SUSPICION_TIMEOUT_FACTOR * max(1.0, math.log10(self.member_count))
         timeout = periods * self.period * self.local_health.multiplier
         for number, record in enumerate(self.records):
             if record.state == MemberState.SUSPECT and now - record.state_since > timeout:
@@ -190,7 +190,7 @@
             self.rejected[error.reason] += 1
             return
         for update in message.updates:
-            if update.incarnation > now / 1000.0 + MAX_INCARNATION_AHEAD:
+            if update.incarnation > now / 1000.0 + MAX_INCARNATION_AHEAD_S:
                 self.rejected[RejectReason.INCARNATION] += 1
             else:
                 self._merge(now, update)
--- a/starlingthread/router_process/garbage.py
+++ b/starlingthread/router_process/garbage.py
@@ -14,7 +14,7 @@
 MAX_ACCEPTED_CONNECTIONS = 500  # since the last full collection, as each leaves some kilobytes behind
 YOUNG_THRESHOLD = 5000  # net allocations between collections of the youngest generation
 MIDDLE_THRESHOLD = 20  # collections of the youngest generation between those of the middle one
-NEVER = 1 << 30  # keeps the interpreter from collecting the oldest generation by itself
+OLDEST_THRESHOLD = 1 << 30  # keeps the interpreter from collecting the oldest generation by itself
 
 
 class GarbageCollector:
@@ -36,7 +36,7 @@
         """Exempt all objects that exist by now from collections, and begin to collect."""
         gc.collect()
         gc.freeze()
-        gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, NEVER)
+        gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLDEST_THRESHOLD)
         self._collect()
         self._check()
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -12,12 +12,12 @@
 from starlingthread import options
 from starlingthread.events import AttemptResult
 from starlingthread.failover.codec import MAX_VOTES, decode, encode
-from starlingthread.failover.evidence import MIN_OVERDUE, ZoneEvidence
-from starlingthread.failover.plan import SETTLE_TIME, FailoverPlan
-from starlingthread.failover.recovery import FIRST_HOLD, RAMP_STEP_TIME, RAMP_STEPS
+from starlingthread.failover.evidence import MIN_OVERDUE_MS, ZoneEvidence
+from starlingthread.failover.plan import SETTLE_TIME_MS, FailoverPlan
+from starlingthread.failover.recovery import FIRST_HOLD_MS, RAMP_STEP_TIME_MS, RAMP_STEPS
 from starlingthread.failover.topology import Topology, TopologyError
-from starlingthread.failover.votes import VOTE_LIFETIME, ZoneStatus, ZoneVote, choose_witnesses
-from starlingthread.failover.zones import FIRST_TRIAL_DELAY, MAX_TRIAL_DELAY, ZoneFailover
+from starlingthread.failover.votes import VOTE_LIFETIME_MS, ZoneStatus, ZoneVote, choose_witnesses
+from starlingthread.failover.zones import FIRST_TRIAL_DELAY_MS, MAX_TRIAL_DELAY_MS, ZoneFailover
 from starlingthread.membership.datagram import MAX_DATAGRAM_BYTES, DatagramError
 
 from .balancer_driver import THROUGH, BalancerDriver, members, sends
@@ -93,7 +93,7 @@
         for vote in votes:
             plan.receive_vote(NOW, vote)
         plan.update_zone(NOW, 1)
-        plan.update_zone(NOW + SETTLE_TIME, 1)
+        plan.update_zone(NOW + SETTLE_TIME_MS, 1)
         valid = sorted(received.vote for received in plan.valid_votes(NOW, 1))
         plans.append((plan.is_lost(1), valid))
     assert plans[0] == plans[1]
@@ -115,7 +115,7 @@
         newest: dict[int, int] = {}
         for vote in order:
             plan.receive_vote(NOW, vote)
-            plan.update_zone(NOW + SETTLE_TIME, 1)
+            plan.update_zone(NOW + SETTLE_TIME_MS, 1)
             newest[vote.witness] = max(newest.get(vote.witness, 0), vote.sequence)
             valid = {received.vote.witness: received.vote for received in plan.valid_votes(NOW, 1)}
             assert {witness: vote.sequence for witness, vote in valid.items()} == newest  # an older vote never returns
@@ -134,12 +134,12 @@
     assert fleet.sent_datagrams == 0  # no votes while all zones are healthy
     fleet.play(500.0, {1: set(range(40))})
     assert fleet.count_lost(1) == 40 and fleet.count_lost(0) == fleet.count_lost(2) == 0
-    trial_at = fleet.now + MAX_TRIAL_DELAY
+    trial_at = fleet.now + MAX_TRIAL_DELAY_MS
     trial_routers = [index for index, router in enumerate(fleet.routers) if router.is_open(trial_at, 1, 7)]
     assert sorted(trial_routers) == sorted(choose_witnesses(1, range(40)))
     fleet.play(4000.0, {1: set(range(40))})
     assert fleet.count_lost(1) == 40
-    fleet.play(MAX_TRIAL_DELAY + 500.0, {})
+    fleet.play(MAX_TRIAL_DELAY_MS + 500.0, {})
     assert fleet.count_lost(1) == 0
     shares = []
     for _ in range(60):
@@ -187,7 +187,7 @@
     stalled = fleet.routers[2]
     assert stalled.plan.zones[1].lost
     fleet.partitioned = {2}
-    fleet.now += VOTE_LIFETIME + 1.0
+    fleet.now += VOTE_LIFETIME_MS + 1.0
     stalled.tick(fleet.now)
     assert not stalled.plan.zones[1].lost  # the votes have expired
 
@@ -202,10 +202,10 @@
             for witness in (1, 2, 3):
                 plan.receive_vote(at + delay, ZoneVote(witness, 1, status, int(at + delay)))
             plan.update_zone(at + delay, 1)
-            plan.update_zone(at + delay + SETTLE_TIME, 1)
+            plan.update_zone(at + delay + SETTLE_TIME_MS, 1)
         hold_times.append(plan.zones[1].closed_until - at - 1000.0)
-    assert hold_times == [FIRST_HOLD, 2 * FIRST_HOLD, 4 * FIRST_HOLD, 8 * FIRST_HOLD]
-    assert plan.zones[1].open_share(at + 1000.0 + hold_times[-1] + RAMP_STEPS * RAMP_STEP_TIME) == 1.0
+    assert hold_times == [FIRST_HOLD_MS, 2 * FIRST_HOLD_MS, 4 * FIRST_HOLD_MS, 8 * FIRST_HOLD_MS]
+    assert plan.zones[1].open_share(at + 1000.0 + hold_times[-1] + RAMP_STEPS * RAMP_STEP_TIME_MS) == 1.0
 
 
 def test_if_all_zones_appear_lost_none_is_avoided() -> None:
@@ -221,9 +221,9 @@
     zones.drained = frozenset()
     zones.on_response(NOW + 1.0, 0, 1, 5.0)
     assert zones.is_open(NOW + 1.0, 0, 7) and not zones.is_open(NOW + 1.0, 1, 7)
-    assert zones.is_open(NOW + FIRST_TRIAL_DELAY, 1, 7)
-    zones.on_sent(NOW + FIRST_TRIAL_DELAY, 1, 11)
-    assert not zones.is_open(NOW + 2 * FIRST_TRIAL_DELAY - 1.0, 1, 7)
+    assert zones.is_open(NOW + FIRST_TRIAL_DELAY_MS, 1, 7)
+    zones.on_sent(NOW + FIRST_TRIAL_DELAY_MS, 1, 11)
+    assert not zones.is_open(NOW + 2 * FIRST_TRIAL_DELAY_MS - 1.0, 1, 7)
 
 
 def test_one_silent_server_or_an_old_request_is_no_lost_zone() -> None:
@@ -241,9 +241,9 @@
     assert not evidence.unanswered_since
     for server in (1, 2):
         evidence.on_sent(20.0, server)
-    evidence.expire_pending(20.0 + MIN_OVERDUE)
+    evidence.expire_pending(20.0 + MIN_OVERDUE_MS)
     assert not evidence.is_lost(4)
-    evidence.expire_pending(21.0 + MIN_OVERDUE)  # twenty times the response time: long before a time-out
+    evidence.expire_pending(21.0 + MIN_OVERDUE_MS)  # twenty times the response time: long before a time-out
     assert evidence.is_lost(4)
 
 
