--- a/starlingthread/failover/codec.py
+++ b/starlingthread/failover/codec.py
@@ -1,4 +1,4 @@
-"""The byte format of zone votes, in datagrams that are sealed with the membership's key.
+"""The byte format of zone votes, in datagrams that are authenticated with the membership key.
 
 Fields in network order: version 1 byte, reserved 1, sender 2, then up to 20 votes of 12 bytes each (zone 2, status 1,
 reserved 1, sequence number 8), then the tag of `membership/datagram.py`. All votes are the sender's own.
@@ -12,19 +12,22 @@
 from .votes import ZoneStatus, ZoneVote
 
 VERSION = 0xA2
-MAX_VOTES = 20  # of one datagram
+MAX_VOTES = 20  # The maximum number of votes in one datagram.
 _FORMAT = DatagramFormat(VERSION, struct.Struct("!BxH"), struct.Struct("!HBxQ"), min_records=1)
 
 
 def encode(sender: int, votes: list[ZoneVote], key: bytes) -> bytes:
-    """Return the datagram of a router's votes; those beyond MAX_VOTES are left out."""
+    """Return the datagram with a router's votes; votes beyond MAX_VOTES are left out."""
     body = _FORMAT.header.pack(VERSION, sender)
     body += b"".join(_FORMAT.record.pack(vote.zone, vote.status, vote.sequence) for vote in votes[:MAX_VOTES])
     return seal(body, key)
 
 
 def decode(data: bytes, keys: tuple[bytes, ...], sender: int, zone_count: int) -> list[ZoneVote]:
-    """Return the votes of a datagram that came from the sender's address. Raise a DatagramError."""
+    """Return the votes of a datagram that came from the sender's address.
+
+    Raise a DatagramError if it is malformed, fails authentication, or names another sender or an unknown zone.
+    """
     body = _FORMAT.open(data, keys)
     _, claimed_sender = _FORMAT.header.unpack_from(body)
     if claimed_sender != sender:
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -1,11 +1,11 @@
 """The fleet's failover plan: which zones are lost, decided without a leader from the votes of each zone's witnesses.
 
-While all zones are healthy nobody votes. A witness that observes a zone as lost sends its vote to all routers, and the
-other witnesses then vote too, lost or healthy. The plan is a function of the votes alone, so routers that have received
-the same votes have the same plan.
+No router votes while all zones are healthy. A witness that observes a zone as lost sends its vote to all routers, and
+the other witnesses then vote too, for lost or for healthy. The plan is a function of the votes alone, so routers that
+have received the same votes have the same plan.
 
-A zone is lost once the majority of the votes says so, and at least two do: a single faulty witness changes nothing, nor
-does a router whose own link is cut, as votes are not relayed.
+A zone is lost once a majority of the votes, and at least two of them, say so. A single faulty witness therefore changes
+nothing. Nor does a router whose own link is down, because votes are not relayed.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 )
 
 MIN_LOST_VOTES = 2
-SETTLE_TIME_MS = 500.0  # ms for which others may vote against a loss, unless the majority of all witnesses votes for it
-VOTE_REPEAT_INTERVAL_MS = (
-    VOTE_LIFETIME_MS / 3
-)  # ms between votes on a contested zone: two datagrams in a row may be lost
+# The other witnesses have this long to vote against a loss, unless a majority of all witnesses has voted for it.
+SETTLE_TIME_MS = 500.0
+# Votes on a contested zone are repeated this often, so that they stay valid if two datagrams in a row are lost.
+VOTE_REPEAT_INTERVAL_MS = VOTE_LIFETIME_MS / 3
 
 
 class PlanChange(NamedTuple):
-    """The plan has changed: a zone is now lost, or recovered."""
+    """A change of the plan: a zone is now lost, or has recovered."""
 
     zone: int
     lost: bool
@@ -50,11 +50,11 @@
         self.votes = VoteTable()
         self.zones: dict[int, ZoneState] = {}
         self._changes: list[PlanChange] = []
-        self._sequence = 0  # of our last vote
+        self._sequence = 0  # The sequence number of this router's last vote.
         self.set_members(members)
 
     def set_members(self, members: Iterable[int]) -> None:
-        """Set the routers that are alive; votes of others no longer count."""
+        """Set the routers that are alive; votes of other routers no longer count."""
         self._members = frozenset(members) | {self.router_index}
         self._witnesses: dict[int, frozenset[int]] = {}
 
@@ -74,12 +74,12 @@
         return state is not None and state.lost
 
     def is_open(self, now: float, zone: int, key: int) -> bool:
-        """Tell whether a zone may serve a key (a 64-bit hash) by the plan."""
+        """Tell whether the plan lets a zone serve a key (a 64-bit hash)."""
         state = self.zones.get(zone)
         return state is None or mix(key ^ mix(zone + 1)) < state.open_share(now) * MASK
 
     def is_contested(self, now: float, zone: int) -> bool:
-        """Tell whether a zone is lost, or any valid vote calls it lost."""
+        """Tell whether a zone is lost by the plan or by any valid vote."""
         return self.is_lost(zone) or bool(self._lost_votes(now, zone))
 
     def lost_since(self, now: float, zone: int) -> float:
@@ -87,14 +87,17 @@
         return min((received.status_since for received in self._lost_votes(now, zone)), default=math.inf)
 
     def valid_votes(self, now: float, zone: int) -> list[ReceivedVote]:
-        """Return the votes on a zone that count: of its living witnesses, and not expired."""
+        """Return the unexpired votes on a zone by its witnesses that are alive."""
         return self.votes.valid(now, zone, self.witnesses(zone))
 
     def _lost_votes(self, now: float, zone: int) -> list[ReceivedVote]:
         return [received for received in self.valid_votes(now, zone) if received.vote.status == ZoneStatus.LOST]
 
     def cast_vote(self, now: float, zone: int, status: ZoneStatus | None) -> ZoneVote | None:
-        """Vote on a zone by what this router observes (None: nothing recent); return the vote if it is to be sent."""
+        """Vote on a zone by the status that this router observes; return the vote if it has to be sent.
+
+        status: None if this router has no recent evidence, which withdraws its vote.
+        """
         if status is None or not self.is_witness(zone):
             self.votes.remove(zone, self.router_index)
             return None
@@ -107,14 +110,14 @@
             return None
         if status == ZoneStatus.HEALTHY and not self.is_contested(now, zone):
             return None
-        # At least the time in ms, so that the votes of a restarted router supersede those of its last run.
+        # Sequence numbers start at the Unix time in ms, so the votes of a restarted router supersede its earlier ones.
         self._sequence = max(self._sequence + 1, int(now))
         vote = ZoneVote(self.router_index, zone, status, self._sequence)
         self.votes.put(now, vote)
         return vote
 
     def receive_vote(self, now: float, vote: ZoneVote) -> bool:
-        """Merge a vote of another router; tell whether it was newer than the last one."""
+        """Merge a vote of another router; tell whether it is newer than the one that is held."""
         if vote.witness == self.router_index or vote.sequence > now + MAX_SEQUENCE_AHEAD_MS:
             return False
         previous = self.votes.get(vote.zone, vote.witness)
@@ -124,12 +127,12 @@
         return True
 
     def update_zone(self, now: float, zone: int) -> None:
-        """Decide anew whether a zone is lost. Without any vote it is not."""
+        """Recompute whether a zone is lost. A zone without valid votes is not."""
         votes = len(self.valid_votes(now, zone))
         lost_votes = len(self._lost_votes(now, zone))
         lost = lost_votes >= MIN_LOST_VOTES and 2 * lost_votes > votes
-        is_certain = 2 * lost_votes > len(self.witnesses(zone))
-        if lost and not self.is_lost(zone) and not is_certain:
+        has_absolute_majority = 2 * lost_votes > len(self.witnesses(zone))
+        if lost and not self.is_lost(zone) and not has_absolute_majority:
             lost = now - self.lost_since(now, zone) >= SETTLE_TIME_MS
         if lost == self.is_lost(zone):
             return
--- a/starlingthread/failover/recovery.py
+++ b/starlingthread/failover/recovery.py
@@ -1,30 +1,31 @@
-"""The damped recovery of a zone that was lost.
+"""Flap damping and gradual recovery of a zone that was lost.
 
-A zone stays closed the longer the more often it was lost lately. Then it is opened to a share of the keys that grows in
-steps (a recovery ramp), the same keys at all routers, as its servers come back cold and fetch from the origin.
+A recovered zone stays closed for a hold time that doubles with each recent loss. A recovery ramp then opens it to a
+share of the keys that grows in steps, because its servers come back with cold caches and fetch from the origin. All
+routers open it to the same keys.
 """
 
 from __future__ import annotations
 
 import math
 
-FIRST_HOLD_MS = 500.0  # ms for which a recovered zone stays closed; doubled for each further recent loss
-MAX_HOLD_MS = 30000.0  # ms
+FIRST_HOLD_MS = 500.0
+MAX_HOLD_MS = 30000.0
 MAX_HOLD_DOUBLINGS = 16
-RECENT_LOSS_WINDOW_MS = 60000.0  # ms for which a loss counts as recent
+RECENT_LOSS_WINDOW_MS = 60000.0
 RAMP_STEPS = 8
-RAMP_STEP_TIME_MS = 250.0  # ms
+RAMP_STEP_TIME_MS = 250.0
 
 
 class ZoneState:
-    """The fleet's decision on one zone that has been lost at some time."""
+    """The plan's state of one zone that has been lost at least once. Times are ms."""
 
     __slots__ = ("closed_until", "loss_times", "lost")
 
     def __init__(self) -> None:
         self.lost = False
-        self.loss_times: list[float] = []  # ms; the recent ones
-        self.closed_until = -math.inf  # ms; when the recovery ramp begins
+        self.loss_times: list[float] = []  # The losses within RECENT_LOSS_WINDOW_MS of the last change.
+        self.closed_until = -math.inf  # The time at which the recovery ramp begins.
 
     def open_share(self, now: float) -> float:
         """Return the share of the keys that the zone may serve."""
--- a/starlingthread/failover/topology.py
+++ b/starlingthread/failover/topology.py
@@ -1,4 +1,4 @@
-"""Regions made of zones, as configured in the operator's file. Without it each zone is a region of its own."""
+"""Regions of zones, as configured in the operator's file. A zone that is in no region there is a region of its own."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class TopologyError(Exception):
-    """The regions contradict each other; the text says which and why."""
+    """The regions in the operator's file are inconsistent; the text names the regions and the conflict."""
 
 
 class Distance(IntEnum):
@@ -24,20 +24,24 @@
     __slots__ = ("_region_by_zone", "unknown_zones", "zones")
 
     def __init__(self, zones: Sequence[str], regions: Mapping[str, Sequence[str]]) -> None:
-        """zones: all that the configuration names, in its order; regions: zones by region. Raise a TopologyError."""
+        """zones: all zones of the platform's configuration, in its order; regions: the zones of each region.
+
+        Raise a TopologyError if a zone is in two regions.
+        """
         self.zones = tuple(zones)
-        region_of: dict[str, str] = {}
-        for region, members in regions.items():
-            for zone in members:
-                if zone in region_of:
-                    raise TopologyError(f"zone {zone!r} is in the regions {region_of[zone]!r} and {region!r}")
-                region_of[zone] = region
-        # A zone that the file does not name is a region of its own: its neighbours are unknown.
-        self._region_by_zone = [region_of.get(zone, f"zone {zone}") for zone in self.zones]
-        self.unknown_zones = sorted(set(region_of) - set(self.zones))  # named in the file, but not by the platform
+        region_by_zone: dict[str, str] = {}
+        for region, region_zones in regions.items():
+            for zone in region_zones:
+                if zone in region_by_zone:
+                    raise TopologyError(f"zone {zone!r} is in the regions {region_by_zone[zone]!r} and {region!r}")
+                region_by_zone[zone] = region
+        # A zone that the operator's file does not name is a region of its own, as its location is unknown.
+        self._region_by_zone = [region_by_zone.get(zone, f"zone {zone}") for zone in self.zones]
+        # Zones that the operator's file names and the platform's configuration does not.
+        self.unknown_zones = sorted(set(region_by_zone) - set(self.zones))
 
     def region(self, zone: int) -> str:
-        """Return the region of a zone; one beyond the configuration's zones is a region of its own."""
+        """Return the region of a zone; a zone number outside the configuration is a region of its own."""
         if 0 <= zone < len(self._region_by_zone):
             return self._region_by_zone[zone]
         return f"zone number {zone}"
--- a/starlingthread/failover/votes.py
+++ b/starlingthread/failover/votes.py
@@ -1,8 +1,8 @@
 """The witnesses of a zone and their votes on it.
 
-A few routers are the witnesses of a zone, the same ones by every router's computation: those with the highest hash of
-zone and router. A vote carries a sequence number that only its witness raises, so the newest one wins in whatever order
-votes arrive. A vote is valid for a limited time, so that those of a router that stalled or is cut off expire.
+The witnesses of a zone are the routers with the highest hashes of zone and router (rendezvous hashing), so all routers
+compute the same witnesses. A vote carries a sequence number that only its witness raises, so the newest vote wins in
+whatever order votes arrive. A vote expires, so that a router that stalled or is partitioned has no lasting vote.
 """
 
 from __future__ import annotations
@@ -13,20 +13,23 @@
 
 from ..balance.rendezvous import mix
 
-WITNESS_COUNT = 15  # of a zone; odd, so that two halves do not tie
-VOTE_LIFETIME_MS = 3000.0  # ms
-MAX_SEQUENCE_AHEAD_MS = 3600e3  # ms ahead of our clock: a sequence number is the Unix time, or the last one plus one
+# Each zone has this many witnesses. The number is odd, so that they cannot split into equal halves.
+WITNESS_COUNT = 15
+VOTE_LIFETIME_MS = 3000.0
+# A sequence number is the Unix time in ms or the previous number plus one, so a valid one is near this router's clock.
+# A vote that is further ahead is rejected, as later valid votes would not supersede it.
+MAX_SEQUENCE_AHEAD_MS = 3600e3
 
 
 class ZoneStatus(IntEnum):
-    """What a witness observes of a zone; the values are those on the wire."""
+    """The status of a zone as a witness observes it; the values are those on the wire."""
 
     HEALTHY = 1
     LOST = 2
 
 
 class ZoneVote(NamedTuple):
-    """A witness's vote on a zone; its sequence number orders the votes of one witness."""
+    """A witness's vote on a zone; the sequence number orders the votes of one witness."""
 
     witness: int
     zone: int
@@ -35,7 +38,7 @@
 
 
 class ReceivedVote(NamedTuple):
-    """A vote with the time (ms) at which it was received, and since when its witness has voted for that status."""
+    """A vote, the time at which it was received, and the time since which its witness has voted for that status (ms)."""
 
     vote: ZoneVote
     received_at: float
@@ -43,7 +46,7 @@
 
 
 def choose_witnesses(zone: int, members: Iterable[int]) -> list[int]:
-    """Return the witnesses of a zone among the members, the same at every router that knows the same members."""
+    """Return the witnesses of a zone among the members; the same members give the same witnesses at every router."""
 
     def rank(member: int) -> tuple[int, int]:
         return mix(mix(zone + 1) ^ mix(member + 1)), member
@@ -57,7 +60,7 @@
     __slots__ = ("_votes",)
 
     def __init__(self) -> None:
-        self._votes: dict[tuple[int, int], ReceivedVote] = {}  # by zone and witness
+        self._votes: dict[tuple[int, int], ReceivedVote] = {}  # The keys are zone and witness.
 
     def get(self, zone: int, witness: int) -> ReceivedVote | None:
         """Return the newest vote of a witness on a zone, expired or not."""
@@ -84,7 +87,7 @@
         return {zone for zone, _ in self._votes}
 
     def valid(self, now: float, zone: int, witnesses: frozenset[int]) -> list[ReceivedVote]:
-        """Return the votes on a zone by its present witnesses that have not expired."""
+        """Return the unexpired votes on a zone by the given witnesses."""
         return [
             received
             for (voted_zone, witness), received in self._votes.items()
--- a/starlingthread/failover/zones.py
+++ b/starlingthread/failover/zones.py
@@ -1,8 +1,8 @@
-"""Whether a request may go to a zone, by the fleet's plan and by what this router observes itself.
+"""Decides whether a request may go to a zone, by the fleet's plan and by what this router observes itself.
 
-A router that observes a zone as lost avoids it whatever the plan says: it then diverts no more than its own traffic.
-Trial requests find out that a zone has recovered. While the plan has the zone as lost, only its witnesses send them;
-otherwise each router that avoids the zone by itself does.
+A router that observes a zone as lost avoids it whatever the plan says; this diverts only its own traffic. Trial
+requests detect that a zone has recovered. While the zone is lost in the plan, only its witnesses send them; otherwise
+each router that avoids the zone on its own evidence does.
 """
 
 from __future__ import annotations
@@ -16,35 +16,39 @@
 from .topology import Distance, Topology
 from .votes import ZoneStatus, ZoneVote
 
-FIRST_TRIAL_DELAY_MS = 250.0  # ms between trial requests to a closed zone; doubled with each that gets no response
-MAX_TRIAL_DELAY_MS = 4000.0  # ms
-RESPONSE_LIFETIME_MS = 3000.0  # ms for which a response shows that a zone is healthy
+# The delay between trial requests to a closed zone doubles from the first to the maximum while they get no response.
+FIRST_TRIAL_DELAY_MS = 250.0
+MAX_TRIAL_DELAY_MS = 4000.0
+# A response counts as evidence that its zone is healthy for this long.
+RESPONSE_LIFETIME_MS = 3000.0
 NO_RESPONSE = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
 NO_EVIDENCE = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
 
 
 class TrialBackoff(NamedTuple):
-    """When the next trial request may go to a zone, and the delay after it; both in ms."""
+    """The time at which the next trial request may go to a zone, and the delay after that request; both in ms."""
 
     next_trial_at: float
     delay: float
 
 
 class ZoneFailover:
-    """One router's evidence and plan. Times are ms of the wall clock."""
+    """One router's evidence about the zones and its copy of the plan. Times are ms of the wall clock."""
 
     def __init__(self, router_index: int, members: Iterable[int]) -> None:
         self.plan = FailoverPlan(router_index, members)
         self.topology = Topology((), {})
-        self.region_round_trip_ms = 0.0  # added to a request to another region
-        self.drained: frozenset[int] = frozenset()  # zones that operators have closed
+        self.region_round_trip_ms = 0.0  # The latency that a request to another region adds.
+        self.drained: frozenset[int] = frozenset()  # The zones that operators have taken out of service.
         self.evidence: dict[int, ZoneEvidence] = {}
-        self.server_counts: dict[int, int] = {}  # listed servers by zone
-        self.outgoing_votes: list[ZoneVote] = []  # not yet taken
-        self._backoffs: dict[int, TrialBackoff] = {}  # of the zones that this router avoids by itself
+        self.server_counts: dict[int, int] = {}  # The number of ready servers of each zone.
+        self.outgoing_votes: list[ZoneVote] = []  # The votes that take_outgoing_votes has not returned yet.
+        # The closed zones to which this router sends trial requests: those that it observes as lost, and those that are
+        # lost in the plan and to which it has sent a request.
+        self._backoffs: dict[int, TrialBackoff] = {}
 
     def set_servers(self, servers: Iterable[tuple[int, int]]) -> None:
-        """Set the servers that are ready, as zone and number; evidence about any other one is dropped."""
+        """Set the servers that are ready, as pairs of zone and server number; drop the evidence about all others."""
         by_zone: dict[int, set[int]] = {}
         for zone, server in servers:
             by_zone.setdefault(zone, set()).add(server)
@@ -56,13 +60,13 @@
         """Set the routers that are alive."""
         self.plan.set_members(members)
 
-    # requests
+    # Admission and outcomes of requests.
 
     def is_open(self, now: float, zone: int, key: int) -> bool:
-        """Tell whether a request for a key (a 64-bit hash) may go to a zone now, be it as a trial.
+        """Tell whether a request for a key (a 64-bit hash) may go to a zone now, as a normal or a trial request.
 
-        If no zone may serve the key, all but the drained ones may: either this router itself is cut off, or no zone is
-        better than the rest.
+        If no zone may serve the key, all zones but the drained ones may (fail open): either this router itself is
+        partitioned, or no zone is in better health than the others.
         """
         if zone in self.drained:
             return False
@@ -80,13 +84,13 @@
         return is_lost or self.plan.is_open(now, zone, key)
 
     def extra_latency(self, source: int, target: int) -> float:
-        """Return the ms that a request takes longer because it leaves the region."""
+        """Return the additional latency (ms) of a request from the source zone to the target zone."""
         if self.topology.distance(source, target) == Distance.OTHER_REGION:
             return self.region_round_trip_ms
         return 0.0
 
     def on_sent(self, now: float, zone: int, server: int) -> None:
-        """Record a request to a server; if its zone is closed, this is a trial and the next one waits longer."""
+        """Record a request to a server; in a closed zone it is a trial request, and the delay until the next one doubles."""
         self._evidence_of(zone).on_sent(now, server)
         if zone in self._backoffs or self.plan.is_lost(zone):
             delay = self._backoffs[zone].delay if zone in self._backoffs else FIRST_TRIAL_DELAY_MS
@@ -102,14 +106,15 @@
             self.on_response(now, zone, server, now - sent_at)
 
     def on_response(self, now: float, zone: int, server: int, elapsed: float) -> None:
-        """Record a response of any kind from a server, and the ms that it took."""
+        """Record a response of any kind from a server, and how long it took (ms)."""
         self._evidence_of(zone).on_response(now, server, elapsed)
         was_avoided = self._backoffs.pop(zone, None) is not None
-        if was_avoided or self.plan.is_lost(zone):  # a zone that is merely contested is left to the tick
+        # For a zone that is only contested, tick casts the vote.
+        if was_avoided or self.plan.is_lost(zone):
             self._vote(now, zone)
 
     def on_no_response(self, now: float, zone: int, server: int, sent_at: float) -> None:
-        """Record that a request sent at that time got no response, or found no connection."""
+        """Record that a request sent at that time got no response, or that its connection attempt failed."""
         self._evidence_of(zone).on_no_response(server, sent_at)
         self._avoid_if_lost(now, zone)
 
@@ -124,7 +129,7 @@
             self._backoffs.setdefault(zone, TrialBackoff(now + FIRST_TRIAL_DELAY_MS, FIRST_TRIAL_DELAY_MS))
             self._vote(now, zone)
 
-    # votes
+    # Exchange of votes.
 
     def receive_votes(self, now: float, votes: Iterable[ZoneVote]) -> None:
         """Merge the votes of another router, and vote on the same zones."""
@@ -133,7 +138,7 @@
                 self._vote(now, vote.zone)
 
     def tick(self, now: float) -> None:
-        """Expire pending requests and votes, and repeat the votes on contested zones; call it every 100 ms or so."""
+        """Expire pending requests and votes, and repeat the votes on contested zones. Call this about every 100 ms."""
         for zone, evidence in self.evidence.items():
             evidence.expire_pending(now)
             self._avoid_if_lost(now, zone)
@@ -141,7 +146,7 @@
             self._vote(now, zone)
 
     def take_outgoing_votes(self) -> list[ZoneVote]:
-        """Return the votes to be sent to all other routers that were cast since the last call."""
+        """Return the votes cast since the last call; the caller sends them to all other routers."""
         votes, self.outgoing_votes = self.outgoing_votes, []
         return votes
 
@@ -158,9 +163,9 @@
     def _observed_status(self, now: float, zone: int) -> ZoneStatus | None:
         if self._is_observed_lost(zone):
             return ZoneStatus.LOST
-        # A response from before the first vote for a loss says nothing against it.
-        outdated = max(now - RESPONSE_LIFETIME_MS, self.plan.lost_since(now, zone))
-        return ZoneStatus.HEALTHY if self._evidence_of(zone).last_response_at > outdated else None
+        # A response that predates the first vote for a loss is no evidence against the loss.
+        outdated_until = max(now - RESPONSE_LIFETIME_MS, self.plan.lost_since(now, zone))
+        return ZoneStatus.HEALTHY if self._evidence_of(zone).last_response_at > outdated_until else None
 
     def _vote(self, now: float, zone: int) -> None:
         vote = self.plan.cast_vote(now, zone, self._observed_status(now, zone))
@@ -169,4 +174,5 @@
         was_lost = self.plan.is_lost(zone)
         self.plan.update_zone(now, zone)
         if was_lost and not self.plan.is_lost(zone) and zone in self._backoffs:
-            self._backoffs[zone] = TrialBackoff(now, FIRST_TRIAL_DELAY_MS)  # others reach it again: try at once
+            # Other witnesses have reached the zone again, so this router sends a trial request at once.
+            self._backoffs[zone] = TrialBackoff(now, FIRST_TRIAL_DELAY_MS)
