--- a/starlingthread/failover/votes.py
+++ b/starlingthread/failover/votes.py
@@ -38,7 +38,7 @@
 
 
 class ReceivedVote(NamedTuple):
-    """A vote, the time at which it was received, and the time since which its witness has voted for that status (ms)."""
+    """A vote, the time at which it was received, and since when its witness has voted for that status; times are ms."""
 
     vote: ZoneVote
     received_at: float
--- a/starlingthread/failover/zones.py
+++ b/starlingthread/failover/zones.py
@@ -90,7 +90,7 @@
         return 0.0
 
     def on_sent(self, now: float, zone: int, server: int) -> None:
-        """Record a request to a server; in a closed zone it is a trial request, and the delay until the next one doubles."""
+        """Record a request to a server; in a closed zone it is a trial request and doubles the delay to the next."""
         self._evidence_of(zone).on_sent(now, server)
         if zone in self._backoffs or self.plan.is_lost(zone):
             delay = self._backoffs[zone].delay if zone in self._backoffs else FIRST_TRIAL_DELAY_MS
--- a/starlingthread/membership/__init__.py
+++ b/starlingthread/membership/__init__.py
@@ -1,4 +1,6 @@
-"""SWIM membership: which routers are alive. No I/O, no clock: times are passed in, in ms.
+"""SWIM membership: detects which routers are alive.
+
+The package does no I/O and reads no clock; callers pass times in ms.
 
 The design is in docs/design/membership.md.
 """
--- a/starlingthread/membership/codec.py
+++ b/starlingthread/membership/codec.py
@@ -12,13 +12,13 @@
 from .messages import MemberState, MemberUpdate, Message, MessageKind
 
 VERSION = 0xA1
-MAX_UPDATES = 24  # of one datagram
+MAX_UPDATES = 24  # The maximum number of updates in one datagram.
 _SEQUENCE_MASK = 0xFFFFFFFF
 _FORMAT = DatagramFormat(VERSION, struct.Struct("!BBHIH"), struct.Struct("!HBxI"), min_records=0)
 
 
 def encode(message: Message, key: bytes) -> bytes:
-    """Return the datagram of a message; updates beyond MAX_UPDATES are left out."""
+    """Return the datagram with a message; updates beyond MAX_UPDATES are left out."""
     body = _FORMAT.header.pack(
         VERSION, message.kind, message.sender, message.sequence & _SEQUENCE_MASK, message.subject
     )
@@ -27,7 +27,10 @@
 
 
 def decode(data: bytes, keys: tuple[bytes, ...], member_count: int) -> Message:
-    """Return the message of a datagram that was sealed with any of the keys. Raise a DatagramError."""
+    """Return the message of a datagram that was authenticated with any of the keys.
+
+    Raise a DatagramError if it is malformed, fails authentication, or names an unknown member.
+    """
     body = _FORMAT.open(data, keys)
     _, kind, sender, sequence, subject = _FORMAT.header.unpack_from(body)
     try:
--- a/starlingthread/membership/datagram.py
+++ b/starlingthread/membership/datagram.py
@@ -1,6 +1,6 @@
-"""Authenticated datagrams between routers: at most 256 bytes, a body and its tag, which is keyed BLAKE2b.
+"""Authenticated datagrams between routers: at most 256 bytes, with a body and its keyed BLAKE2b tag.
 
-The membership and the zone failover share this envelope and the key, each with a version byte and records of its own.
+The membership and the zone failover share this envelope and the key. Each has its own version byte and record format.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 from typing import NamedTuple
 
 MAX_DATAGRAM_BYTES = 256
-TAG_BYTES = 8  # forging one without the key takes 2**63 datagrams on average, and each wrong one is counted
+# Forging a tag without the key takes 2**63 datagrams on average, and each datagram with a wrong tag is counted.
+TAG_BYTES = 8
 
 
 class RejectReason(StrEnum):
-    """Why a datagram, or one record of it, was rejected."""
+    """The reason for which a datagram, or one of its records, was rejected."""
 
     LENGTH = "length"
     VERSION = "version"
@@ -29,7 +30,7 @@
 
 
 class DatagramError(Exception):
-    """A datagram is malformed, of another version, or not from a member of this fleet."""
+    """A datagram is malformed, has another version, or is not from a member of this fleet."""
 
     def __init__(self, reason: RejectReason) -> None:
         super().__init__(reason.value)
@@ -45,7 +46,7 @@
     min_records: int
 
     def open(self, data: bytes, keys: tuple[bytes, ...]) -> bytes:
-        """Return the body of a datagram that was sealed with any of the keys. Raise a DatagramError."""
+        """Return the body of a datagram that was authenticated with any of the keys. Raise a DatagramError."""
         records_size = len(data) - self.header.size - TAG_BYTES
         if len(data) > MAX_DATAGRAM_BYTES or records_size < self.min_records * self.record.size:
             raise DatagramError(RejectReason.LENGTH)
@@ -64,7 +65,7 @@
 
 
 def seal(body: bytes, key: bytes) -> bytes:
-    """Return the datagram of a body: the body and its tag. With an empty key the tag is only a checksum."""
+    """Return a datagram: the body followed by its tag. With an empty key the tag is only a checksum."""
     return body + _tag(body, key)
 
 
--- a/starlingthread/membership/local_health.py
+++ b/starlingthread/membership/local_health.py
@@ -1,4 +1,4 @@
-"""How well this member itself keeps up, as in Lifeguard's local health multiplier (Dadgar et al. 2018)."""
+"""The health of this member itself, as in Lifeguard's local health multiplier (Dadgar et al. 2018)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LocalHealth:
-    """A score of recent signs that this member is slow, stalled or cut off; 0 is healthy."""
+    """A score of recent signs that this member is slow, stalled or partitioned; 0 is healthy."""
 
     __slots__ = ("score",)
 
@@ -15,11 +15,11 @@
 
     @property
     def multiplier(self) -> float:
-        """The factor by which this member extends its time-outs before it blames others."""
+        """The factor by which this member extends its time-outs before it suspects other members."""
         return 1.0 + self.score
 
     def degrade(self) -> None:
-        """Record a sign that the fault is here."""
+        """Record a sign that the fault is in this member or its link."""
         self.score = min(MAX_SCORE, self.score + 1)
 
     def recover(self) -> None:
--- a/starlingthread/membership/messages.py
+++ b/starlingthread/membership/messages.py
@@ -13,13 +13,16 @@
 
     PING = 1
     ACK = 2
-    PING_REQUEST = 3  # asks the receiver to ping the subject on the sender's behalf
-    INDIRECT_ACK = 4  # the subject has answered the ping that the receiver requested
-    PING_REQUEST_ACK = 5  # the ping request has arrived, which shows the requester that its own link works
+    # A request that the receiver ping the subject on the sender's behalf.
+    PING_REQUEST = 3
+    # The subject has answered the ping that the receiver of this message requested.
+    INDIRECT_ACK = 4
+    # The ping request has arrived, which shows the requester that its own link works.
+    PING_REQUEST_ACK = 5
 
 
 class MemberState(IntEnum):
-    """The believed state of a member. Within one incarnation the greater value takes precedence."""
+    """The state of a member in another one's view. Within one incarnation the greater value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,7 +30,7 @@
 
 
 class MemberUpdate(NamedTuple):
-    """A gossiped belief about one member. Only the member itself raises its incarnation."""
+    """A gossiped state of one member. Only the member itself raises its incarnation."""
 
     member: int
     state: MemberState
@@ -35,7 +38,7 @@
 
 
 class Message(NamedTuple):
-    """One datagram. The sender chooses the sequence number; a reply repeats that of the message it answers."""
+    """The content of one datagram. The sender chooses the sequence number; a reply repeats that of its request."""
 
     kind: MessageKind
     sender: int
--- a/starlingthread/membership/swim.py
+++ b/starlingthread/membership/swim.py
@@ -1,13 +1,14 @@
 """Failure detection by probing: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar et al. 2018).
 
-Each period a member pings another one. If no ack comes in time it sends ping requests to some others; if none of them
-reaches the target either, the target is suspected. A member that learns that it is suspected refutes the suspicion by a
-higher incarnation; one that does not within the suspicion time-out is declared dead. Updates are piggybacked on the
-datagrams of the protocol.
+In each period a member pings another one. If no ack arrives in time, it sends ping requests to some other members; if
+none of them reaches the target either, the target is suspected. A member that learns that it is suspected refutes the
+suspicion with a higher incarnation; one that does not do so within the suspicion time-out is declared dead. Updates are
+piggybacked on the datagrams of the protocol.
 
-A member that stalled blames itself and not the others: time-outs that passed meanwhile do not count, and while its own
-probes fail for local reasons it extends its time-outs. Dead members are probed now and then, so that the halves of a
-partition find each other again; the probe carries the update that they are dead, which they refute.
+A member that stalled takes the fault to be its own and not that of others: time-outs that expired during the stall do
+not count, and while its own probes fail for local reasons it extends its time-outs. Dead members are probed
+periodically, so that the two sides of a partition rejoin once it has healed; the probe carries the update that they are
+dead, which they refute.
 
 Times are ms.
 """
@@ -27,13 +28,21 @@
 from .messages import MAX_INCARNATION, MemberState, MemberUpdate, Message, MessageKind
 from .update_queue import UpdateQueue
 
-DEFAULT_PERIOD_MS = 1000.0  # ms between two probes of one member
-DIRECT_ACK_PERIOD_SHARE = 0.3  # of the period, for a direct ack; the rest is for the indirect ones
-INDIRECT_PROBES = 3  # members that receive a ping request, or the notice that this one leaves
-SUSPICION_TIMEOUT_FACTOR = 4.0  # suspicion time-out in periods, times the log10 of the members
-STALL_PERIOD_SHARE = 0.5  # of a period; a tick that is later by more shows that this process stalled
-MAX_INCARNATION_AHEAD_S = 3600.0  # s ahead of our clock: an incarnation starts as the Unix time and rises by one
-MAX_RELAYED_PINGS = 64  # pings on behalf of others whose acks are awaited
+# The time between two probes by one member.
+DEFAULT_PERIOD_MS = 1000.0
+# The direct ack is awaited for this share of the period; the rest of the period is for the indirect acks.
+DIRECT_ACK_PERIOD_SHARE = 0.3
+# This many members receive a ping request, or the announcement that this member leaves.
+INDIRECT_PROBES = 3
+# The suspicion time-out, in periods, is this factor times the log10 of the number of members.
+SUSPICION_TIMEOUT_FACTOR = 4.0
+# A tick that is late by more than this share of a period shows that this process stalled.
+STALL_PERIOD_SHARE = 0.5
+# An incarnation starts as the Unix time in s and rises by one, so valid ones are near the clock.
+# An update with an incarnation further ahead than this is rejected.
+MAX_INCARNATION_AHEAD_S = 3600.0
+# The maximum number of pings on behalf of other members whose acks are awaited.
+MAX_RELAYED_PINGS = 64
 
 
 class Probe:
@@ -45,19 +54,21 @@
         self.target = target
         self.sequence = sequence
         self.sent_at = sent_at
-        self.indirect_probes: int | None = None  # ping requests sent; None until the direct ack is overdue
-        self.request_acks = 0  # ping requests that were acknowledged: proof that this member's link works
+        # The number of ping requests that were sent; None until the direct ack is overdue.
+        self.indirect_probes: int | None = None
+        # The number of ping requests that were acknowledged, which proves that this member's link works.
+        self.request_acks = 0
 
 
 class RelayedPing(NamedTuple):
-    """A ping that another member has requested."""
+    """A ping that this member has sent at the request of another one."""
 
     requester: int
-    sequence: int  # of the requester's probe
+    sequence: int  # The sequence number of the requester's probe.
 
 
 class Membership:
-    """One member's view of the fleet. Datagrams and times go in; datagrams go out through the send callback."""
+    """One member's view of the fleet. Callers pass in datagrams and times; datagrams are sent by the send callback."""
 
     def __init__(
         self,
@@ -68,14 +79,19 @@
         send: Callable[[int, bytes], None],
         period: float = DEFAULT_PERIOD_MS,
     ) -> None:
-        """keys: the first one seals, all of them open; send: called with a member and a datagram; period: ms."""
+        """Create a member that has not joined yet.
+
+        keys: the first one authenticates outgoing datagrams, and all of them are accepted; send: called with the
+        receiving member and a datagram; period: ms.
+        """
         self.own_id = own_id
         self.member_count = member_count
         self.keys = keys
         self.period = period
         self.records = [MemberRecord() for _ in range(member_count)]
-        self.changes: list[StateChange] = []  # not yet taken
-        self.rejected: Counter[RejectReason] = Counter()  # datagrams or updates that changed nothing
+        self.changes: list[StateChange] = []  # The changes that take_changes has not returned yet.
+        # The datagrams and updates that were rejected and changed nothing.
+        self.rejected: Counter[RejectReason] = Counter()
         self.local_health = LocalHealth()
         self.next_tick_at = math.inf
         self._send_datagram = send
@@ -83,12 +99,13 @@
         self._updates = UpdateQueue(member_count)
         self._schedule = ProbeSchedule(own_id, self._rng)
         self._probe: Probe | None = None
-        self._relayed_pings: dict[int, RelayedPing] = {}  # by the sequence number of our ping, the oldest first
+        # The keys are the sequence numbers of the pings that this member sent; the oldest one is first.
+        self._relayed_pings: dict[int, RelayedPing] = {}
         self._sequence = self._rng.randrange(1 << 31)
 
     def alive_members(self) -> list[int]:
-        """Return the members that are not believed dead, this one included."""
-        return [number for number, record in enumerate(self.records) if record.state != MemberState.DEAD]
+        """Return the members that are alive or suspected, including this one."""
+        return [member for member, record in enumerate(self.records) if record.state != MemberState.DEAD]
 
     def take_changes(self) -> list[StateChange]:
         """Return the state changes since the last call."""
@@ -98,22 +115,22 @@
     def start(self, now: float) -> None:
         """Join, with the first probe at a random time within the first period.
 
-        now: ms of the wall clock. It gives an incarnation above any earlier one; a member that restarts within the
-        same second refutes what is gossiped of its predecessor.
+        now: ms of the wall clock. The incarnation is taken from it, so that it is higher than any earlier one. A member
+        that restarts within the same second refutes the gossip about its previous run.
         """
         self.records[self.own_id].incarnation = min(MAX_INCARNATION, int(now / 1000.0) & MAX_INCARNATION)
         self._updates.enqueue(self.own_id)
         self.next_tick_at = now + self._rng.uniform(0.0, self.period)
 
     def leave(self) -> None:
-        """Announce a graceful shutdown to some others, so that nobody has to detect it."""
+        """Announce a graceful shutdown to some other members, so that it need not be detected by probes."""
         self.records[self.own_id].state = MemberState.DEAD
         self._updates.enqueue(self.own_id)
-        others = [number for number in self.alive_members() if number != self.own_id]
+        others = [member for member in self.alive_members() if member != self.own_id]
         for other in self._rng.sample(others, min(INDIRECT_PROBES, len(others))):
             self._send(other, MessageKind.PING_REQUEST_ACK, 0)
 
-    # timers
+    # Timers.
 
     def tick(self, now: float) -> None:
         """Handle the time-out of the current probe and start the next one, if next_tick_at has come."""
@@ -131,7 +148,7 @@
         self._start_probe(now)
 
     def _on_stall(self, now: float) -> None:
-        """Restart all time-outs: those that passed while this process stalled say nothing of the others."""
+        """Restart all time-outs: those that expired while this process stalled are no evidence about other members."""
         self.local_health.degrade()
         self._probe = None
         for record in self.records:
@@ -150,14 +167,14 @@
 
     def _send_ping_requests(self, probe: Probe) -> None:
         candidates = [
-            number
-            for number, record in enumerate(self.records)
-            if record.state == MemberState.ALIVE and number not in (self.own_id, probe.target)
+            member
+            for member, record in enumerate(self.records)
+            if record.state == MemberState.ALIVE and member not in (self.own_id, probe.target)
         ]
-        helpers = self._rng.sample(candidates, min(INDIRECT_PROBES, len(candidates)))
-        probe.indirect_probes = len(helpers)
-        for helper in helpers:
-            self._send(helper, MessageKind.PING_REQUEST, probe.sequence, probe.target)
+        relays = self._rng.sample(candidates, min(INDIRECT_PROBES, len(candidates)))
+        probe.indirect_probes = len(relays)
+        for relay in relays:
+            self._send(relay, MessageKind.PING_REQUEST, probe.sequence, probe.target)
         self.next_tick_at = self._period_end(probe)
 
     def _period_end(self, probe: Probe) -> float:
@@ -167,21 +184,22 @@
         self._probe = None
         record = self.records[probe.target]
         if probe.indirect_probes and not probe.request_acks:
-            self.local_health.degrade()  # no helper was reached either: the fault is likely here
+            # No relay was reached either, so the fault is likely in this member or its link.
+            self.local_health.degrade()
         elif record.state == MemberState.ALIVE:
             self._merge(now, MemberUpdate(probe.target, MemberState.SUSPECT, record.incarnation))
 
     def _expire_suspicions(self, now: float) -> None:
         periods = SUSPICION_TIMEOUT_FACTOR * max(1.0, math.log10(self.member_count))
         timeout = periods * self.period * self.local_health.multiplier
-        for number, record in enumerate(self.records):
+        for member, record in enumerate(self.records):
             if record.state == MemberState.SUSPECT and now - record.state_since > timeout:
-                self._merge(now, MemberUpdate(number, MemberState.DEAD, record.incarnation))
+                self._merge(now, MemberUpdate(member, MemberState.DEAD, record.incarnation))
 
-    # datagrams
+    # Datagrams.
 
     def receive(self, now: float, sender: int, data: bytes) -> None:
-        """Handle a datagram from a member's address; an invalid one is counted in `rejected` and changes nothing."""
+        """Handle a datagram from a member's address. An invalid one is counted in `rejected` and otherwise ignored."""
         try:
             message = decode(data, self.keys, self.member_count)
             if message.sender != sender or sender == self.own_id:
@@ -195,7 +213,8 @@
             else:
                 self._merge(now, update)
         if self.records[sender].state != MemberState.ALIVE:
-            self._updates.enqueue(sender)  # it is to learn that, and to refute it
+            # The sender has to learn its recorded state so that it can refute it.
+            self._updates.enqueue(sender)
         self._dispatch(now, message)
 
     def _dispatch(self, now: float, message: Message) -> None:
@@ -222,9 +241,10 @@
     def _relay_ping(self, request: Message) -> None:
         """Ping a member on behalf of another one."""
         if request.subject in (self.own_id, request.sender):
-            return  # a correct member never requests that
+            return  # A correct member never sends such a request.
         if len(self._relayed_pings) >= MAX_RELAYED_PINGS:
-            del self._relayed_pings[next(iter(self._relayed_pings))]  # the oldest one: its ack is overdue
+            # The oldest relayed ping is dropped, as its ack is overdue.
+            del self._relayed_pings[next(iter(self._relayed_pings))]
         self._sequence += 1
         self._relayed_pings[self._sequence] = RelayedPing(request.sender, request.sequence)
         self._send(request.sender, MessageKind.PING_REQUEST_ACK, request.sequence)
@@ -232,25 +252,25 @@
 
     def _send(self, receiver: int, kind: MessageKind, sequence: int, subject: int = 0) -> None:
         is_alive = self.records[receiver].state == MemberState.ALIVE
-        # A receiver that is suspected or dead is told so with each message, so that it can refute it.
+        # Each message to a suspected or dead receiver carries that state, so that the receiver can refute it.
         updates = tuple(
-            MemberUpdate(number, self.records[number].state, self.records[number].incarnation)
-            for number in self._updates.dequeue(required=None if is_alive else receiver)
+            MemberUpdate(member, self.records[member].state, self.records[member].incarnation)
+            for member in self._updates.dequeue(required=None if is_alive else receiver)
         )
         message = Message(kind, self.own_id, sequence, subject, updates)
         self._send_datagram(receiver, encode(message, self.keys[0]))
 
-    # beliefs
+    # Member states.
 
     def _merge(self, now: float, update: MemberUpdate) -> None:
-        """Merge an update into the beliefs, and queue what others still have to learn."""
+        """Merge an update into the member states, and queue what other members still have to learn."""
         if update.member == self.own_id:
             self._refute(update)
             return
         record = self.records[update.member]
         if not record.is_superseded_by(update):
             if (update.state, update.incarnation) != (record.state, record.incarnation):
-                self._updates.enqueue_once(update.member)  # the sender's belief is stale
+                self._updates.enqueue_once(update.member)  # The sender's view is outdated.
             return
         if update.state != record.state:
             self.changes.append(StateChange(update.member, update.state))
@@ -260,11 +280,11 @@
         self._updates.enqueue(update.member)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Answer an update that calls this member suspect or dead by a higher incarnation."""
+        """Refute an update that calls this member suspected or dead, with a higher incarnation."""
         if update.state == MemberState.ALIVE:
             return
-        own = self.records[self.own_id]
-        if update.incarnation >= own.incarnation:
-            own.incarnation = min(MAX_INCARNATION, update.incarnation + 1)
+        own_record = self.records[self.own_id]
+        if update.incarnation >= own_record.incarnation:
+            own_record.incarnation = min(MAX_INCARNATION, update.incarnation + 1)
             self.local_health.degrade()
         self._updates.enqueue(self.own_id)
--- a/starlingthread/membership/update_queue.py
+++ b/starlingthread/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""The queue of updates that ride on outgoing datagrams (SWIM's piggybacked dissemination)."""
+"""The queue of updates that are piggybacked on outgoing datagrams (SWIM's dissemination component)."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 from .codec import MAX_UPDATES
 
-RETRANSMIT_FACTOR = 3.0  # transmissions of an update, times the log2 of the members
+# The number of transmissions of an update is this factor times the log2 of the number of members.
+RETRANSMIT_FACTOR = 3.0
 
 
 class UpdateQueue:
-    """The members whose current state is still to be disseminated, with the transmissions so far."""
+    """The members whose current states still have to be disseminated, and how often each was transmitted."""
 
     __slots__ = ("_max_transmissions", "_transmissions")
 
@@ -19,17 +20,17 @@
         self._transmissions: dict[int, int] = {}
 
     def enqueue(self, member: int) -> None:
-        """Disseminate a member's state from the start."""
+        """Queue a member's state for the full number of transmissions."""
         self._transmissions[member] = 0
 
     def enqueue_once(self, member: int) -> None:
-        """Transmit a member's state at least once more, for a peer that has missed it."""
+        """Queue a member's state for at least one more transmission, for a peer that has missed it."""
         self._transmissions.setdefault(member, int(self._max_transmissions) - 1)
 
     def dequeue(self, required: int | None = None) -> list[int]:
         """Return the members whose states go into the next datagram, the least transmitted first.
 
-        required: a member whose state must be among them, queued or not.
+        required: a member whose state is included even if it is not queued.
         """
         by_count = sorted((count, member) for member, count in self._transmissions.items() if self._is_pending(count))
         selected = [member for _, member in by_count[:MAX_UPDATES]]
