--- a/starlingthread/__main__.py
+++ b/starlingthread/__main__.py
@@ -1,4 +1,4 @@
-"""The router: reads the configuration and serves until a signal. Run as ``python -m starlingthread``."""
+"""The entry point of the router, ``python -m starlingthread``: reads the configuration and serves until a signal."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 def main() -> int:
-    """Run the router and return its exit code; one plain line on standard error and 1 if it can't start."""
+    """Run the router and return its exit code. If it cannot start, print one line to standard error and return 1."""
     early_signals = _collect_early_signals()
     try:
         config = _read_config()
     except ConfigError as error:
-        return _fail(error)
+        return _report_error(error)
     options, options_error = _read_options()
     log_writer = LogWriter(options.log)
     if options_error:
         log.error("options-invalid", reason=options_error)
-    inherited = _inherit(config)
+    inherited = _inherit_sockets(config)
 
     async def serve() -> int:
         return await RouterProcess(config, log_writer, inherited, options, early_signals).run()
@@ -38,12 +38,12 @@
         with asyncio.Runner(loop_factory=MeteredEventLoop) as runner:
             return runner.run(serve())
     except (OSError, EndpointListError) as error:
-        return _fail(error)
+        return _report_error(error)
     finally:
         log_writer.stop()
 
 
-def _fail(error: Exception) -> int:
+def _report_error(error: Exception) -> int:
     print(f"starlingthread: {error}", file=sys.stderr)
     return 1
 
@@ -51,8 +51,8 @@
 def _collect_early_signals() -> list[int]:
     """Return a list that collects SIGHUP and SIGUSR1 until the event loop handles them.
 
-    Their default action would end a process that is just starting. This must come before the configuration is read:
-    a reload that is requested after that must not be lost, one that is requested before asks for nothing more.
+    Their default action would end a process that is just starting. Call this before the configuration is read: a reload
+    that is requested after the read must not be lost, and one that is requested before it needs no further action.
     """
     early_signals: list[int] = []
     for number in (signal.SIGHUP, signal.SIGUSR1):
@@ -63,15 +63,15 @@
 def _read_config() -> Config:
     path = os.environ.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError(f"{CONFIG_VARIABLE} names no file")
+        raise ConfigError(f"environment variable {CONFIG_VARIABLE} is not set or empty")
     return read_config(path)
 
 
 def _read_options() -> tuple[options_file.Options, str]:
-    """Return the operator's options, and what is wrong with their file if anything is.
+    """Return the operator's options, and the error in their file (an empty text if there is none).
 
-    An invalid file gives the defaults: a router restarted after a crash must serve even if the file was edited
-    meanwhile.
+    With an invalid file the defaults apply: a router that is restarted after a crash must serve even if the file was
+    edited since its last start.
     """
     try:
         return options_file.read(options_file.find_file()), ""
@@ -79,15 +79,16 @@
         return options_file.Options(), one_line(error)
 
 
-def _inherit(config: Config) -> InheritedSockets | None:
-    """Return the sockets of an old process, None if there is none or it can't hand over."""
+def _inherit_sockets(config: Config) -> InheritedSockets | None:
+    """Return the sockets of the process that this one replaces; None if there is none or the handover fails."""
     folder = shared_folder(config)
     if folder is None:
         return None
     try:
         return request_handover(folder)
     except OSError as error:
-        log.warning("handover-failed", reason=repr(error))  # this process binds its sockets beside the old one then
+        # This process then binds its own sockets beside those of the old process.
+        log.warning("handover-failed", reason=repr(error))
         return None
 
 
--- a/starlingthread/config.py
+++ b/starlingthread/config.py
@@ -1,4 +1,4 @@
-"""The router's configuration by the platform: the JSON file that LB_CONFIG names."""
+"""The platform's configuration of the router: the JSON file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from .settings_json import SettingsError, settings_from_json
 
 Address: TypeAlias = tuple[str, int]  # host and port
-JsonShape: TypeAlias = dict[str, str]  # the type of each value of a JSON object, by its path
+JsonShape: TypeAlias = dict[str, str]  # The name of the type of each value, by its path in the JSON object.
 
 DEFAULT_SOCKETS = 256
-DEFAULT_MEMORY_MB = 32  # MB
-DEFAULT_IDLE_TIMEOUT_MS = 15000.0  # ms
+DEFAULT_MEMORY_MB = 32
+DEFAULT_IDLE_TIMEOUT_MS = 15000.0
 MIN_CORES = 0.05
 CACHED_LIST_KEY = "known"
 TYPE_NAMES = {
     dict: "object",
-    list: "list",
-    str: "text",
+    list: "array",
+    str: "string",
     int: "number",
     float: "number",
     bool: "boolean",
-    type(None): "nothing",
+    type(None): "null",
 }
 
 
 class ConfigError(Exception):
-    """The configuration file is missing or invalid; the text names the file and the fault."""
+    """The configuration file is missing or invalid; the text names the file and the error."""
 
 
 class Config(NamedTuple):
@@ -42,25 +42,25 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # limit
-    memory: float  # limit in MB
-    cores: float  # CPU share
+    sockets: int  # The limit on open file descriptors.
+    memory: float  # The memory limit in MB.
+    cores: float  # The number of CPU cores that this process may use.
     management: Address | None
     peer_listen: Address | None
     peers: list[Address]
-    peers_all: Address | None  # reaches all peers
-    cached_list: object  # endpoint list as it was at some time, in discovery's JSON
+    peers_all: Address | None  # One address whose datagrams reach all peers.
+    cached_list: object  # An endpoint list from an earlier time, in discovery's JSON format.
     settings: Settings
     zones: tuple[str, ...]
     server_kinds: tuple[str, ...]
-    idle_timeout: float  # ms after which an idle connection is closed
+    idle_timeout: float  # Idle connections are closed after this time (ms).
     shape: JsonShape
 
 
 def json_shape(raw: object, path: str = "") -> JsonShape:
-    """Return the type of each value below a JSON value, by its path; of a list of objects, what all of them share.
+    """Return the type of each value within a JSON value, by its path; for an array of objects, what all of them share.
 
-    The cached endpoint list is left out: its content depends on when it was taken.
+    The cached endpoint list is left out, because its content depends on when it was stored.
     """
     if isinstance(raw, dict):
         return _object_shape(raw, path)
@@ -88,27 +88,27 @@
 
 
 def _shape_difference(expected: JsonShape, raw: dict[str, Any]) -> str:
-    """Return the first difference of a JSON object from an expected shape, empty if it has all of it."""
+    """Return the first difference of a JSON object from an expected shape; an empty text if it matches."""
     actual = json_shape(raw)
     for path, type_name in expected.items():
         if path not in actual:
-            # The shape of a list has what all its items share, so a path that one item lacks is missing here.
-            return f"lacks {path}, at least once"
+            # The shape of an array has only what all its items share, so a path that one item lacks is missing here.
+            return f"{path} is missing in at least one place"
         if actual[path] != type_name:
-            return f"{path} is {actual[path]}, not {type_name}"
+            return f"{path} has type {actual[path]}, expected {type_name}"
     return ""
 
 
 def _reject_constant(text: str) -> NoReturn:
     """Reject NaN and Infinity, which json.loads would accept."""
-    raise ValueError(f"{text} is no number")
+    raise ValueError(f"{text} is not a valid JSON number")
 
 
 def read_config(path: str, expected_shape: JsonShape | None = None) -> Config:
-    """Read the configuration file. Raise a ConfigError with one plain line.
+    """Read the configuration file. Raise a ConfigError whose text is a single line.
 
-    A file that is read again must have the shape of the first one: one that was truncated and is still valid JSON is no
-    new configuration.
+    expected_shape: on a reload, the shape of the file that was read first. A different shape is an error, so that a
+    file that was truncated but is still valid JSON does not take effect.
     """
     try:
         raw: dict[str, Any] = json.loads(Path(path).read_text(), parse_constant=_reject_constant)
@@ -116,7 +116,7 @@
             raise ConfigError(f"{path}: {difference}")
         return _config(path, raw)
     except KeyError as error:
-        raise ConfigError(f"{path} lacks {error}") from None
+        raise ConfigError(f"{path}: missing key {error}") from None
     except (OSError, ValueError, TypeError, AttributeError, SettingsError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
--- a/starlingthread/logs.py
+++ b/starlingthread/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines: an event's name and its fields, written by a thread so that no answer waits for the output."""
+"""Structured log lines of an event name and its fields, written by a thread so that no answer waits for log output."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @contextlib.contextmanager
 def _import_blocked(name: str) -> Iterator[None]:
-    """Make the import of a module fail, unless it is loaded already."""
+    """Make the import of a module fail, unless the module is already loaded."""
     if name in sys.modules:
         yield
         return
@@ -26,12 +26,12 @@
         del sys.modules[name]
 
 
-# structlog loads rich where it is installed: 6 MB of the router's memory that nothing here uses.
+# structlog imports rich if it is installed: 6 MB of memory for a module that the router does not use.
 with _import_blocked("rich"):
     import structlog
 
 LOGGER_NAME = "starlingthread"
-MAX_QUEUED_LINES = 1000  # lines; further ones are dropped
+MAX_QUEUED_LINES = 1000  # Further lines are dropped.
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S.%f"
 
 structlog.configure(
@@ -52,12 +52,12 @@
 
 
 def one_line(error: BaseException) -> str:
-    """Return an exception's text as one line."""
+    """Return the text of an exception as a single line."""
     return " ".join(str(error).split())
 
 
 def _render_text(logger: Any, method: str, event: Any) -> str:
-    """Render a line for humans: time, level, event, fields; then the traceback, if there is one."""
+    """Render a human-readable line of time, level, event and fields, followed by the traceback if there is one."""
     timestamp = event.pop("timestamp", "")
     level = event.pop("level", "")
     name = event.pop("event", "")
@@ -88,20 +88,20 @@
 
 
 class DroppingHandler(QueueHandler):
-    """Queues log records for the writing thread; drops them while that thread is blocked and the queue full."""
+    """Queues log records for the writer thread; drops them while that thread is blocked and the queue is full."""
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Leave all rendering to the writing thread."""
+        """Return the record as it is: the writer thread renders it."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue a record, or drop it."""
+        """Queue a record; drop it if the queue is full."""
         with contextlib.suppress(queue.Full):
             self.queue.put_nowait(record)
 
 
 class LogWriter:
-    """Owns the writing thread. Format and level may change while it runs."""
+    """Owns the writer thread. Format and level can be changed while it runs."""
 
     def __init__(self, options: LogOptions, stream: TextIO = sys.stderr) -> None:
         records: queue.Queue[object] = queue.Queue(MAX_QUEUED_LINES)
@@ -115,10 +115,10 @@
         self._listener.start()
 
     def apply_options(self, options: LogOptions) -> None:
-        """Change format and level, at once."""
+        """Change format and level; the change takes effect at once."""
         self._stream_handler.setFormatter(_formatter(options.format))
         self._logger.setLevel(options.level.upper())
 
     def stop(self) -> None:
-        """Write the queued lines and end the thread."""
+        """Write the queued lines and stop the thread."""
         self._listener.stop()
--- a/starlingthread/router_process/__init__.py
+++ b/starlingthread/router_process/__init__.py
@@ -1,1 +1,1 @@
-"""The router as an operating-system process: wiring of the actors, startup, reload, handover and graceful shutdown."""
+"""The router as an operating-system process: creation of the actors, startup, reload, handover, graceful shutdown."""
--- a/starlingthread/router_process/actors.py
+++ b/starlingthread/router_process/actors.py
@@ -1,4 +1,4 @@
-"""The actors of one router and how they are connected."""
+"""The actors of one router and their connections to each other."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RouterActors:
-    """Creates the actors and connects them; all limits are 0 until :meth:`apply_budgets` sets them."""
+    """Creates and connects the actors; all limits are 0 until :meth:`apply_budgets` sets them."""
 
     def __init__(self, config: Config, supervisor: TaskSupervisor, counters: Counters) -> None:
         settings = config.settings
@@ -41,7 +41,7 @@
         self.router.peers = self.peers
 
     def has_endpoints(self) -> bool:
-        """Return whether an endpoint list with at least one server is in force, so that requests can be served."""
+        """Return whether an endpoint list with at least one server is in effect, so that requests can be served."""
         return self.router.listed
 
     def apply_budgets(self, budgets: ResourceBudgets) -> None:
@@ -57,30 +57,30 @@
         self.clients.apply_settings(config.settings)
         self.fleet.apply_settings(config.settings, config.idle_timeout)
         self.discovery.apply_settings(config.zones, config.server_kinds, pushed=not config.settings.must_poll)
-        # Polls even if the address is unchanged: the new settings take effect with the next endpoint list.
+        # This polls even if the address is unchanged, because the new settings take effect with the next endpoint list.
         self.discovery.set_address(config.discovery)
         self.peers.set_addresses(config.peers, config.peers_all)
         self.apply_membership(config, options)
         self.apply_failover(config, options)
 
     def apply_options(self, config: Config, options: Options) -> None:
-        """Apply reloaded options while the configuration, already merged with them, stays in force."""
+        """Apply reloaded options to the running actors; the configuration is unchanged and already merged with them."""
         self.router.apply_settings(config.settings)
         self.apply_membership(config, options)
         self.apply_failover(config, options)
 
     def apply_membership(self, config: Config, options: Options) -> None:
-        """Start, stop or change the group membership protocol as the options say."""
+        """Start, stop or reconfigure the group membership protocol according to the options."""
         self.members.apply_settings(options.membership, config.settings.can_message_peers)
 
     def apply_failover(self, config: Config, options: Options) -> None:
-        """Start, stop or change the coordination of zone failover as the options say."""
+        """Start, stop or reconfigure the zone failover according to the options."""
         self.failover.apply_settings(
             options.failover, options.membership, config.zones, config.settings.can_message_peers
         )
 
     def open_counts(self) -> dict[str, int]:
-        """Return the numbers of open connections and requests by the keys under which they are logged."""
+        """Return the numbers of open connections and requests, by the keys under which they are logged."""
         return {
             "clients.open": len(self.clients.connections),
             "requests.open": len(self.router.requests),
--- a/starlingthread/router_process/configuration.py
+++ b/starlingthread/router_process/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and its reload from the files while the router serves."""
+"""The active configuration, and its reload from the files while the router serves."""
 
 from __future__ import annotations
 
@@ -8,15 +8,14 @@
 from ..logs import LogWriter, log, one_line
 from .actors import RouterActors
 
-# Fields of the configuration that a reload leaves unchanged: bound sockets, limits, and the shape that files must have.
+# Fields that a reload leaves unchanged: bound sockets, limits, and the shape that a reloaded file must have.
 NEEDS_RESTART = ("name", "listen", "management", "sockets", "memory", "cores", "peer_listen", "shape")
 
 
 class ActiveConfiguration:
     """The platform's configuration and the operator's options, merged. SIGHUP reloads both.
 
-    A file that can't be read or is invalid changes nothing; each of the two files is reloaded whatever the state of the
-    other.
+    The two files are reloaded independently; one that cannot be read or is invalid changes nothing.
     """
 
     def __init__(
@@ -34,7 +33,7 @@
         self._log_writer = log_writer
 
     def reload(self) -> None:
-        """Read both files again and apply what can change while serving; log what waits for a restart."""
+        """Read both files again, apply what can change at run time, and log which changes need a restart."""
         self._reload_options()
         try:
             new = read_config(self.config.path, self.config.shape)
@@ -49,11 +48,11 @@
         self._apply_config(new)
 
     def apply_membership(self) -> None:
-        """Apply the membership options, as at startup."""
+        """Apply the current membership options, at startup or after a pause."""
         self._actors.apply_membership(self.config, self.options)
 
     def apply_failover(self) -> None:
-        """Apply the failover options, as at startup."""
+        """Apply the current failover options, at startup or after a pause."""
         self._actors.apply_failover(self.config, self.options)
 
     def _apply_config(self, new: Config) -> None:
@@ -78,6 +77,6 @@
         self._log_writer.apply_options(new.log)
 
     def _apply_options_alone(self) -> None:
-        """Apply the options on top of the platform's settings that stay in force."""
+        """Apply the options to the current platform settings, which stay in effect."""
         self.config = self.config._replace(settings=self.options.apply_to(self.config.settings))
         self._actors.apply_options(self.config, self.options)
--- a/starlingthread/router_process/control.py
+++ b/starlingthread/router_process/control.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a running router: readiness, telemetry and maintenance of cache servers."""
+"""The operations that operators can request of a running router: readiness, telemetry, maintenance of cache servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from ..events import Maintenance
 from .actors import RouterActors
 
-MAINTENANCE_POLL_MS = 100.0  # period of polling what another process excluded: well within a drain's grace
+# The period at which changes by another process are polled. It is well below the grace period of a drain.
+MAINTENANCE_POLL_MS = 100.0
 
 
 class OperatorControl:
@@ -43,7 +44,7 @@
         return self._set_maintenance(name, False)
 
     def poll_maintenance(self) -> None:
-        """Follow the maintenance that another process of this router was asked for, from now on."""
+        """Apply the maintenance changes that another process of this router has stored, now and periodically."""
         self._maintenance.reload_if_changed()
         router = self._actors.router
         router.deadlines.set(router.clock.now() + MAINTENANCE_POLL_MS, self.poll_maintenance)
@@ -56,7 +57,7 @@
         return True
 
     def _on_maintenance(self, name: str, in_maintenance: bool) -> None:
-        """Have the server's actor write nothing more, and the decision module choose other servers; or the reverse."""
+        """Stop or resume sending requests to a server, in its actor and in the decision module."""
         server = self._actors.discovery.parser.ids.assign(name)
         self._actors.fleet.set_maintenance(server, in_maintenance)
         self._actors.router.mailbox.must_put(Maintenance(server, in_maintenance))
--- a/starlingthread/router_process/process.py
+++ b/starlingthread/router_process/process.py
@@ -1,4 +1,4 @@
-"""One router process from its startup to the end of its graceful shutdown."""
+"""The life cycle of one router process, from startup to the end of the graceful shutdown."""
 
 from __future__ import annotations
 
@@ -24,20 +24,21 @@
 from .garbage import GarbageCollector
 from .resources import CLIENTS, PEERS, SharedResources, inherited_socket
 
-DISCOVERY_TIMEOUT_S = 2.0  # a new process waits this long for discovery before it announces that it serves
+# A new process waits at most this long for discovery before it reports that it serves.
+DISCOVERY_TIMEOUT_S = 2.0
 
 
 def shared_folder(config: Config) -> Path | None:
-    """Return the folder that the processes of an upgrade share.
+    """Return the folder that the old and the new process share during an upgrade.
 
-    None without a management address, as nobody could ask a new process whether it is ready then.
+    None without a management address, as a new process could not be asked then whether it is ready.
     """
     folder = os.environ.get("TMPDIR")
     return Path(folder) if folder and config.management is not None else None
 
 
 class RouterProcess:
-    """Owns the parts of one router process, starts them in order and ends them."""
+    """Owns the components of one router process, and starts and stops them in order."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
         self.counters = Counters()
         self.supervisor = TaskSupervisor()
         self.stop_requested = asyncio.Event()
-        self.is_serving = False  # the client listener is bound
+        self.is_serving = False  # Whether the client listener is bound.
         self.exit_code = 0
         self.actors = RouterActors(config, self.supervisor, self.counters)
         self.configuration = ActiveConfiguration(config, options, self.actors, self.counters, log_writer)
@@ -71,7 +72,7 @@
         resources.apply_resource_share(self._handover.resource_share)
 
     async def run(self) -> int:
-        """Serve until a signal or the failure of an actor, shut down, and return the exit code."""
+        """Serve until a signal arrives or an actor fails, then shut down and return the exit code."""
         loop = asyncio.get_running_loop()
         if isinstance(loop, MeteredEventLoop):
             self.actors.router.core_load.cpu.idle_seconds = loop.idle_seconds
@@ -88,7 +89,7 @@
         self._log_counters()
         return self.exit_code
 
-    # startup
+    # Startup.
 
     def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
@@ -100,7 +101,7 @@
             loop.call_soon(self.configuration.reload)
 
     async def _start(self) -> None:
-        """Start the parts in the order in which they depend on one another; log when clients are served."""
+        """Start the components in the order of their dependencies, and log when clients are served."""
         config = self.configuration.config
         if config.cached_list is not None:
             self.actors.discovery.load_cached_list(config.cached_list)
@@ -112,7 +113,7 @@
             await self._management.listen(*config.management)
         await self._handover.start()
         await self._wait_for_discovery()
-        await asyncio.sleep(0)  # the router's first turn takes in the cached list
+        await asyncio.sleep(0)  # The router's task runs for the first time and applies the cached list.
         await self._listen()
         self._handover.on_serving()
         self.is_serving = True
@@ -121,9 +122,9 @@
         self._garbage_collector.start()
 
     async def _wait_for_discovery(self) -> None:
-        """Wait for discovery's first list where it must be known before this process says that it serves.
+        """Wait for discovery's first list if it must be known before this process reports that it serves.
 
-        That is so in an upgrade, and where lists are pushed, as a pushed list binds at once.
+        This is the case in an upgrade, and with pushed lists, as the router must follow a pushed list at once.
         """
         if self._handover.inherited is None and not self.actors.discovery.pushed:
             return
@@ -132,7 +133,7 @@
             await asyncio.wait_for(self.actors.router.discovery_reached.wait(), DISCOVERY_TIMEOUT_S)
 
     async def _listen(self) -> None:
-        """Bind the sockets of peers and clients, or use those that an old process handed over."""
+        """Bind the sockets for peers and clients, or use those that an old process handed over."""
         inherited = self._handover.inherited
         peer_listen = self.configuration.config.peer_listen
         if peer_listen is not None:
@@ -142,7 +143,7 @@
         listen = self.configuration.config.listen
         await self.actors.clients.listen(*listen, inherited_socket(inherited, CLIENTS, listen))
         if inherited is not None:
-            # A socket left open here would go on queueing connections that nobody accepts once the old process is gone.
+            # Once the old process has ended, a socket left open here would queue connections that are never accepted.
             for unused in inherited.sockets.values():
                 unused.close()
 
@@ -153,13 +154,13 @@
         self.actors.discovery.report_failure(repr(error))
         self._run_discovery()
 
-    # while it runs
+    # Operation.
 
     def _accepts_clients(self) -> bool:
         return self.is_serving and not self.stop_requested.is_set()
 
     def _on_failure(self, error: BaseException) -> None:
-        """End the process with exit code 1, without draining: an actor that it can't do without has failed."""
+        """End the process with exit code 1, without draining: an essential actor has failed."""
         self.exit_code = 1
         self.stop_requested.set()
 
--- a/starlingthread/router_process/resources.py
+++ b/starlingthread/router_process/resources.py
@@ -1,4 +1,4 @@
-"""What this process shares with another one during an upgrade: listening sockets, and a part of the resource limits."""
+"""The listening sockets and resource limits that this process shares with another one during an upgrade."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from .actors import RouterActors
 from .configuration import ActiveConfiguration
 
-DEFAULT_RESIDENT_MB = 20.0  # used where the system does not tell the resident set size
-CLIENTS, PEERS = "clients", "peers"  # names of the sockets that are handed over; part of the handover protocol
+DEFAULT_RESIDENT_MB = 20.0  # This is used where the system does not provide the resident set size.
+CLIENTS, PEERS = "clients", "peers"  # The names of the sockets in the handover protocol.
 
 
 def resident_mb() -> float:
@@ -29,7 +29,7 @@
 
 
 def inherited_socket(inherited: InheritedSockets | None, use: str, address: tuple[str, int]) -> socket.socket | None:
-    """Take the socket for a use and address out of those an old process handed over; None if there is none."""
+    """Remove and return the handed-over socket for a use and address; None if there is none."""
     return inherited.sockets.pop(f"{use} {address}", None) if inherited is not None else None
 
 
@@ -51,7 +51,7 @@
         self._supervisor = supervisor
         self._stop_requested = stop_requested
         self._on_failure = on_failure
-        self._idle_mb = resident_mb()  # before any connection is open
+        self._idle_mb = resident_mb()  # The memory of this process before any connection is open.
 
     def sockets(self) -> dict[str, socket.socket]:
         """Return the listening sockets by use and address."""
@@ -59,7 +59,7 @@
         return {f"{use} {sock.getsockname()}": sock for use, sock in sockets.items() if sock is not None}
 
     def apply_resource_share(self, share: float) -> None:
-        """Use at most this part, 0 to 1, of the configured descriptors and memory."""
+        """Use at most this share, 0 to 1, of the configured descriptors and memory."""
         config = self._configuration.config
         has_management = config.management is not None
         budgets = split_budgets(config.sockets, config.memory, self._idle_mb, share, has_management)
@@ -67,7 +67,7 @@
         self._management.max_connections = budgets.management_connections
 
     def pause_accepting(self) -> None:
-        """Stop accepting connections and receiving datagrams: a new process serves from now on."""
+        """Stop accepting connections and receiving datagrams, as a new process serves from now on."""
         self._actors.clients.pause_accepting()
         self._actors.members.pause()
         self._actors.failover.stop()
--- a/starlingthread/router_process/shutdown.py
+++ b/starlingthread/router_process/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: accept a little longer, answer what was accepted, and fail what is left at the end."""
+"""Graceful shutdown: accept for a short time, answer the open requests, and fail those that remain at the time-out."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 from ..logs import log
 from ..net.clients import ClientListener
 
-ACCEPT_AFTER_STOP_S = 0.5  # after SIGTERM new connections are accepted for this long
-DRAIN_TIMEOUT_S = 4.5  # after that, time to finish open requests; the longest deadline, if that is longer
-FAIL_TIMEOUT_S = 1.0  # after that, time to write the answers of the requests that were failed
-# A process that ends lives for the longest deadline, but at most MAX_DEADLINE_MS, and EXTRA_LIFETIME_MS more. Requests
-# that arrive during the shutdown are answered ANSWER_MARGIN_MS before that end.
+# After SIGTERM new connections are accepted for this long.
+ACCEPT_AFTER_STOP_S = 0.5
+# After that, open requests have this long to finish, or the longest deadline if that is longer.
+DRAIN_TIMEOUT_S = 4.5
+# After that, the error answers of the remaining requests have this long to be written.
+FAIL_TIMEOUT_S = 1.0
+# A process that shuts down runs for the longest deadline, limited to MAX_DEADLINE_MS, plus EXTRA_LIFETIME_MS. Requests
+# that arrive during the shutdown are answered at least ANSWER_MARGIN_MS before that end.
 MAX_DEADLINE_MS = 3000.0
 EXTRA_LIFETIME_MS = 700.0
 ANSWER_MARGIN_MS = 150.0
 
 
 async def drain(clients: ClientListener, router: Router) -> None:
-    """Finish the open requests. Those still open at the timeout are answered as failed, as no request may be lost."""
+    """Finish the open requests. Those still open at the time-out are answered as failed, as no request may be lost."""
     longest_deadline = max(request_class.deadline for request_class in router.settings.classes)
     lifetime = min(longest_deadline, MAX_DEADLINE_MS) + EXTRA_LIFETIME_MS
     answer_by = router.clock.now() + lifetime - ANSWER_MARGIN_MS
