--- a/starlingthread/failover/evidence.py
+++ b/starlingthread/failover/evidence.py
@@ -77,6 +77,6 @@
                 self.on_no_response(server, sent_at)
 
     def is_lost(self, server_count: int) -> bool:
-        """Tell whether enough of the zone's listed servers are silent for the zone to appear lost."""
+        """Return whether enough of the zone's listed servers are silent for the zone to appear lost."""
         required = max(MIN_SILENT_SERVERS, math.ceil(MIN_SILENT_SHARE * server_count))
         return server_count > 0 and len(self.unanswered_since) >= min(server_count, required)
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -65,21 +65,21 @@
         return self._witnesses[zone]
 
     def is_witness(self, zone: int) -> bool:
-        """Tell whether this router is a witness of a zone."""
+        """Return whether this router is a witness of a zone."""
         return self.router_index in self.witnesses(zone)
 
     def is_lost(self, zone: int) -> bool:
-        """Tell whether the fleet considers a zone lost."""
+        """Return whether the fleet considers a zone lost."""
         state = self.zones.get(zone)
         return state is not None and state.lost
 
     def is_open(self, now: float, zone: int, key: int) -> bool:
-        """Tell whether the plan lets a zone serve a key (a 64-bit hash)."""
+        """Return whether the plan lets a zone serve a key (a 64-bit hash)."""
         state = self.zones.get(zone)
         return state is None or mix(key ^ mix(zone + 1)) < state.open_share(now) * MASK
 
     def is_contested(self, now: float, zone: int) -> bool:
-        """Tell whether a zone is lost by the plan or by any valid vote."""
+        """Return whether a zone is lost by the plan or by any valid vote."""
         return self.is_lost(zone) or bool(self._lost_votes(now, zone))
 
     def lost_since(self, now: float, zone: int) -> float:
@@ -117,7 +117,7 @@
         return vote
 
     def receive_vote(self, now: float, vote: ZoneVote) -> bool:
-        """Merge a vote of another router; tell whether it is newer than the one that is held."""
+        """Merge a vote of another router; return whether it is newer than the one that is held."""
         if vote.witness == self.router_index or vote.sequence > now + MAX_SEQUENCE_AHEAD_MS:
             return False
         previous = self.votes.get(vote.zone, vote.witness)
--- a/starlingthread/failover/zones.py
+++ b/starlingthread/failover/zones.py
@@ -63,7 +63,7 @@
     # Admission and outcomes of requests.
 
     def is_open(self, now: float, zone: int, key: int) -> bool:
-        """Tell whether a request for a key (a 64-bit hash) may go to a zone now, as a normal or a trial request.
+        """Return whether a request for a key (a 64-bit hash) may go to a zone now, as a normal or a trial request.
 
         If no zone may serve the key, all zones but the drained ones may (fail open): either this router itself is
         partitioned, or no zone is in better health than the others.
--- a/starlingthread/membership/members.py
+++ b/starlingthread/membership/members.py
@@ -29,7 +29,7 @@
         self.state_since = 0.0  # ms
 
     def is_superseded_by(self, update: MemberUpdate) -> bool:
-        """Tell whether an update takes precedence: by incarnation, then by state.
+        """Return whether an update takes precedence: by incarnation, then by state.
 
         This is a total order, so members that have received the same updates, in any order and any number of times,
         agree on all states.
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The shape of the source tree: imports run one way, and no module grows beyond what one can read in a sitting."""
+"""The structure of the source tree: imports between packages have one direction, and modules have a size limit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parents[1]
 PACKAGE = "starlingthread"
 MAX_LINES = 400
-# A package on the left never imports one of those on its right, nor a module of theirs.
+# Each package (key) must not import any of the packages in its value, nor their modules.
 TOOLS = ("emulator", "load", "experiment", "analysis", "testbed", "baselines", "cli")
 FORBIDDEN = {
     **dict.fromkeys(("limits", "balance", "failover", "membership", "state"), ("core", "net", "handover", *TOOLS)),
@@ -32,7 +32,7 @@
 
 
 def imported_modules(name: str) -> set[str]:
-    """Return the modules of the package that a module imports, also those under TYPE_CHECKING or inside functions."""
+    """Return the modules of this project that a module imports, including those under TYPE_CHECKING or in functions."""
     path = SOURCES[name]
     package = name.split(".") if path.name == "__init__.py" else name.split(".")[:-1]
     found = set[str]()
@@ -52,42 +52,42 @@
 
 
 def cycles() -> list[set[str]]:
-    """Return the sets of modules that import one another in a circle."""
+    """Return the import cycles: sets of modules that import each other, directly or not."""
     reached: dict[str, set[str]] = defaultdict(set)
     for start in GRAPH:
-        open_ends = list(GRAPH[start])
-        while open_ends:
-            module = open_ends.pop()
+        pending = list(GRAPH[start])
+        while pending:
+            module = pending.pop()
             if module not in reached[start]:
                 reached[start].add(module)
-                open_ends += GRAPH[module]
+                pending += GRAPH[module]
     found: list[set[str]] = []
     for module in GRAPH:
-        circle = {other for other in reached[module] if module in reached[other]}
-        if circle and circle not in found:
-            found.append(circle)
+        cycle = {other for other in reached[module] if module in reached[other]}
+        if cycle and cycle not in found:
+            found.append(cycle)
     return found
 
 
-def test_no_modules_import_one_another_in_a_circle() -> None:
+def test_there_are_no_import_cycles() -> None:
     assert cycles() == []
 
 
 @pytest.mark.parametrize("package", FORBIDDEN)
-def test_imports_run_one_way_between_packages(package: str) -> None:
+def test_packages_import_no_forbidden_packages(package: str) -> None:
     for name, modules in GRAPH.items():
         if name.split(".")[1:2] == [package]:
-            upwards = {module for module in modules if module.split(".")[1] in FORBIDDEN[package]}
-            assert not upwards, (name, upwards)
+            forbidden_imports = {module for module in modules if module.split(".")[1] in FORBIDDEN[package]}
+            assert not forbidden_imports, (name, forbidden_imports)
 
 
 def test_a_router_process_imports_none_of_the_tools() -> None:
-    reached, open_ends = set[str](), [f"{PACKAGE}.__main__"]
-    while open_ends:
-        module = open_ends.pop()
+    reached, pending = set[str](), [f"{PACKAGE}.__main__"]
+    while pending:
+        module = pending.pop()
         if module not in reached:
             reached.add(module)
-            open_ends += GRAPH[module]
+            pending += GRAPH[module]
     assert not {module for module in reached if module.split(".")[1:2] and module.split(".")[1] in TOOLS}
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Zone failover: the same plan from the same votes, resistant to a faulty witness, damped, open if all is lost."""
+"""Zone failover: agreement of all routers, tolerance of a faulty witness, flap damping, and fail-open behaviour."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 from .balancer_driver import THROUGH, BalancerDriver, members, sends
 
-NOW = 1e12  # ms
+NOW_MS = 1e12
 KEY = b"0123456789abcdef"
-KEY_MULTIPLIER = 0x9E3779B97F4A7C15  # spreads small key numbers over 64 bits
+KEY_MULTIPLIER = 0x9E3779B97F4A7C15  # Spreads small key numbers over 64 bits.
 
 
 class Fleet:
     """Routers that exchange votes without delay, except for lost datagrams and partitioned routers."""
 
     def __init__(self, count: int, sizes: dict[int, int], loss: float = 0.0) -> None:
-        """Create routers and zones of some sizes; loss is the probability that a datagram is lost."""
-        self.now = NOW
+        """Create the routers and zones; sizes: servers by zone; loss: the probability that a datagram is lost."""
+        self.now = NOW_MS
         self.rng = Random(5)
         self.loss = loss
         self.sent_datagrams = 0
@@ -42,7 +42,7 @@
             router.set_servers((zone, zone * 10 + number) for zone, size in sizes.items() for number in range(size))
 
     def exchange_votes(self) -> None:
-        """Deliver all outgoing votes until there are no more."""
+        """Deliver outgoing votes until no router has any."""
         while any(router.outgoing_votes for router in self.routers):
             for sender, router in enumerate(self.routers):
                 votes = router.take_outgoing_votes()
@@ -52,10 +52,10 @@
                     if connected and self.rng.random() >= self.loss:
                         zones.receive_votes(self.now, votes)
 
-    def play(self, duration: float, unreachable: dict[int, set[int]]) -> None:
+    def run_for(self, duration: float, unreachable: dict[int, set[int]]) -> None:
         """Let each router send requests to each open zone for a duration (ms).
 
-        unreachable has, by zone, the routers that get no response from it.
+        unreachable: for each zone, the routers that get no response from it.
         """
         for _ in range(int(duration / 100.0)):
             self.now += 100.0
@@ -81,8 +81,8 @@
 def test_routers_with_the_same_votes_have_the_same_plan(
     vote_fields: list[tuple[int, ZoneStatus, int]], rng: Random
 ) -> None:
-    """Neither the order of the votes nor duplicates matter."""
-    unique: dict[tuple[int, int], ZoneVote] = {}  # a witness uses each sequence number once
+    """The plan depends neither on the order of the votes nor on duplicates."""
+    unique: dict[tuple[int, int], ZoneVote] = {}  # A witness uses each sequence number once.
     for witness, status, sequence in vote_fields:
         unique.setdefault((witness, sequence), ZoneVote(witness, 1, status, sequence))
     plans = []
@@ -91,16 +91,16 @@
         rng.shuffle(votes)
         plan = FailoverPlan(0, range(9))
         for vote in votes:
-            plan.receive_vote(NOW, vote)
-        plan.update_zone(NOW, 1)
-        plan.update_zone(NOW + SETTLE_TIME_MS, 1)
-        valid = sorted(received.vote for received in plan.valid_votes(NOW, 1))
+            plan.receive_vote(NOW_MS, vote)
+        plan.update_zone(NOW_MS, 1)
+        plan.update_zone(NOW_MS + SETTLE_TIME_MS, 1)
+        valid = sorted(received.vote for received in plan.valid_votes(NOW_MS, 1))
         plans.append((plan.is_lost(1), valid))
     assert plans[0] == plans[1]
 
 
 def test_every_order_and_loss_of_the_votes_of_three_witnesses_keeps_the_invariants() -> None:
-    """All states that two votes of each of two honest witnesses and one faulty one can lead to."""
+    """All orders of six votes: two by each of two correct witnesses and one faulty witness."""
     votes = [
         ZoneVote(1, 1, ZoneStatus.LOST, 1),
         ZoneVote(1, 1, ZoneStatus.HEALTHY, 2),
@@ -114,90 +114,93 @@
         plan = FailoverPlan(0, range(5))
         newest: dict[int, int] = {}
         for vote in order:
-            plan.receive_vote(NOW, vote)
-            plan.update_zone(NOW + SETTLE_TIME_MS, 1)
+            plan.receive_vote(NOW_MS, vote)
+            plan.update_zone(NOW_MS + SETTLE_TIME_MS, 1)
             newest[vote.witness] = max(newest.get(vote.witness, 0), vote.sequence)
-            valid = {received.vote.witness: received.vote for received in plan.valid_votes(NOW, 1)}
-            assert {witness: vote.sequence for witness, vote in valid.items()} == newest  # an older vote never returns
+            valid = {received.vote.witness: received.vote for received in plan.valid_votes(NOW_MS, 1)}
+            # An older vote never replaces a newer one.
+            assert {witness: vote.sequence for witness, vote in valid.items()} == newest
             lost = plan.is_lost(1)
             lost_votes = [vote for vote in valid.values() if vote.status == ZoneStatus.LOST]
-            assert not lost or len(lost_votes) >= 2  # one witness alone is not enough, honest or not
+            # The vote of a single witness is never enough, correct or faulty.
+            assert not lost or len(lost_votes) >= 2
             states.add((tuple(sorted(valid.values())), lost))
         assert not plan.is_lost(1)
     assert len(states) > 20 and any(lost for _, lost in states)
 
 
 def test_all_routers_agree_on_a_lost_zone_and_its_recovery_ramp() -> None:
-    """While it is lost, only the witnesses send trial requests to it."""
+    """Only the witnesses of the zone send trial requests to it while it is lost."""
     fleet = Fleet(40, {0: 4, 1: 4, 2: 4})
-    fleet.play(3000.0, {})
-    assert fleet.sent_datagrams == 0  # no votes while all zones are healthy
-    fleet.play(500.0, {1: set(range(40))})
+    fleet.run_for(3000.0, {})
+    assert fleet.sent_datagrams == 0  # No votes are sent while all zones are healthy.
+    fleet.run_for(500.0, {1: set(range(40))})
     assert fleet.count_lost(1) == 40 and fleet.count_lost(0) == fleet.count_lost(2) == 0
     trial_at = fleet.now + MAX_TRIAL_DELAY_MS
     trial_routers = [index for index, router in enumerate(fleet.routers) if router.is_open(trial_at, 1, 7)]
     assert sorted(trial_routers) == sorted(choose_witnesses(1, range(40)))
-    fleet.play(4000.0, {1: set(range(40))})
+    fleet.run_for(4000.0, {1: set(range(40))})
     assert fleet.count_lost(1) == 40
-    fleet.play(MAX_TRIAL_DELAY_MS + 500.0, {})
+    fleet.run_for(MAX_TRIAL_DELAY_MS + 500.0, {})
     assert fleet.count_lost(1) == 0
     shares = []
     for _ in range(60):
-        fleet.play(100.0, {})
+        fleet.run_for(100.0, {})
         shares.append(sum(fleet.routers[3].plan.is_open(fleet.now, 1, key * KEY_MULTIPLIER) for key in range(400)))
     assert shares == sorted(shares) and shares[-1] == 400
 
 
 def test_a_faulty_witness_a_partitioned_router_and_a_minority_close_no_zone_for_the_fleet() -> None:
-    """They avoid the zone by themselves, but it takes a quorum of witnesses to close it for all."""
+    """These routers avoid the zone themselves, but only a quorum of witnesses closes it for all routers."""
     fleet = Fleet(9, {0: 3, 1: 3, 2: 3})
-    fleet.play(1000.0, {})
-    fleet.play(3000.0, {1: {4}})  # one router's link or evidence is faulty
+    fleet.run_for(1000.0, {})
+    fleet.run_for(3000.0, {1: {4}})  # The link or the evidence of one router is faulty.
     assert (
         fleet.count_lost(1) == 0
         and not fleet.routers[4].is_open(fleet.now, 1, 7)
         and fleet.routers[5].is_open(fleet.now, 1, 7)
     )
-    fleet.play(3000.0, {1: {0, 1, 2, 3}})  # four of nine cannot reach the zone: each avoids it by itself
+    # Four of nine routers cannot reach the zone; only these four avoid it.
+    fleet.run_for(3000.0, {1: {0, 1, 2, 3}})
     assert fleet.count_lost(1) == 0
-    unbeatable = ZoneVote(8, 1, ZoneStatus.LOST, int(fleet.now + 10 * 3600e3))
+    far_future_vote = ZoneVote(8, 1, ZoneStatus.LOST, int(fleet.now + 10 * 3600e3))
     for router in fleet.routers:
-        router.receive_votes(fleet.now, [unbeatable])
+        router.receive_votes(fleet.now, [far_future_vote])
     newest = [router.plan.votes.get(1, 8) for router in fleet.routers]
     assert not any(received and received.vote.sequence > fleet.now + 3600e3 for received in newest)
 
 
 @pytest.mark.parametrize("loss", [0.33, 1.0])
 def test_lost_datagrams_delay_the_plan_and_without_any_votes_each_router_decides_by_itself(loss: float) -> None:
-    """The loss of a third, and of all datagrams."""
+    """A third of the datagrams are lost, or all of them."""
     fleet = Fleet(20, {0: 4, 1: 4}, loss)
-    fleet.play(1000.0, {})
+    fleet.run_for(1000.0, {})
     all_routers = set(range(20))
-    fleet.play(4000.0, {1: all_routers})
+    fleet.run_for(4000.0, {1: all_routers})
     assert fleet.count_lost(1) == (20 if loss < 1 else 0)
     assert sum(router.is_open(fleet.now, 1, 7) for router in fleet.routers) < 8
     assert all(router.is_open(fleet.now, 0, 7) for router in fleet.routers)
 
 
 def test_a_router_that_stalled_does_not_act_on_its_old_plan() -> None:
-    """The votes' lifetime bounds how long a plan holds."""
+    """The lifetime of the votes bounds how long a plan stays in effect."""
     fleet = Fleet(9, {0: 3, 1: 3})
-    fleet.play(1000.0, {})
-    fleet.play(2000.0, {1: set(range(9))})
+    fleet.run_for(1000.0, {})
+    fleet.run_for(2000.0, {1: set(range(9))})
     stalled = fleet.routers[2]
     assert stalled.plan.zones[1].lost
     fleet.partitioned = {2}
     fleet.now += VOTE_LIFETIME_MS + 1.0
     stalled.tick(fleet.now)
-    assert not stalled.plan.zones[1].lost  # the votes have expired
+    assert not stalled.plan.zones[1].lost  # The votes have expired.
 
 
 def test_a_flapping_zone_stays_closed_longer_each_time() -> None:
-    """The hold time doubles: an exponential backoff."""
+    """The hold time doubles with each loss (exponential backoff)."""
     plan = FailoverPlan(0, range(5))
     hold_times = []
     for loss in range(4):
-        at = NOW + loss * 10000.0
+        at = NOW_MS + loss * 10000.0
         for status, delay in ((ZoneStatus.LOST, 0.0), (ZoneStatus.HEALTHY, 1000.0)):
             for witness in (1, 2, 3):
                 plan.receive_vote(at + delay, ZoneVote(witness, 1, status, int(at + delay)))
@@ -209,25 +212,29 @@
 
 
 def test_if_all_zones_appear_lost_none_is_avoided() -> None:
-    """Fail open, except for zones that operators drained."""
+    """Routing fails open, except for zones that operators have drained."""
     zones = ZoneFailover(0, range(3))
     zones.set_servers([(0, 1), (0, 2), (1, 11), (1, 12)])
     for zone in (0, 1):
         for server in (1, 2):
-            zones.on_no_response(NOW, zone, zone * 10 + server, NOW - 1.0)
-    assert zones.is_open(NOW, 0, 7) and zones.is_open(NOW, 1, 7)
+            zones.on_no_response(NOW_MS, zone, zone * 10 + server, NOW_MS - 1.0)
+    assert zones.is_open(NOW_MS, 0, 7) and zones.is_open(NOW_MS, 1, 7)
     zones.drained = frozenset({0})
-    assert not zones.is_open(NOW, 0, 7) and zones.is_open(NOW, 1, 7) and zones.open_shares(NOW) == {0: 0.0, 1: 0.0}
+    assert (
+        not zones.is_open(NOW_MS, 0, 7)
+        and zones.is_open(NOW_MS, 1, 7)
+        and zones.open_shares(NOW_MS) == {0: 0.0, 1: 0.0}
+    )
     zones.drained = frozenset()
-    zones.on_response(NOW + 1.0, 0, 1, 5.0)
-    assert zones.is_open(NOW + 1.0, 0, 7) and not zones.is_open(NOW + 1.0, 1, 7)
-    assert zones.is_open(NOW + FIRST_TRIAL_DELAY_MS, 1, 7)
-    zones.on_sent(NOW + FIRST_TRIAL_DELAY_MS, 1, 11)
-    assert not zones.is_open(NOW + 2 * FIRST_TRIAL_DELAY_MS - 1.0, 1, 7)
+    zones.on_response(NOW_MS + 1.0, 0, 1, 5.0)
+    assert zones.is_open(NOW_MS + 1.0, 0, 7) and not zones.is_open(NOW_MS + 1.0, 1, 7)
+    assert zones.is_open(NOW_MS + FIRST_TRIAL_DELAY_MS, 1, 7)
+    zones.on_sent(NOW_MS + FIRST_TRIAL_DELAY_MS, 1, 11)
+    assert not zones.is_open(NOW_MS + 2 * FIRST_TRIAL_DELAY_MS - 1.0, 1, 7)
 
 
-def test_one_silent_server_or_an_old_request_is_no_lost_zone() -> None:
-    """Evidence must come from several servers, after the last response of the zone."""
+def test_one_silent_server_or_an_old_request_does_not_mark_a_zone_as_lost() -> None:
+    """The evidence must come from several servers and be newer than the last response of the zone."""
     evidence = ZoneEvidence()
     for _ in range(9):
         evidence.on_no_response(1, 5.0)
@@ -237,13 +244,13 @@
     evidence.on_no_response(3, 9.0)
     assert not evidence.is_lost(4) and not evidence.is_lost(0)
     evidence.on_no_response(7, 15.0)
-    evidence.retain_servers({1, 2, 8})  # a server that is no longer listed is no evidence
+    evidence.retain_servers({1, 2, 8})  # A server that is no longer listed provides no evidence.
     assert not evidence.unanswered_since
     for server in (1, 2):
         evidence.on_sent(20.0, server)
     evidence.expire_pending(20.0 + MIN_OVERDUE_MS)
     assert not evidence.is_lost(4)
-    evidence.expire_pending(21.0 + MIN_OVERDUE_MS)  # twenty times the response time: long before a time-out
+    evidence.expire_pending(21.0 + MIN_OVERDUE_MS)  # Twenty times the response time, well before a request time-out.
     assert evidence.is_lost(4)
 
 
@@ -254,7 +261,7 @@
 def test_datagrams_are_short_and_invalid_ones_rejected(
     vote_fields: list[tuple[int, ZoneStatus, int]], data: st.DataObject
 ) -> None:
-    """Corrupt, truncated or unauthenticated datagrams, a wrong sender or an unknown zone raise an error."""
+    """Datagrams that are corrupt, truncated or unauthenticated, and a wrong sender or unknown zone, raise an error."""
     votes = [ZoneVote(3, *fields) for fields in vote_fields]
     datagram = encode(3, votes, KEY)
     assert (
@@ -278,7 +285,7 @@
 
 
 def test_regions_are_checked_and_unknown_zones_are_reported() -> None:
-    """A zone of two regions and a negative round-trip time are errors."""
+    """A zone in two regions and a negative round-trip time are errors."""
     topology = Topology(("a", "b", "c"), {"east": ["a", "b", "z"]})
     assert [topology.distance(0, zone) for zone in (0, 1, 2, 9)] == [0, 1, 2, 2] and topology.unknown_zones == ["z"]
     with pytest.raises(TopologyError, match="'a' is in the regions 'east' and 'west'"):
@@ -305,7 +312,7 @@
     ],
 )
 def test_a_renamed_key_of_the_operators_file_is_an_error_with_the_new_name(text: str, error: str) -> None:
-    """Operators who upgrade see at once what to change."""
+    """The error shows operators who upgrade what they have to change."""
     with pytest.raises(options.OptionsError) as raised:
         options.parse(text, "own.toml")
     assert str(raised.value) == error
--- a/tests/test_failover_process.py
+++ b/tests/test_failover_process.py
@@ -1,4 +1,4 @@
-"""Zone failover of real router processes: a lost zone, and a partition that few routers see. Loopback only."""
+"""Zone failover with real router processes on loopback: a lost zone, and a partition that affects few routers."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 length_s = 0.5
 routers = [1]
 """
-# One way, and for the routers of one zone only: the others get the responses of bloco-b's servers.
+# Only one direction fails, and only for the routers of one zone; the others get the responses of bloco-b's servers.
 PARTIAL_PARTITION = """
 [[faults]]
 kind = "link-cut"
@@ -55,8 +55,8 @@
 ZONE_EVENT = re.compile(r"(zone-lost|zone-recovered).*?\bzone=(\S+)")
 
 
-def play_zone_events(folder: Path, faults: str, *settings: str) -> list[list[tuple[str, str]]]:
-    """Play the scenario with faults; return the zone events that each router logged, with the zones' names."""
+def logged_zone_events(folder: Path, faults: str, *settings: str) -> list[list[tuple[str, str]]]:
+    """Run the scenario with faults; return the zone events that each router logged, as pairs of event and zone name."""
     spec = scenario_file.parse(SCENARIO + faults, "failover", settings)
     outcome = play(spec, folder=folder)
     assert not judge(spec, outcome.ledger).counts
@@ -65,17 +65,17 @@
 
 def test_all_routers_close_and_reopen_a_lost_zone_and_a_restarted_one_adopts_the_plan(tmp_path: Path) -> None:
     """The zone is lost twice; a router is killed and restarted during the first outage."""
-    for router, events in enumerate(play_zone_events(tmp_path, ZONE_OUTAGES)):
-        # All routers log the same; the one that was killed during the outage logs the loss once more after its start.
+    for router, events in enumerate(logged_zone_events(tmp_path, ZONE_OUTAGES)):
+        # All routers log the same events; the one killed during the outage logs the loss again after its restart.
         expected = [("zone-lost", "bloco-b"), ("zone-recovered", "bloco-b")] * 2
         assert events == ([("zone-lost", "bloco-b")] if router == 1 else []) + expected, (router, events)
 
 
-def test_a_partition_that_only_the_routers_of_one_zone_see_closes_no_zone_for_the_fleet(tmp_path: Path) -> None:
-    """They are a minority of the witnesses."""
-    assert play_zone_events(tmp_path, PARTIAL_PARTITION) == [[]] * 9
+def test_a_partition_that_affects_only_the_routers_of_one_zone_closes_no_zone_for_the_fleet(tmp_path: Path) -> None:
+    """These routers are a minority of the witnesses."""
+    assert logged_zone_events(tmp_path, PARTIAL_PARTITION) == [[]] * 9
 
 
 def test_without_the_setting_no_router_logs_a_zone_event(tmp_path: Path) -> None:
     """Failover is off if the operators' file disables it."""
-    assert play_zone_events(tmp_path, ZONE_OUTAGES, "routers.options.failover.enabled=false") == [[]] * 9
+    assert logged_zone_events(tmp_path, ZONE_OUTAGES, "routers.options.failover.enabled=false") == [[]] * 9
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -1,4 +1,4 @@
-"""When full garbage collections run."""
+"""The schedule of full garbage collections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 
 
 def test_collections_run_periodically_and_after_many_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In soak plays with a crowd routers had grown by 13 to 17 MB at the end, all of it garbage of a few seconds."""
+    """Guards against memory growth between periodic collections.
+
+    Routers in soak runs with bursts of connections had grown by 13 to 17 MB at the end, all of it garbage from the last
+    few seconds.
+    """
     collections: list[float] = []
     clock, deadlines, counters = ManualClock(), Deadlines(), Counters()
     for name in ("freeze", "set_threshold"):
@@ -23,7 +27,7 @@
     GarbageCollector(clock, deadlines, counters).start()
     collections.clear()
 
-    def pass_time(duration: float) -> int:
+    def collections_within(duration: float) -> int:
         until = clock.time + duration
         while (due := deadlines.first()) is not None and due <= until:
             clock.time = due
@@ -33,10 +37,10 @@
         collections.clear()
         return count
 
-    assert pass_time(3.5 * FULL_COLLECTION_PERIOD_MS) == 3
+    assert collections_within(3.5 * FULL_COLLECTION_PERIOD_MS) == 3
     counters["clients.accepted"] += MAX_ACCEPTED_CONNECTIONS - 1
-    assert pass_time(0.1 * FULL_COLLECTION_PERIOD_MS) == 0
+    assert collections_within(0.1 * FULL_COLLECTION_PERIOD_MS) == 0
     counters["clients.accepted"] += 1
-    assert pass_time(0.1 * FULL_COLLECTION_PERIOD_MS) == 1
-    assert pass_time(0.9 * FULL_COLLECTION_PERIOD_MS) == 0
-    assert pass_time(0.2 * FULL_COLLECTION_PERIOD_MS) == 1
+    assert collections_within(0.1 * FULL_COLLECTION_PERIOD_MS) == 1
+    assert collections_within(0.9 * FULL_COLLECTION_PERIOD_MS) == 0
+    assert collections_within(0.2 * FULL_COLLECTION_PERIOD_MS) == 1
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Requests and connections that cross the graceful shutdown of a router, on real sockets."""
+"""Requests and connections that arrive during the graceful shutdown of a router, on real sockets."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 def test_connections_queued_when_the_listening_socket_closes_are_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They are reset with it, and so were those that were taken but had not become connections yet."""
+    """Guards against resets of connections that are queued, or accepted without an actor yet, as the socket closes."""
     monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             harness.program.stop_requested.set()
             peers = []
-            for number in range(60):  # in one step of the loop: nobody accepts meanwhile
+            for number in range(60):  # Within one event loop iteration, so that none is accepted meanwhile.
                 sock = socket.create_connection(("127.0.0.1", harness.port))
                 sock.sendall(read_command(number))
                 peers.append(Peer(sock))
@@ -36,7 +36,7 @@
                 b"VA 1 O%d\r\nx\r\n" % number for number in range(60)
             ]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_late_request_on_a_busy_connection_is_answered_before_the_process_ends(
@@ -44,40 +44,40 @@
 ) -> None:
     monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client, _ = await request_in_flight(harness)
             harness.program.stop_requested.set()
             await until(lambda: harness.program.actors.clients._accept_loop is None)
             await client.send(read_command(2))
-            late = await harness.server.accept()
-            wait = float((await late.until(b"\r\n")).split(b"d=")[1])
-            assert 3000.0 < wait < shutdown.MAX_DEADLINE_MS + shutdown.EXTRA_LIFETIME_MS
+            late_server = await harness.server.accept()
+            timeout_ms = float((await late_server.until(b"\r\n")).split(b"d=")[1])
+            assert 3000.0 < timeout_ms < shutdown.MAX_DEADLINE_MS + shutdown.EXTRA_LIFETIME_MS
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_requests_unanswered_when_the_process_ends_fail(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
     monkeypatch.setattr(shutdown, "DRAIN_TIMEOUT_S", 0.05)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client, _ = await request_in_flight(harness)
-            classes = tuple(cls._replace(deadline=1.0) for cls in harness.router.settings.classes)
+            classes = tuple(request_class._replace(deadline=1.0) for request_class in harness.router.settings.classes)
             harness.router.settings = harness.router.settings._replace(classes=classes)
             harness.program.stop_requested.set()
             assert await client.rest() == b"SERVER_ERROR failed\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_the_longest_deadline_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A class may have a longer one than a process usually takes to end."""
+    """The deadline of a request class may be longer than the usual duration of a shutdown."""
     monkeypatch.setattr(shutdown, "ACCEPT_AFTER_STOP_S", 0.0)
     monkeypatch.setattr(shutdown, "DRAIN_TIMEOUT_S", 0.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client, server = await request_in_flight(harness)
             harness.program.stop_requested.set()
@@ -86,4 +86,4 @@
             await server.send(value_answer(1))
             assert await client.rest() == b"VA 1 O1\r\nx\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -70,11 +70,11 @@
 @pytest.mark.parametrize(
     ("known_red", "error"),
     [
-        ("tests/test_some.py::test_good | pytest | it is not | issue 7\n", None),  # it passes
+        ("tests/test_some.py::test_good | pytest | it is not | issue 7\n", None),  # The test passes.
         ("tests/test_some.py::test_none | pytest | who | issue 7\n", "there is no test tests/test_some.py::test_none"),
         ("tests/test_other.py::test_none | pytest | who knows | issue 7\n", "there is no test"),
         ("tests/test_other.py::test_none | pytest | 1 of 9 runs: who knows | issue 7\n", "there is no test"),
-        ("tests/test_some.py::test_bad | it is false | issue 7\n", FORM_ERROR),  # the older form
+        ("tests/test_some.py::test_bad | it is false | issue 7\n", FORM_ERROR),  # The form of earlier versions.
         ("tests/test_some.py::test_bad | pytest | | issue 7\n", FORM_ERROR),
         ("tests/test_some.py::test_bad | | it is false | issue 7\n", FORM_ERROR),
         ("tests/test_some.py::test_bad | pytest | it is false |\n", FORM_ERROR),
@@ -110,8 +110,8 @@
 
 
 def test_a_test_that_fails_only_at_times_may_fail_and_hides_no_other(tmp_path: Path) -> None:
-    bad_at_times = BAD_ENTRY.replace("it is false", "1 of 9 runs: it is false")
-    code, output = run_pytest(tmp_path, bad_at_times)
+    intermittent_entry = BAD_ENTRY.replace("it is false", "1 of 9 runs: it is false")
+    code, output = run_pytest(tmp_path, intermittent_entry)
     assert code == 1 and "1 failed, 3 passed, 1 xfailed" in output
 
 
--- a/tests/test_members_process.py
+++ b/tests/test_members_process.py
@@ -1,4 +1,4 @@
-"""Membership among real router processes: one killed, one stopped, one partitioned. Loopback only."""
+"""Membership of real router processes on loopback: one is killed, one is stopped, one is partitioned."""
 
 from __future__ import annotations
 
@@ -42,25 +42,25 @@
 
 
 def members_down(events: list[tuple[str, int]]) -> set[int]:
-    """Return the members that were logged as down."""
+    """Return the members with a member-down event."""
     return {member for event, member in events if event == "member-down"}
 
 
 def test_dead_and_stopped_routers_are_detected_and_rejoin_and_no_others_are_declared_dead(tmp_path: Path) -> None:
-    """The other routers log member-down and then member-up for just these two."""
+    """The other routers log member-down and then member-up for these two routers only."""
     spec = scenario_file.parse(SCENARIO, "members")
     outcome = play(spec, folder=tmp_path)
     assert not judge(spec, outcome.ledger).counts
     events: dict[int, list[tuple[str, int]]] = {}
     for router in range(6):
         log = (tmp_path / f"r{router}.log").read_text()
-        before_shutdown, _, _ = log.rpartition("stopping")  # routers that leave announce it
+        before_shutdown, _, _ = log.rpartition("stopping")  # Routers announce it when they leave.
         events[router] = [(event, int(member)) for event, member in MEMBER_EVENT.findall(before_shutdown)]
     for router in (0, 1, 3, 5):
         assert members_down(events[router]) == {2, 4}, events[router]
         for member in (2, 4):
             after_down = events[router][events[router].index(("member-down", member)) :]
             assert ("member-up", member) in after_down, events[router]
-    # The stopped router declared no member dead by itself when it went on, nor did the restarted one: they may learn
-    # by gossip which members were.
+    # Neither the stopped router, after it continued, nor the restarted one declared a member dead by itself. They may
+    # learn by gossip which members were dead.
     assert members_down(events[2] + events[4]) <= {2, 4}, (events[2], events[4])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The router as a process: valid and invalid configuration at startup and on SIGHUP."""
+"""The router as a process, with valid and invalid configuration files at startup and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_sighup_applies_a_valid_file_and_ignores_an_invalid_one(tmp_path: Path) -> None:
-    """The default action of the signal would end the process."""
+    """Guards against the default action of SIGHUP, which ends the process."""
     path = tmp_path / "config.json"
     config = {
         "listen": f"127.0.0.1:{free_port()}",
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that are reloaded while requests are in flight or the process starts."""
+"""Reloads of the settings while requests are in flight or the process starts."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def test_a_class_removed_while_a_value_is_received_fails_that_request_alone(tmp_path: Path) -> None:
-    """The module's actor ended by it, and the process with it."""
+    """Guards against an exception that ended the actor of the decision module, and with it the process."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client()
             await client.send(b"ms k 100000 O1 Pc=keyed,d=5000\r\n")
@@ -33,11 +33,11 @@
             await server.send(value_answer(2))
             assert await client.until(b"x\r\n") == b"VA 1 O2\r\nx\r\n"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_requests_keep_the_class_settings_they_began_with(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client()
             await client.send(b"ms k 1 O1 Pc=once,d=5000\r\nx\r\n")
@@ -45,18 +45,19 @@
             await server.until(b"x\r\n")
             harness.reload([{**CLASSES[2], "effect": "repeatable"}])
             server.reset()
-            assert await client.until(b"\r\n") == b"SERVER_ERROR failed\r\n"  # it may have run, and must not again
+            # The write may have been executed, so it must not be retried.
+            assert await client.until(b"\r\n") == b"SERVER_ERROR failed\r\n"
             assert harness.counters["attempts.started"] == 1 and harness.counters["module.errors"] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_reload_signal_during_start_neither_ends_the_process_nor_is_lost(tmp_path: Path) -> None:
-    """The signal's own effect ends a program; the file may have been read just before it."""
+    """Guards against the default action of SIGHUP, and against a signal that arrives just after the file was read."""
     deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
     command = deploy["run"].replace(".venv/bin/python", sys.executable)
     path, port = tmp_path / "config.json", free_port()
-    os.mkfifo(path)  # opening it waits for the other side, so the process is held where it reads its file
+    os.mkfifo(path)  # Opening a FIFO blocks, so the process waits where it reads its file.
     config = {
         "listen": f"127.0.0.1:{port}",
         "discovery": "127.0.0.1:1",
@@ -73,14 +74,14 @@
             file.write(json.dumps(config))
             new = tmp_path / "new.json"
             new.write_text(json.dumps({**config, "discovery": "127.0.0.1:2"}))
-            new.replace(path)  # what it has open is the old one
+            new.replace(path)  # The process still has the FIFO open.
         assert any("reloaded discovery=127.0.0.1:2" in line for line in router.stderr)
         watchdog.cancel()
         router.kill()
 
 
 def test_a_signal_before_the_process_reads_its_file_does_not_end_it() -> None:
-    """The interpreter takes some 0.1 s before any line of ours runs."""
+    """The interpreter needs about 0.1 s to start, before the program can install any signal handler."""
     deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
     command = deploy["run"].replace("exec ", "kill -HUP $$; kill -USR1 $$; exec true || exec ", 1)
     assert subprocess.run(["/bin/sh", "-c", command], check=False, timeout=LIMIT).returncode == 0
