--- a/starlingthread/config.py
+++ b/starlingthread/config.py
@@ -88,7 +88,7 @@
 
 
 def _shape_difference(expected: JsonShape, raw: dict[str, Any]) -> str:
-    """Return the first difference of a JSON object from an expected shape; an empty text if it matches."""
+    """Return the first difference of a JSON object from an expected shape; an empty text if it has all of it."""
     actual = json_shape(raw)
     for path, type_name in expected.items():
         if path not in actual:
@@ -107,8 +107,8 @@
 def read_config(path: str, expected_shape: JsonShape | None = None) -> Config:
     """Read the configuration file. Raise a ConfigError whose text is a single line.
 
-    expected_shape: on a reload, the shape of the file that was read first. A different shape is an error, so that a
-    file that was truncated but is still valid JSON does not take effect.
+    expected_shape: on a reload, the shape of the file that was read first. A missing value or one of another type is
+    an error, so that a file that was truncated but is still valid JSON does not take effect.
     """
     try:
         raw: dict[str, Any] = json.loads(Path(path).read_text(), parse_constant=_reject_constant)
