--- a/starlingthread/net/clients/context.py
+++ b/starlingthread/net/clients/context.py
@@ -30,8 +30,8 @@
     counters: Counters
     deadlines: Deadlines
     budget: ByteBudget  # shared by all chunked values, in either direction
-    buffered: int  # bytes of values that all response slots hold
-    max_buffered: int
+    buffered_bytes: int  # bytes of values that all response slots hold
+    max_buffered_bytes: int
     classes: dict[str, RequestClass]  # by name
     open_ids: set[bytes]  # ids of the requests that await their answer, on all connections
     draining: bool  # connections are closed behind their responses
--- a/starlingthread/net/clients/listener.py
+++ b/starlingthread/net/clients/listener.py
@@ -46,7 +46,7 @@
         supervisor: TaskSupervisor,
         max_clients: int,
         idle_client_threshold: int,
-        max_buffered: int,
+        max_buffered_bytes: int,
         is_ready: Callable[[], bool],
     ) -> None:
         self.router = router
@@ -55,8 +55,8 @@
         self.counters = router.counters
         self.deadlines = router.deadlines
         self.budget = ByteBudget(0)  # for chunked values, in either direction
-        self.buffered = 0  # bytes of values that all response slots hold
-        self.max_buffered = max_buffered
+        self.buffered_bytes = 0  # bytes of values that all response slots hold
+        self.max_buffered_bytes = max_buffered_bytes
         self.max_clients = max_clients
         self.idle_client_threshold = idle_client_threshold
         self.is_ready = is_ready
--- a/starlingthread/net/clients/requests.py
+++ b/starlingthread/net/clients/requests.py
@@ -124,7 +124,7 @@
         )
 
     def _submit(self, request: PendingRequest) -> None:
-        if self._listener.buffered > self._listener.max_buffered:
+        if self._listener.buffered_bytes > self._listener.max_buffered_bytes:
             self._listener.counters.increment("requests.memory_full")
             self._listener.router.reject(request)
         else:
--- a/starlingthread/net/clients/responses.py
+++ b/starlingthread/net/clients/responses.py
@@ -56,7 +56,7 @@
 
     def reserve(self, slot: ResponseSlot, size: int) -> None:
         """Set the bytes that a slot holds."""
-        self._listener.buffered += size - slot.reserved_bytes
+        self._listener.buffered_bytes += size - slot.reserved_bytes
         slot.reserved_bytes = size
 
     def put(self, slot: ResponseSlot, *parts: bytes) -> None:
--- a/starlingthread/router_process/actors.py
+++ b/starlingthread/router_process/actors.py
@@ -47,7 +47,7 @@
     def apply_budgets(self, budgets: ResourceBudgets) -> None:
         """Set the limits on connections and buffered values."""
         self.clients.apply_limits(budgets.max_clients, budgets.idle_client_threshold)
-        self.clients.max_buffered = budgets.buffered_values
+        self.clients.max_buffered_bytes = budgets.buffered_values
         self.clients.budget.limit = budgets.streamed_values
         self.fleet.set_connection_limit(budgets.server_connections)
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -23,7 +23,7 @@
 from starlingthread.net.clients import ClientConnectionActor
 from starlingthread.router_process.process import RouterProcess
 
-LIMIT = 20.0  # s of real time; time-out of each wait of a script
+WAIT_TIMEOUT_S = 20.0  # s of real time; time-out of each wait of a script
 
 
 class Peer:
@@ -36,11 +36,11 @@
 
     async def send(self, data: bytes) -> None:
         """Hand bytes to the system."""
-        await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(self.socket, data), LIMIT)
+        await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(self.socket, data), WAIT_TIMEOUT_S)
 
     async def receive(self) -> bytes:
         """Return some bytes, none at the end of file; raise ConnectionResetError on a reset."""
-        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.socket, 65536), LIMIT)
+        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.socket, 65536), WAIT_TIMEOUT_S)
 
     async def until(self, end: bytes) -> bytes:
         """Return what arrives, up to and including a terminator."""
@@ -52,7 +52,7 @@
         received, self.unread = self.unread[:position], self.unread[position:]
         return received
 
-    async def rest(self) -> bytes:
+    async def read_to_eof(self) -> bytes:
         """Return all that arrives up to the end of file."""
         while data := await self.receive():
             self.unread += data
@@ -85,7 +85,7 @@
 
     async def accept(self) -> Peer:
         """Return the next connection."""
-        sock, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.socket), LIMIT)
+        sock, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.socket), WAIT_TIMEOUT_S)
         self.accepted.append(Peer(sock))
         return self.accepted[-1]
 
@@ -114,12 +114,12 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Let the event loop run until a condition holds."""
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0)
 
 
-async def step(turns: int = 20) -> None:
+async def run_loop_turns(turns: int = 20) -> None:
     """Let the event loop take some turns."""
     for _ in range(turns):
         await asyncio.sleep(0)
@@ -159,7 +159,7 @@
     return b"VA 1 O%d h1\r\nx\r\n" % number
 
 
-WATCHED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_HEADERS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CLASSES = [
     {"name": "read", "effect": "repeatable", "promiseMs": 4000.0, "hardLimitMs": 9000.0},
     {
@@ -289,6 +289,6 @@
         if not harness.program.stop_requested.is_set():
             harness.program.exit_code = harness.program.exit_code or 1  # ends at once
         harness.program.stop_requested.set()
-        await asyncio.wait_for(task, LIMIT)
+        await asyncio.wait_for(task, WAIT_TIMEOUT_S)
         gc.unfreeze()
         gc.set_threshold(*thresholds)
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -14,7 +14,18 @@
 import psutil
 import pytest
 
-from .peers import CLASSES, LIMIT, WATCHED, Listener, Peer, chunk, connect, entry, free_port, listing
+from .peers import (
+    CLASSES,
+    WAIT_TIMEOUT_S,
+    WATCH_HEADERS,
+    Listener,
+    Peer,
+    chunk,
+    connect,
+    entry,
+    free_port,
+    listing,
+)
 
 SOCKETS = 96
 MAX_MEMORY_GROWTH = 25.0  # MB that a router's memory may grow by while it is flooded
@@ -113,7 +124,7 @@
         env={**os.environ, "LB_CONFIG": str(router.config_path), "TMPDIR": str(folder)},
     )
     try:
-        async with asyncio.timeout(3 * LIMIT):
+        async with asyncio.timeout(3 * WAIT_TIMEOUT_S):
             yield router
             router.process.terminate()
             _, log = await router.process.communicate()
@@ -145,7 +156,7 @@
             watch = await discovery.accept()
             await watch.until(b"\r\n\r\n")
             first, second = router.entries
-            await watch.send(WATCHED + chunk(listing(2, {**first, "status": "terminating"}, second) + b"\n"))
+            await watch.send(WATCH_HEADERS + chunk(listing(2, {**first, "status": "terminating"}, second) + b"\n"))
             idle += [await router.connect_and_send(b"mn\r\n" if n % 2 else b"") for n in range(SOCKETS)]
             client = await connect(router.listen_port)
             await client.send(b"mg k v O1 Pc=read,d=5000\r\n")
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -14,7 +14,7 @@
 from starlingthread.net.clients import limits
 from starlingthread.net.clients.limits import MAX_PIPELINED
 
-from .peers import Peer, RouterHarness, read_command, running_router, step, until
+from .peers import Peer, RouterHarness, read_command, run_loop_turns, running_router, until
 
 
 @pytest.mark.parametrize("disconnect", ["close", "reset", "half_close"])
@@ -28,7 +28,7 @@
             await until(lambda: harness.counters["attempts.started"] == MAX_PIPELINED)
             getattr(client, disconnect)()
             await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED)
-            await step()
+            await run_loop_turns()
             assert harness.counters["attempts.started"] == MAX_PIPELINED and not harness.router.requests
 
     asyncio.run(play())
@@ -46,7 +46,7 @@
             transport: Any = harness.actor_of(client).writer.transport
             await until(lambda: not transport.is_reading())
             getattr(client, disconnect)()
-            await step()
+            await run_loop_turns()
             harness.router.clock._base += limits.DISCONNECT_CHECK_INTERVAL_MS
             harness.router.mailbox.wake()
             await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED)
@@ -77,7 +77,7 @@
                     and harness.counters["attempts.ok"] == 1
                 )
             )
-            await step()
+            await run_loop_turns()
             client.half_close()  # it reads nothing, so the writer goes on waiting
             await until(lambda: harness.counters["requests.cancelled"] == 1)
             assert not harness.router.requests and actor in harness.program.actors.clients.connections
@@ -125,7 +125,7 @@
             actor.on_disconnect()
             await client.send(read_command(1))
             await until(lambda: not harness.program.actors.clients.connections)
-            await step()
+            await run_loop_turns()
             assert harness.counters["attempts.started"] == 0 and not harness.router.requests
 
     asyncio.run(play())
--- a/tests/test_connections_beyond_places.py
+++ b/tests/test_connections_beyond_places.py
@@ -168,7 +168,7 @@
             await clients[0].until(b"x\r\n")
             assert accept_loop_of(harness)._queue.is_shut
             harness.router.clock._base += MIN_IDLE_SATURATED_MS
-            assert await clients[0].rest() == b""
+            assert await clients[0].read_to_eof() == b""
             assert was_shut == [False]
 
     asyncio.run(play())
@@ -199,7 +199,7 @@
             await servers[1].until(b"\r\n")
             await servers[1].send(value_answer(200))
             assert await Peer(late).until(b"x\r\n") == b"VA 1 O200\r\nx\r\n"
-            assert await clients[1].rest() == b""
+            assert await clients[1].read_to_eof() == b""
             assert harness.counters["clients.evicted"] == 1 and not harness.counters["clients.idle_closed"]
             assert listener.sockets.open == listener.max_clients
             late.close()
@@ -228,7 +228,7 @@
             await clients[1].until(b"x\r\n")
             accept_loop_of(harness)._check_room()  # evicts the one that has been idle for long
             assert harness.counters["clients.evicted"] == 1
-            assert await clients[0].rest() == b""
+            assert await clients[0].read_to_eof() == b""
             await until(lambda: harness.counters["clients.accepted"] == len(clients) + 1)
             assert harness.counters["clients.evicted"] == 1 and harness.find_actor(clients[1]) is not None
             late.close()
--- a/tests/test_crowd_past_capacity.py
+++ b/tests/test_crowd_past_capacity.py
@@ -24,7 +24,7 @@
 
 import pytest
 
-from .peers import LIMIT, Peer, RouterHarness, read_command, running_router, value_answer
+from .peers import WAIT_TIMEOUT_S, Peer, RouterHarness, read_command, running_router, value_answer
 
 ALLOWED_MS = 2000.0  # 'd' of the requests in question
 MARGIN_MS = 50.0  # by which every time limit is longer on sockets
@@ -65,7 +65,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Let the event loop run until a condition holds; without spinning, as the router would take its core for full."""
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.001)
 
@@ -240,7 +240,7 @@
         sending = asyncio.create_task(peer.send(b"".join(read_command(n, wait=ALLOWED_MS) for n in numbers)))
         await until(partial(may_read, peer))
         await assert_no_loss([crowd.ask(probe) for probe in crowd.dial(1)])
-        await assert_no_loss([crowd.answers(peer, numbers, LIMIT * 1000.0), sending])
+        await assert_no_loss([crowd.answers(peer, numbers, WAIT_TIMEOUT_S * 1000.0), sending])
 
 
 @pytest.mark.parametrize("silent", [0, 200])
@@ -279,7 +279,7 @@
         idle = await crowd.dial_soon()
         await until(lambda: len(crowd.listener.connections) >= places)
     crowd.clock._base += 1000.0
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not is_closed(idle):
             await assert_no_loss([crowd.ask(peer) for peer in crowd.dial(3)])
             await asyncio.sleep(0.002)
--- a/tests/test_descriptors_past_capacity.py
+++ b/tests/test_descriptors_past_capacity.py
@@ -27,7 +27,7 @@
 from starlingthread.net.clients.limits import SILENT_CONNECTION_MS
 from starlingthread.net.clients.listener import ClientListener
 
-from .peers import Peer, RouterHarness, connect, read_command, running_router, step, until, value_answer
+from .peers import Peer, RouterHarness, connect, read_command, run_loop_turns, running_router, until, value_answer
 
 SOCKETS = 64  # descriptors: (64 - 20) / 2 = 22 for clients, of which 3 are for what comes up beyond the places
 
@@ -99,7 +99,7 @@
         async with running_router(tmp_path, limits__sockets=SOCKETS) as harness:
             clients, servers = await held_by_requests(harness)
             waiting = [begin_connect(harness.port) for _ in range(60)]
-            await step()
+            await run_loop_turns()
             assert not any(map(is_connected, waiting))
             assert clients_of(harness).sockets.open == len(clients)
             await servers[0].send(value_answer(0))
@@ -162,7 +162,7 @@
             await until(lambda: clients_of(harness).sockets.open < len(clients))
             silent = await harness.client()
             harness.router.clock._base += SILENT_CONNECTION_MS
-            assert await silent.rest() == b""
+            assert await silent.read_to_eof() == b""
             await (await harness.client()).send(read_command(900))
             await harness.server.accept()
             assert clients_of(harness).sockets.open == len(clients)
@@ -184,7 +184,7 @@
             await servers[0].until(b"\r\n")
             await servers[0].send(value_answer(100))
             await clients[0].until(b"x\r\n")
-            await step()
+            await run_loop_turns()
             assert harness.find_actor(clients[0]) is not None
             assert clients_of(harness).room.free_places() == 0
 
@@ -341,6 +341,6 @@
         accepted[0].close()
         client.close()
         acceptor.close()
-        await step()
+        await run_loop_turns()
 
     asyncio.run(play())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,17 @@
 from starlingthread.net.discovery import LIST_PATH, EndpointListError, JsonObjectSplitter
 from starlingthread.net.discovery.call import LIST_TIMEOUT_MS
 
-from .peers import WATCHED, Peer, RouterHarness, chunk, entry, listing, running_router, step, until
+from .peers import (
+    WATCH_HEADERS,
+    Peer,
+    RouterHarness,
+    chunk,
+    entry,
+    listing,
+    run_loop_turns,
+    running_router,
+    until,
+)
 
 
 def server_states(harness: RouterHarness) -> dict[str, ServerState]:
@@ -31,7 +41,7 @@
     """Accept a watch call and send the response's header."""
     peer = await harness.discovery.accept()
     assert (await peer.until(b"\r\n\r\n")).startswith(f"GET {LIST_PATH}?watch=1".encode())
-    await peer.send(WATCHED)
+    await peer.send(WATCH_HEADERS)
     return peer
 
 
@@ -146,7 +156,7 @@
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
             watch.reset()
             await until(lambda: harness.counters["discovery.failures"] == 1)
-            await step()
+            await run_loop_turns()
             assert server_states(harness)["s-2"] == ServerState.READY
 
     asyncio.run(play())
@@ -177,10 +187,10 @@
             start_watch(harness)
             watch = await accept_watch(harness)
             await watch.send(chunk(b'{"index": 1,'))
-            await step()
+            await run_loop_turns()
             harness.router.clock._base += LIST_TIMEOUT_MS / 2  # no silence is that long
             await watch.send(chunk(b" "))
-            await step()
+            await run_loop_turns()
             harness.router.clock._base += LIST_TIMEOUT_MS / 2 + 1.0
             await watch.send(chunk(b" "))
             await until(lambda: harness.counters["discovery.failures"] == 1)
@@ -242,15 +252,15 @@
         async with running_router(tmp_path) as harness:
             _watch = await open_watch(harness)
             await until(lambda: harness.counters["discovery.watches"] == 1)
-            await step()
+            await run_loop_turns()
             harness.router.clock._base += 2400.0  # a heartbeat is due every 2 s
             harness.router.mailbox.wake()
-            await step()
+            await run_loop_turns()
             assert harness.counters["discovery.failures"] == 0
             for _ in range(200):  # in small steps, as a check that is itself late does not count
                 harness.router.clock._base += 1.0
                 harness.router.mailbox.wake()
-                await step(3)
+                await run_loop_turns(3)
             assert harness.counters["discovery.failures"] == 1
 
     asyncio.run(play())
@@ -262,7 +272,7 @@
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
             watch = await open_watch(harness)
-            await step()
+            await run_loop_turns()
             first, _ = harness.entries()
             harness.router.clock._base += 5000.0
             await watch.send(chunk(listing(2, {**first, "status": "terminating"}, full=False)))
@@ -281,7 +291,7 @@
             start_watch(harness)
             watch = await accept_watch(harness)
             start_watch(harness)
-            await step()
+            await run_loop_turns()
             first, _ = harness.entries()
             await watch.send(chunk(listing(2, {**first, "status": "terminating"}, full=False)))
             await until(lambda: server_states(harness)["s-1"] == ServerState.DRAINING)
@@ -296,14 +306,14 @@
     async def play() -> None:
         async with running_router(tmp_path, 2) as harness:
             old = await open_watch(harness)
-            await step()
+            await run_loop_turns()
             await old.send(chunk(listing(9, entry("s-1", "127.0.0.1:1", "terminating"), full=False)))
             # The event loop has not read that yet.
             harness.program.actors.discovery.set_address(("127.0.0.1", harness.discovery.port))
             new = await accept_watch(harness)
             await new.send(chunk(listing(2, *harness.entries())))
             await until(lambda: harness.counters["discovery.lists"] >= 1)
-            await step()
+            await run_loop_turns()
             assert server_states(harness)["s-1"] == ServerState.READY and harness.program.actors.discovery.version == 2
             assert harness.counters["discovery.failures"] == 0
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -10,7 +10,7 @@
 
 from starlingthread.router_process import shutdown
 
-from .peers import Peer, read_command, request_in_flight, running_router, step, until, value_answer
+from .peers import Peer, read_command, request_in_flight, run_loop_turns, running_router, until, value_answer
 
 
 def test_connections_queued_when_the_listening_socket_closes_are_served(
@@ -67,7 +67,7 @@
             classes = tuple(cls._replace(deadline=1.0) for cls in harness.router.settings.classes)
             harness.router.settings = harness.router.settings._replace(classes=classes)
             harness.program.stop_requested.set()
-            assert await client.rest() == b"SERVER_ERROR failed\r\n"
+            assert await client.read_to_eof() == b"SERVER_ERROR failed\r\n"
 
     asyncio.run(play())
 
@@ -82,8 +82,8 @@
             client, server = await request_in_flight(harness)
             harness.program.stop_requested.set()
             await until(lambda: harness.program.actors.clients._accept_loop is None)
-            await step(200)
+            await run_loop_turns(200)
             await server.send(value_answer(1))
-            assert await client.rest() == b"VA 1 O1\r\nx\r\n"
+            assert await client.read_to_eof() == b"VA 1 O1\r\nx\r\n"
 
     asyncio.run(play())
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -10,7 +10,7 @@
 from starlingthread.net.upstreams import messages
 from starlingthread.net.upstreams.actor import ServerActor
 
-from .peers import CLASSES, read_command, running_router, step, until
+from .peers import CLASSES, read_command, run_loop_turns, running_router, until
 
 
 def intercept_opened(server: ServerActor) -> list[messages.ConnectCompleted]:
@@ -38,7 +38,7 @@
             server.post(opened[0])
             await until(lambda: harness.counters["attempts.not_sent"] == 1)
             peer = await harness.server.accept()
-            await step()
+            await run_loop_turns()
             with pytest.raises(BlockingIOError):
                 peer.socket.recv(100)
             client.close()
@@ -65,7 +65,7 @@
             server.post(opened[0])
             await until(lambda: harness.counters["attempts.not_sent"] >= 1)
             second = await harness.server.accept()
-            await step()
+            await run_loop_turns()
             with pytest.raises(BlockingIOError):
                 second.socket.recv(100)
             assert await client.until(b"\r\n") == b"SERVER_ERROR failed\r\n"
--- a/tests/test_lingering_close.py
+++ b/tests/test_lingering_close.py
@@ -13,7 +13,16 @@
 
 from starlingthread.net.clients import limits
 
-from .peers import LIMIT, Peer, RouterHarness, read_command, request_in_flight, running_router, step, until
+from .peers import (
+    WAIT_TIMEOUT_S,
+    Peer,
+    RouterHarness,
+    read_command,
+    request_in_flight,
+    run_loop_turns,
+    running_router,
+    until,
+)
 
 
 def test_nagle_is_disabled_towards_clients_and_servers(tmp_path: Path) -> None:
@@ -42,7 +51,7 @@
             actor = harness.actor_of(client)
             await until(lambda: actor.state.lingering)
             await client.send(b"x" * 60000)
-            assert await client.rest() == b"MN\r\nCLIENT_ERROR bad data length\r\n"
+            assert await client.read_to_eof() == b"MN\r\nCLIENT_ERROR bad data length\r\n"
             client.half_close()
             await until(lambda: not harness.program.actors.clients.connections)
 
@@ -66,7 +75,7 @@
             harness.actor_of(client).close_when_idle()
             assert await client.receive() == b""  # our end of file
             await client.send(read_command(1))
-            await step()
+            await run_loop_turns()
             assert harness.counters["requests.received"] == 0 and len(harness.program.actors.clients.connections) == 1
             client.half_close()
             await until(lambda: not harness.program.actors.clients.connections)
@@ -81,7 +90,7 @@
             client = await idle_client(harness)
             harness.actor_of(client).close_when_idle()
             assert await client.receive() == b""
-            await step()
+            await run_loop_turns()
             assert harness.program.actors.clients.connections
             harness.router.clock._base += limits.LINGER_TIMEOUT_MS
             harness.router.mailbox.wake()
@@ -109,7 +118,7 @@
     await until(lambda: harness.counters["attempts.ok"] == 1 and not actor.responses.slots)
     assert actor.writer.transport.get_write_buffer_size()
     actor.close_when_idle()
-    await step()
+    await run_loop_turns()
     return client, actor.writer.transport
 
 
@@ -124,7 +133,7 @@
             await client.receive()
             getattr(client, disconnect)()
             await until(lambda: not harness.program.actors.clients.connections)
-            await step()
+            await run_loop_turns()
         assert not raised
 
     asyncio.run(play())
@@ -145,7 +154,7 @@
             self.client.reset()
             ended = select.poll()
             ended.register(self.socket.fileno(), select.POLLHUP)
-            assert ended.poll(LIMIT * 1000.0)
+            assert ended.poll(WAIT_TIMEOUT_S * 1000.0)
         return sent
 
 
@@ -158,9 +167,9 @@
             while client.socket.fileno() >= 0:
                 with contextlib.suppress(BlockingIOError):
                     client.socket.recv(65536)
-                await step()
+                await run_loop_turns()
             await until(lambda: not harness.program.actors.clients.connections)
-            await step()
+            await run_loop_turns()
         assert not raised
 
     asyncio.run(play())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 import tomllib
 from pathlib import Path
 
-from .peers import CLASSES, LIMIT, free_port, read_command, running_router, until, value_answer
+from .peers import CLASSES, WAIT_TIMEOUT_S, free_port, read_command, running_router, until, value_answer
 
 
 def test_a_class_removed_while_a_value_is_received_fails_that_request_alone(tmp_path: Path) -> None:
@@ -66,7 +66,7 @@
         ["/bin/sh", "-c", command], stderr=subprocess.PIPE, text=True, env={**os.environ, "LB_CONFIG": str(path)}
     ) as router:
         assert router.stderr is not None
-        watchdog = threading.Timer(LIMIT, router.kill)
+        watchdog = threading.Timer(WAIT_TIMEOUT_S, router.kill)
         watchdog.start()
         with path.open("w") as file:
             router.send_signal(signal.SIGHUP)
@@ -83,4 +83,4 @@
     """The interpreter takes some 0.1 s before any line of ours runs."""
     deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
     command = deploy["run"].replace("exec ", "kill -HUP $$; kill -USR1 $$; exec true || exec ", 1)
-    assert subprocess.run(["/bin/sh", "-c", command], check=False, timeout=LIMIT).returncode == 0
+    assert subprocess.run(["/bin/sh", "-c", command], check=False, timeout=WAIT_TIMEOUT_S).returncode == 0
