--- a/starlingthread/net/clients/__init__.py
+++ b/starlingthread/net/clients/__init__.py
@@ -1,7 +1,7 @@
-"""Client connections: a listener that accepts them and one actor for each."""
+"""Client connections: a listener that accepts them, and one actor per connection."""
 
 from .connection import ClientConnectionActor
 from .listener import ClientListener
-from .requests import key_number
+from .requests import key_hash
 
-__all__ = ["ClientConnectionActor", "ClientListener", "key_number"]
+__all__ = ["ClientConnectionActor", "ClientListener", "key_hash"]
--- a/starlingthread/net/clients/accept_loop.py
+++ b/starlingthread/net/clients/accept_loop.py
@@ -1,4 +1,4 @@
-"""Accepts queued connections while there is room, and limits the accept queue to those that will find some."""
+"""Accepts queued connections while there is capacity, and limits the accept queue to what can be accepted in time."""
 
 from __future__ import annotations
 
@@ -14,16 +14,20 @@
 from ...core.task_supervisor import TaskSupervisor
 from .accept_queue import AcceptQueue
 from .acceptor import Acceptor, OnConnection, SocketCounts
-from .room import ConnectionRoom
+from .capacity import ConnectionCapacity
 
-ROOM_CHECK_INTERVAL_MS = 40.0  # between checks for places while clients can't connect or wait in the queue
-MAX_QUEUE_WAIT_MS = 100.0  # without room, after which any idle connection is evicted for a queued one
-MAX_FINAL_ACCEPT_ROUNDS = 1000  # checks for queued connections before the listening socket is closed
-QUIET_ACCEPT_ROUNDS = 2  # turns of the loop without any after which those accepted have become connections
+# Interval of the checks for free connection slots while clients can't connect or wait in the accept queue.
+CAPACITY_CHECK_INTERVAL_MS = 40.0
+# Any idle connection is evicted for a queued one that has waited this long for a descriptor.
+MAX_QUEUE_WAIT_MS = 100.0
+# Maximum number of checks for queued connections before the listening socket is closed.
+MAX_FINAL_ACCEPT_ROUNDS = 1000
+# All accepted sockets have become connections after this many turns of the event loop with an empty accept queue.
+EMPTY_ACCEPT_ROUNDS = 2
 
 
 class AcceptContext(Protocol):
-    """The listener, as its accept loop sees it."""
+    """The part of the listener that its accept loop uses."""
 
     clock: Clock
     counters: Counters
@@ -34,33 +38,33 @@
 
 
 class AcceptLoop:
-    """The accepting of connections at one listening socket, from its begin to its end."""
+    """Accepts connections at one listening socket until it is closed."""
 
     def __init__(
         self,
         context: AcceptContext,
-        room: ConnectionRoom,
+        capacity: ConnectionCapacity,
         listening: socket.socket,
         is_shared: bool,
         on_connection: OnConnection,
     ) -> None:
-        """Begin to accept; the listening socket stays the caller's.
+        """Start accepting; the caller keeps the ownership of the listening socket.
 
-        is_shared: another process may accept at the socket too.
+        is_shared: another process may accept connections at the socket as well.
         """
         self._context = context
-        self._room = room
+        self._capacity = capacity
         self._listening = listening
         self._queue = AcceptQueue(listening, context.counters, is_shared)
-        self._room_check: Deadline | None = None
-        self._checked_room_at = -math.inf  # clock time
-        self._waiting_since: float | None = None  # clock time from which on a queued connection has found no room
-        self._is_ending = False
+        self._capacity_check: Deadline | None = None
+        self._last_capacity_check_at = -math.inf  # clock time
+        self._waiting_since: float | None = None  # clock time since which a queued connection has waited for capacity
+        self._is_draining = False
         self.limit_queue()
         self._acceptor = Acceptor(
             listening.dup(),
             on_connection,
-            self._has_room,
+            self._has_capacity,
             context.sockets,
             context.supervisor,
             context.counters,
@@ -69,90 +73,94 @@
         )
 
     def close(self) -> None:
-        """Accept no more; queued connections are left in the queue."""
-        self._context.deadlines.clear(self._room_check)
+        """Stop accepting; queued connections remain in the accept queue."""
+        self._context.deadlines.clear(self._capacity_check)
         self._acceptor.close()
 
-    # the queue
+    # accept queue
 
     def limit_queue(self, accepting: int = 0) -> None:
-        """Let clients connect for the places that are free, less those for connections accepted just now."""
-        places = self._room.free_places(accepting)
-        self._queue.set_limit(0 if self._is_ending else places)
+        """Limit the accept queue to the free connection slots.
+
+        accepting: connections that are being accepted, for which slots are subtracted.
+        """
+        free_slots = self._capacity.free_slots(accepting)
+        self._queue.set_limit(0 if self._is_draining else free_slots)
         if self._queue.is_shut:
-            self._schedule_room_check()
-        if places <= 0:
-            self._room.note_full()
+            self._schedule_capacity_check()
+        if free_slots <= 0:
+            self._capacity.record_at_capacity()
 
     def _on_released(self) -> None:
-        """Let clients connect again at once, if a place has become free."""
+        """Let clients connect again as soon as a connection slot is free."""
         if self._queue.is_shut:
             self.limit_queue()
 
-    # room
+    # capacity
 
-    def _has_room(self) -> bool:
-        """Return whether a queued connection may be accepted; if not, check again before long."""
-        if self._room.make_room():
+    def _has_capacity(self) -> bool:
+        """Return whether a queued connection may be accepted; if not, schedule another check."""
+        if self._capacity.ensure_capacity():
             self._waiting_since = None
             self.limit_queue(accepting=1)
             return True
         if self._waiting_since is None:
             self._waiting_since = self._context.clock.now()
         self._context.counters.increment("clients.accept_paused")
-        self._make_room_for_overdue()
-        self._schedule_room_check()
+        self._evict_for_overdue()
+        self._schedule_capacity_check()
         return False
 
-    def _make_room_for_overdue(self) -> None:
-        """Evict any idle connection for one that has waited in the queue for long, as its request is taken.
+    def _evict_for_overdue(self) -> None:
+        """Evict any idle connection if a queued one has waited for too long, as its client may have sent a request.
 
-        Its descriptor is released some turns of the loop later, so one is evicted at a time.
+        Connections are evicted one at a time, as a descriptor is released some turns of the event loop later.
         """
         now = self._context.clock.now()
         is_overdue = self._waiting_since is not None and now - self._waiting_since >= MAX_QUEUE_WAIT_MS
-        if (is_overdue or self._is_ending) and not self._room.is_any_leaving:
+        if (is_overdue or self._is_draining) and not self._capacity.has_pending_evictions:
             self._waiting_since = now
-            self._room.evict_any()
+            self._capacity.evict_any()
 
     def _on_exhausted(self) -> None:
-        """Let no more clients connect until the system has descriptors again."""
+        """Let no more clients connect until the system has free descriptors again."""
         self._queue.set_limit(0)
-        self._schedule_room_check()
+        self._schedule_capacity_check()
 
-    def _schedule_room_check(self) -> None:
-        if self._room_check is None:
-            due = self._checked_room_at + ROOM_CHECK_INTERVAL_MS
-            self._room_check = self._context.deadlines.set(due, self._check_room)
+    def _schedule_capacity_check(self) -> None:
+        if self._capacity_check is None:
+            due = self._last_capacity_check_at + CAPACITY_CHECK_INTERVAL_MS
+            self._capacity_check = self._context.deadlines.set(due, self._check_capacity)
 
-    def _check_room(self) -> None:
-        """Look for places while clients can't connect, or while connections wait in the queue."""
-        self._room_check = None
-        self._checked_room_at = self._context.clock.now()
+    def _check_capacity(self) -> None:
+        """Look for free connection slots while clients can't connect or wait in the accept queue."""
+        self._capacity_check = None
+        self._last_capacity_check_at = self._context.clock.now()
         if self._queue.is_shut:
-            self._room.shed_ahead()
+            self._capacity.evict_in_advance()
             self.limit_queue()
         if self._acceptor.is_paused:
             self._acceptor.resume()
-            self._schedule_room_check()
+            self._schedule_capacity_check()
         else:
             self._waiting_since = None  # nothing is queued
 
-    # the end
+    # shutdown
 
     async def accept_queued(self) -> None:
-        """Let no more clients connect, and accept those that have: they would be reset as the socket closes.
+        """Let no more clients connect, and accept the queued connections, as closing the socket would reset them.
 
-        Accepted sockets become connections some turns of the loop later, and are lost if the acceptor is closed before.
+        Accepted sockets become connections some turns of the event loop later; they are lost if the acceptor is closed
+        before that.
         """
-        self._is_ending = True
+        self._is_draining = True
         self.limit_queue()
         queued = select.poll()
         queued.register(self._listening, select.POLLIN)
-        quiet_rounds = 0
+        empty_rounds = 0
         for _ in range(MAX_FINAL_ACCEPT_ROUNDS):
-            quiet_rounds = 0 if queued.poll(0) else quiet_rounds + 1
-            if quiet_rounds > QUIET_ACCEPT_ROUNDS:
+            empty_rounds = 0 if queued.poll(0) else empty_rounds + 1
+            if empty_rounds > EMPTY_ACCEPT_ROUNDS:
                 return
             self._acceptor.resume()
             await asyncio.sleep(0)
--- a/starlingthread/net/clients/acceptor.py
+++ b/starlingthread/net/clients/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections at a listening socket, never beyond the descriptors that clients may hold.
+"""Accepts connections at a listening socket, within the descriptor limit of clients.
 
-asyncio's own server accepts whatever is queued. Where no descriptor is left it stops for a second, in which everything
-queued waits unread: docs/incidents/descriptors-past-capacity.md.
+asyncio's own server accepts all queued connections. If no descriptor is free, it stops accepting for one second, and
+queued requests wait unread meanwhile: docs/incidents/descriptors-past-capacity.md.
 """
 
 from __future__ import annotations
@@ -19,8 +19,11 @@
 from ..streams import DisconnectAwareProtocol
 from .limits import READ_BYTES
 
-MAX_ACCEPTS_PER_TURN = 16  # so that descriptors of connections closed for them are released in between
-RETRY_DELAY_S = 0.02  # after the system had no descriptor or no memory for a connection
+# Bounds the accepted connections per turn of the event loop, so that descriptors of evicted connections are released
+# in between.
+MAX_ACCEPTS_PER_TURN = 16
+# Accepting is retried after this delay if the system had no descriptor or no memory for a connection.
+RETRY_DELAY_S = 0.02
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 OnConnection: TypeAlias = Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]
@@ -28,35 +31,36 @@
 
 @dataclass(slots=True)
 class SocketCounts:
-    """The accepted sockets of a process, whichever acceptor has accepted them."""
+    """Counts of the sockets that all acceptors of a process have accepted."""
 
-    open: int = 0  # accepted and not released yet; closing ones too
-    connecting: int = 0  # of these, those that are no connections yet
+    open: int = 0  # accepted sockets that are not released yet, including those being closed
+    initializing: int = 0  # open sockets whose streams are not created yet
 
 
 class Acceptor:
-    """Turns queued connections into streams while there is room, and counts sockets until they are released."""
+    """Accepts queued connections as streams while there is capacity, and counts sockets until they are released."""
 
     def __init__(
         self,
         listening: socket.socket,
         on_connection: OnConnection,
-        has_room: Callable[[], bool],
+        has_capacity: Callable[[], bool],
         counts: SocketCounts,
         supervisor: TaskSupervisor,
         counters: Counters,
         on_exhausted: Callable[[], None] = lambda: None,
         on_released: Callable[[], None] = lambda: None,
     ) -> None:
-        """Begin to accept; ``listening`` is owned by the acceptor from now on.
+        """Start accepting; the acceptor takes the ownership of ``listening``.
 
-        has_room: called for each queued connection before it is accepted; on_exhausted: called when the system has no
-        descriptor or no memory for one; on_released: called when a socket is released.
+        has_capacity: called before each queued connection is accepted, returns whether it may be accepted
+        on_exhausted: called when the system has no descriptor or no memory for a connection
+        on_released: called when a socket is released
         """
         listening.setblocking(False)
         self._listening = listening
         self._on_connection = on_connection
-        self._has_room = has_room
+        self._has_capacity = has_capacity
         self._counts = counts
         self._supervisor = supervisor
         self._counters = counters
@@ -71,23 +75,23 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether queued connections are left in the queue for lack of room."""
+        """Whether queued connections remain in the accept queue for lack of capacity."""
         return not self._is_reading and not self._is_closed
 
     def resume(self) -> None:
-        """Accept again, after room was made."""
+        """Accept again, as there may be capacity."""
         if self.is_paused:
             self._is_reading = True
             self._loop.add_reader(self._listening.fileno(), self._accept_queued)
 
     def close(self) -> None:
-        """Accept no more, and close the listening socket; open connections stay."""
+        """Stop accepting and close the listening socket; accepted connections stay open."""
         self._pause()
         self._is_closed = True
         self._listening.close()
 
     def accept_one(self) -> socket.socket | None:
-        """Return the next queued connection, counted as open until it is closed; None if there is none."""
+        """Accept the next queued connection and count it as open; return None if none can be accepted."""
         try:
             sock, _ = self._listening.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
@@ -105,7 +109,7 @@
         return sock
 
     def discard(self, sock: socket.socket) -> None:
-        """Close a socket that has become no connection."""
+        """Close an accepted socket whose streams could not be created."""
         sock.close()
         self._counts.open -= 1
 
@@ -118,13 +122,13 @@
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self._queued.poll(0):
                 return
-            if not self._has_room():
+            if not self._has_capacity():
                 self._pause()
                 return
             sock = self.accept_one()
             if sock is None:
                 return
-            self._counts.connecting += 1
+            self._counts.initializing += 1
             self._supervisor.start(self._connect(sock), "accept", lambda _: None)
 
     async def _connect(self, sock: socket.socket) -> None:
@@ -134,16 +138,16 @@
         try:
             await self._loop.connect_accepted_socket(create_protocol, sock)
         except BaseException:
-            self._counts.connecting -= 1
+            self._counts.initializing -= 1
             self.discard(sock)
             raise
 
     def _on_connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._counts.connecting -= 1  # before it counts as a connection
+        self._counts.initializing -= 1  # before the callback counts it as a connection
         self._on_connection(reader, writer)
 
     def _on_connection_lost(self) -> None:
-        self._loop.call_soon(self._release)  # the transport closes its socket right after it has told us
+        self._loop.call_soon(self._release)  # the transport closes its socket right after this callback
 
     def _release(self) -> None:
         self._counts.open -= 1
@@ -153,7 +157,7 @@
 
 
 class AcceptedProtocol(DisconnectAwareProtocol):
-    """The protocol of an accepted connection; it reports when the socket is about to be closed."""
+    """The protocol of an accepted connection, which reports when the socket is about to be closed."""
 
     def __init__(self, on_connected: OnConnection, on_lost: Callable[[], None]) -> None:
         super().__init__(on_connected, READ_BYTES)
--- a/starlingthread/net/clients/closing.py
+++ b/starlingthread/net/clients/closing.py
@@ -1,4 +1,4 @@
-"""Closing a client's connection without losing what crosses the close."""
+"""Closes a client's connection without losing responses or requests that cross the close."""
 
 from __future__ import annotations
 
@@ -18,26 +18,27 @@
     writer: asyncio.StreamWriter,
     reading: asyncio.Task[None],
 ) -> None:
-    """Send our end of file and read to the client's, within bounds; what still arrives is discarded.
+    """Send our end of file, and read and discard data up to the client's, within bounds of time and size.
 
-    Guards the last responses: a close over unread bytes resets the connection, and what the client has not read yet
-    is lost with it. A request that arrives now crossed our end of file, so its client sends it again elsewhere.
-    reading: the task that reads the stream; it is cancelled already.
+    This protects the last responses: closing a socket with unread data resets the connection, and the client loses
+    the responses that it has not read yet. A request that arrives now crossed our end of file, so its client sends it
+    again on another connection.
+    reading: the task that reads the stream, which is already cancelled
     """
     state.lingering = True
     state.last_used_at = listener.clock.now()
     transport = writer.transport
-    # What is unsent goes out before our end of file.
+    # Unsent data is sent before our end of file.
     timeout = WRITE_STALL_TIMEOUT_MS if transport.get_write_buffer_size() else LINGER_TIMEOUT_MS
     timer = listener.deadlines.set(state.last_used_at + timeout, transport.abort)
     try:
-        # With bytes unsent asyncio would send the end of file from a callback of its own, and a reset between the
-        # last byte and that would be an exception that nobody handles. With none this does not wait: it is the step
-        # in which nothing more was owed or lay unread.
+        # With unsent data, asyncio would send the end of file from its own callback, where a reset after the last byte
+        # raises an exception that nothing handles. Without unsent data, drain() does not yield, so the end of file is
+        # sent in the same turn of the event loop in which nothing was found unread or unanswered.
         transport.set_write_buffer_limits(0)
         await writer.drain()
         writer.write_eof()
-        await asyncio.gather(reading, return_exceptions=True)  # until it has released the stream
+        await asyncio.gather(reading, return_exceptions=True)  # the task releases the stream
         transport.resume_reading()  # type: ignore[attr-defined]
         remaining = MAX_LINGER_BYTES
         while remaining > 0 and (data := await reader.read(READ_BYTES)):
@@ -47,13 +48,13 @@
 
 
 async def has_nothing_unread(writer: asyncio.StreamWriter, is_done: Callable[[], bool]) -> bool:
-    """Return whether the connection can be closed: nothing is owed and nothing lies unread. If so, reading is paused.
+    """Return whether the connection can be closed: nothing is unread or unanswered. If so, reading is paused.
 
-    Guards the request that crosses our close: what was taken off the socket is owed a response.
+    This protects a request that crosses our close: a request that was read from the socket must be answered.
 
-    What still lies in the socket is taken too: after we stood still for a while, all connections look idle,
-    and those whose requests nobody has read yet were closed. No more is taken after that, and the reader
-    gets one turn; what crosses even this the client sends again.
+    Data that is still in the socket counts as unread: after the process was stalled for a while, all connections look
+    idle, and those with unread requests used to be closed. Reading is paused and the reader gets one turn of the event
+    loop. A request that arrives later than that is sent again by its client.
     """
     transport = writer.transport
     if not transport.is_closing():
--- a/starlingthread/net/clients/connection.py
+++ b/starlingthread/net/clients/connection.py
@@ -1,4 +1,4 @@
-"""The actor of one client connection: its life from accept to close."""
+"""The actor of one client connection, from accept to close."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ClientConnectionActor:
-    """One client's connection. It reads on while requests are in flight, and writes responses in order."""
+    """One client connection, which reads while requests are in flight and writes responses in command order."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         on_closed: Callable[[ClientConnectionActor], None],
-        on_eviction_undone: Callable[[ClientConnectionActor], None] = lambda _: None,
+        on_eviction_cancelled: Callable[[ClientConnectionActor], None] = lambda _: None,
     ) -> None:
         self.listener = listener
         self.reader = reader
@@ -41,10 +41,10 @@
         )
         self._response_writer = ResponseWriter(listener, self.state, writer)
         self._on_closed = on_closed
-        self._on_eviction_undone = on_eviction_undone
+        self._on_eviction_cancelled = on_eviction_cancelled
 
     async def run(self) -> None:
-        """Write responses in order until the client has closed, or until we are closing and nothing is owed."""
+        """Write responses in order until the client has closed, or until we are closing and no response is pending."""
         reading = self.listener.supervisor.start(
             self._command_reader.run(), "client-reader", lambda _: self.on_disconnect()
         )
@@ -55,8 +55,9 @@
                 if not self.state.evicted:
                     await linger(self.listener, self.state, self.reader, self.writer, reading)
                 elif not self.writer.transport.get_write_buffer_size():
-                    # At once, as a transport closes its socket a turn of the loop later only: what arrives until then
-                    # would count as taken off the socket, and a turn is long on a core that is too small.
+                    # The end of file is sent at once, as the transport closes its socket one turn of the event loop
+                    # later. Data that arrives until then would count as received, and a turn is long on a saturated
+                    # core.
                     self.writer.write_eof()
         except OSError:
             self.listener.counters.increment("clients.reset")
@@ -65,24 +66,24 @@
             self.close()
 
     async def _write_responses(self) -> None:
-        """Return once nothing more is to be written."""
+        """Write responses until the connection is to be closed."""
         responses = self.responses
         while True:
             responses.collect_ready()
             if responses.slots:
-                self._stay_open()
+                self._cancel_idle_close()
             while responses.slots and (ready := responses.slots[0].parts) is not None:
                 await self._response_writer.write(responses.slots[0], ready)
                 if responses.remove_first().closes_connection:
                     return
-                # Right behind a response no request can be on its way yet, unless the client pipelines.
+                # Right after a response no request can be in transit, unless the client pipelines.
                 self.state.closing = self.state.closing or self.listener.draining
             if self.state.disconnected:
                 return
             if self._is_done():
                 if await has_nothing_unread(self.writer, self._is_done):
                     return
-                self._stay_open()
+                self._cancel_idle_close()
             await responses.mailbox.wait()
 
     def _is_done(self) -> bool:
@@ -90,27 +91,27 @@
         is_closing = state.closing or state.closing_if_idle
         return is_closing and not self.responses.slots and state.partial_since is None
 
-    def _stay_open(self) -> None:
-        """Don't close for idleness, as a command has arrived: its client's next one would cross the close."""
+    def _cancel_idle_close(self) -> None:
+        """Cancel the close of an idle connection, as a command has arrived and the next one would cross the close."""
         if self.state.closing_if_idle:
             self.state.closing_if_idle = False
             self.state.evicted = False
-            self._on_eviction_undone(self)
+            self._on_eviction_cancelled(self)
 
     def on_disconnect(self) -> None:
-        """Withdraw all requests at once, as the client has closed, whatever reader and writer wait for just now."""
+        """Cancel all requests at once, as the client has closed, whatever the reader and writer are waiting for."""
         if self.state.disconnected:
             return
         self.state.disconnected = True
         self.requests.cancel_all()
         self._response_writer.abandon_value()
-        self.responses.has_room.set()
+        self.responses.has_free_slot.set()
         self.responses.mailbox.wake()
 
     # idle connections
 
-    def check_idle(self, now: float, crowded: bool) -> None:
-        """Close a connection that is silent, idle or amid a command for too long: it takes a descriptor and memory."""
+    def check_idle(self, now: float, near_threshold: bool) -> None:
+        """Close a connection that is idle, silent or within a command too long: it takes memory and a descriptor."""
         state = self.state
         if state.framing_lost or state.disconnected or state.lingering:
             return
@@ -119,31 +120,31 @@
                 self.listener.counters.increment("clients.partial_command_timeout")
                 self.requests.fail_partial_command()
             return
-        allowed_ms = SHORT_IDLE_TIMEOUT_MS if crowded or not state.commands else IDLE_TIMEOUT_MS
+        allowed_ms = SHORT_IDLE_TIMEOUT_MS if near_threshold or not state.commands else IDLE_TIMEOUT_MS
         if not state.is_ending and not self.responses.slots and now - state.last_used_at >= allowed_ms:
             self.listener.counters.increment("clients.idle_closed" if state.commands else "clients.silent_closed")
             self._close_if_idle()
 
     def _is_reading_paused(self) -> bool:
-        """Return whether the rest of a command may be here, but we do not read it."""
+        """Return whether the rest of a partial command may have arrived while reading is paused."""
         incoming = self.requests.incoming
         return self.responses.is_full() or (incoming is not None and incoming.pipe.is_full())
 
     def eviction_rank(self, now: float) -> EvictionRank | None:
-        """Return the place in the order of eviction; None if something is owed or the connection is being closed."""
+        """Return the rank in the eviction order; None if a response is pending or the connection is being closed."""
         is_core_saturated = self.listener.router.core_load.is_saturated
         return eviction_rank(
-            self.state, bool(self.responses.slots), is_core_saturated, now, now < self.listener.crowded_until
+            self.state, bool(self.responses.slots), is_core_saturated, now, now < self.listener.at_capacity_until
         )
 
     def idle_since(self) -> float | None:
-        """Return the clock time of the last use; None if something is owed or under way."""
+        """Return the clock time of the last use; None if the connection is in use or being closed."""
         state = self.state
         is_busy = self.responses.slots or state.partial_since is not None
         return None if is_busy or state.is_ending or state.lingering else state.last_used_at
 
     def evict(self) -> None:
-        """Close, as the descriptor is needed for another client; a partial command is answered."""
+        """Close the connection to free its descriptor for another client; a partial command is answered."""
         self.state.evicted = True
         if self.state.lingering:
             self.writer.transport.abort()
@@ -155,17 +156,17 @@
     # closing
 
     def _close_if_idle(self) -> None:
-        """Close unless a command arrives before we have closed."""
+        """Close unless a command arrives before the close."""
         self.state.closing_if_idle = True
         self.responses.mailbox.wake()
 
     def close_when_idle(self) -> None:
-        """Close once nothing is owed."""
+        """Close once all responses are written."""
         self.state.closing = True
         self.responses.mailbox.wake()
 
     def close(self) -> None:
-        """Release the connection, here and nowhere else; requests in flight are cancelled."""
+        """Release the connection and cancel its requests in flight; no other code releases it."""
         self.requests.close()
         self._on_closed(self)
         self._response_writer.close()
--- a/starlingthread/net/clients/context.py
+++ b/starlingthread/net/clients/context.py
@@ -1,4 +1,4 @@
-"""What a client connection needs of its listener, and the state that its parts share."""
+"""The listener interface that client connections use, and the state that the parts of a connection share."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 class PausedConnection(Protocol):
-    """A connection whose socket may not be read at present, so that its end has to be polled for."""
+    """A connection whose socket is not read at present, so that its disconnect has to be polled for."""
 
     def check_for_disconnect(self) -> bool:
-        """Handle a disconnect if there is one; return whether to go on polling."""
+        """Handle a disconnect if there is one; return whether to continue polling."""
 
 
 class ListenerContext(Protocol):
-    """The listener, as its connections see it."""
+    """The part of the listener that its connections use."""
 
     router: Router
     supervisor: TaskSupervisor
     clock: Clock
     counters: Counters
     deadlines: Deadlines
-    budget: ByteBudget  # shared by all chunked values, in either direction
-    buffered_bytes: int  # bytes of values that all response slots hold
+    budget: ByteBudget  # shared by all chunked values in both directions
+    buffered_bytes: int  # size of the values that all response slots hold
     max_buffered_bytes: int
     classes: dict[str, RequestClass]  # by name
-    open_ids: set[bytes]  # ids of the requests that await their answer, on all connections
-    draining: bool  # connections are closed behind their responses
-    answer_by: float  # clock time by which requests that arrive from now on are answered
+    open_ids: set[bytes]  # ids of unanswered requests on all connections
+    draining: bool  # whether each connection is closed after its response
+    answer_deadline: float  # clock time by which requests that arrive from now on must be answered
 
     @property
-    def crowded_until(self) -> float:
-        """Clock time until which clients that want to connect count as having found no place lately."""
+    def at_capacity_until(self) -> float:
+        """Clock time until which the listener counts as at capacity: clients may be unable to connect."""
 
     def is_ready(self) -> bool:
         """Return whether the router can serve requests."""
 
     def watch_for_disconnect(self, connection: PausedConnection) -> None:
-        """Poll from now on whether a paused connection's client has disconnected."""
+        """Poll a paused connection for a disconnect of its client from now on."""
 
 
 @dataclass(slots=True, eq=False)
@@ -53,18 +53,18 @@
     """The state of one client connection that its reader, requests and writer share."""
 
     last_used_at: float  # clock time
-    partial_since: float | None = None  # clock time at which the command that is incomplete began, or its value stalled
-    disconnected: bool = False  # the client has closed, or the connection is over
-    closing: bool = False  # we close once nothing is owed; commands that still arrive until then are served
-    closing_if_idle: bool = False  # we close unless a command arrives first
-    framing_lost: bool = False  # where the client's next command begins is unknown
-    evicted: bool = False  # the descriptor is wanted: close without lingering
-    lingering: bool = False  # our end of file is sent; what still arrives is discarded
-    has_queue_place: bool = False  # the command that is read next may be queued for the router's core
-    commands: int = 0  # complete commands so far
-    malformed: int = 0  # malformed commands so far
+    partial_since: float | None = None  # clock time at which a partial command began, or its value last progressed
+    disconnected: bool = False  # the client has closed or reset the connection, or its reader has ended
+    closing: bool = False  # we close once all responses are written; commands that arrive before that are served
+    closing_if_idle: bool = False  # we close unless a command arrives before
+    framing_lost: bool = False  # the start of the client's next command is unknown, or it sent too many malformed ones
+    evicted: bool = False  # the descriptor is needed for another client, so we close without lingering
+    lingering: bool = False  # our end of file is being sent; data that still arrives is discarded
+    is_next_command_admitted: bool = False  # load shedding has already admitted the command that is read next
+    commands: int = 0  # number of complete commands so far
+    malformed: int = 0  # number of malformed commands so far
 
     @property
     def is_ending(self) -> bool:
-        """Whether we are about to close, for whatever reason, or the client has closed."""
+        """Whether the connection is being closed for any reason, or the client has closed it."""
         return self.closing or self.closing_if_idle or self.framing_lost or self.disconnected
--- a/starlingthread/net/clients/limits.py
+++ b/starlingthread/net/clients/limits.py
@@ -1,19 +1,35 @@
-"""Bounds and time-outs of client connections."""
+"""Limits and time-outs of client connections."""
 
-READ_BYTES = 16384  # bytes read at once; twice as many may lie unread in a connection's stream reader
-MAX_PIPELINED = 16  # commands of one connection that may await their response; beyond it, reading pauses
-MAX_MALFORMED_COMMANDS = 8  # malformed commands after which a connection is closed
-MAX_UNSENT_BYTES = 32768  # bytes that may lie unsent for a slow client before the writer waits for it
-MAX_LINGER_BYTES = 1 << 20  # bytes discarded at most while lingering
+# Size of one read from a client's socket; a connection's stream reader may hold twice as much unread data.
+READ_BYTES = 16384
+# Commands of one connection that may await their response; reading pauses while there are as many.
+MAX_PIPELINED_COMMANDS = 16
+# A connection is closed after this many malformed commands.
+MAX_MALFORMED_COMMANDS = 8
+# The writer waits for a slow client while more than this is in the connection's write buffer.
+MAX_UNSENT_BYTES = 32768
+# Received data that a lingering connection discards at most.
+MAX_LINGER_BYTES = 1 << 20
 
-WRITE_STALL_TIMEOUT_MS = 10000.0  # a client that reads nothing of its responses for so long is cut off
-VALUE_TIMEOUT_MS = 30000.0  # a chunked value must be complete by then; bounds the wait for a server that takes none
-RESPONSE_MARGIN_MS = 4.0  # the client's timeout runs from its send, and the response has to travel back as well
-LINGER_TIMEOUT_MS = 500.0  # reading on after our end of file: a close over unread bytes would reset the connection
+# A connection is aborted if its client does not read its responses for this long.
+WRITE_STALL_TIMEOUT_MS = 10000.0
+# A chunked value must be complete within this time, which also bounds the wait for a server that reads none of it.
+VALUE_TIMEOUT_MS = 30000.0
+# The client's time-out starts when it sends the request, and the response needs time to travel back.
+RESPONSE_MARGIN_MS = 4.0
+# Received data is read and discarded for this long after our end of file, as closing with unread data would reset the
+# connection.
+LINGER_TIMEOUT_MS = 500.0
 
-COMMAND_TIMEOUT_MS = 2200.0  # a command must be complete so long after its first byte
-IDLE_TIMEOUT_MS = 8000.0  # an idle connection is closed after this even if descriptors are plenty
-SHORT_IDLE_TIMEOUT_MS = 2000.0  # the same before the first command, or when connections are crowded
-SILENT_CONNECTION_MS = 100.0  # a connection that has sent no command for so long is evicted first
-STALLED_COMMAND_MS = 500.0  # a partial command of this age counts as silence when descriptors run out
-DISCONNECT_CHECK_INTERVAL_MS = 40.0  # between polls for disconnects of paused connections; 100 ms are allowed
+# A command must be complete within this time after its first byte.
+COMMAND_TIMEOUT_MS = 2200.0
+# An idle connection is closed after this time even if there are free descriptors.
+IDLE_TIMEOUT_MS = 8000.0
+# An idle connection is closed after this time if it has sent no command yet, or near the idle client threshold.
+SHORT_IDLE_TIMEOUT_MS = 2000.0
+# A connection that has sent no command for this long is among the first to be evicted.
+SILENT_CONNECTION_MS = 100.0
+# A connection with a partial command of this age is evicted like a silent one when descriptors run out.
+STALLED_COMMAND_MS = 500.0
+# Interval of the polls for disconnects of paused connections; a disconnect must be detected within 100 ms.
+DISCONNECT_CHECK_INTERVAL_MS = 40.0
--- a/starlingthread/net/clients/listener.py
+++ b/starlingthread/net/clients/listener.py
@@ -16,14 +16,17 @@
 from .accept_loop import AcceptLoop
 from .accept_queue import MAX_BACKLOG
 from .acceptor import SocketCounts
+from .capacity import ConnectionCapacity
 from .connection import ClientConnectionActor
 from .context import PausedConnection
 from .limits import DISCONNECT_CHECK_INTERVAL_MS, READ_BYTES
-from .room import ConnectionRoom
 
-IDLE_CHECK_INTERVAL_MS = 100.0  # between checks for connections that are idle, silent or amid a command
-CROWDED_RATIO = 0.8  # of the idle client threshold, from which on idle connections are closed sooner
-DRAIN_CHECK_INTERVAL_S = 0.05  # between checks for connections that are still open while draining
+# Interval of the checks for connections that are idle, silent or within a command for too long.
+IDLE_CHECK_INTERVAL_MS = 100.0
+# Above this share of the idle client threshold, idle connections are closed after a shorter time.
+NEAR_THRESHOLD_SHARE = 0.8
+# Interval of the checks for connections that are still open while draining.
+DRAIN_CHECK_INTERVAL_S = 0.05
 
 
 def bind(host: str, port: int) -> socket.socket:
@@ -37,7 +40,7 @@
 
 
 class ClientListener:
-    """Accepts clients and owns their actors."""
+    """Accepts clients and owns the actors of their connections."""
 
     def __init__(
         self,
@@ -54,52 +57,53 @@
         self.clock = router.clock
         self.counters = router.counters
         self.deadlines = router.deadlines
-        self.budget = ByteBudget(0)  # for chunked values, in either direction
-        self.buffered_bytes = 0  # bytes of values that all response slots hold
+        self.budget = ByteBudget(0)  # shared by all chunked values in both directions
+        self.buffered_bytes = 0  # size of the values that all response slots hold
         self.max_buffered_bytes = max_buffered_bytes
         self.max_clients = max_clients
         self.idle_client_threshold = idle_client_threshold
         self.is_ready = is_ready
         self.apply_settings(settings)
-        self.open_ids: set[bytes] = set()  # of the requests that await their answer
+        self.open_ids: set[bytes] = set()  # ids of unanswered requests on all connections
         self.connections: set[ClientConnectionActor] = set()
-        self.draining = False  # connections are closed behind their responses, as another process accepts new ones
-        self.answer_by = math.inf  # clock time by which requests that arrive from now on are answered
-        self.socket: socket.socket | None = None  # ours for good, whether we accept or not
-        self._is_socket_shared = False  # with the process that it was inherited from
-        self._accept_loop: AcceptLoop | None = None  # none while another process accepts
+        # While draining, each connection is closed after its response, as another process accepts new connections.
+        self.draining = False
+        self.answer_deadline = math.inf  # clock time by which requests that arrive from now on must be answered
+        self.socket: socket.socket | None = None  # kept open while another process accepts
+        self._is_socket_shared = False  # whether the process that it was inherited from uses it too
+        self._accept_loop: AcceptLoop | None = None  # None while another process accepts
         self.sockets = SocketCounts()
-        self.room = ConnectionRoom(self)
-        self._paused: set[PausedConnection] = set()  # whose ends have to be polled for
+        self.capacity = ConnectionCapacity(self)
+        self._paused: set[PausedConnection] = set()  # connections that are polled for disconnects
 
     def apply_limits(self, max_clients: int, idle_client_threshold: int) -> None:
-        """Take in how many descriptors clients may hold, at first or as another process takes a share of them."""
+        """Apply the descriptor limits of clients, initially or when another process takes a share of them."""
         self.max_clients = max_clients
         self.idle_client_threshold = idle_client_threshold
         if self._accept_loop is not None:
             self._accept_loop.limit_queue()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take in settings, the first or new ones."""
+        """Apply the initial or reloaded settings."""
         self.classes = {cls.name: cls for cls in settings.classes}
 
     # accepting
 
     async def listen(self, host: str, port: int, inherited: socket.socket | None = None) -> None:
-        """Begin to accept, at a socket of our own or at one that an old process goes on using too."""
+        """Start accepting on a new socket, or on an inherited one that the old process continues to use."""
         self.socket = inherited or bind(host, port)
         self._is_socket_shared = inherited is not None
         await self.resume_accepting()
         self._check_idle_connections()
 
     async def resume_accepting(self) -> None:
-        """Accept, as at first or again."""
+        """Start or resume accepting."""
         assert self.socket is not None
         self.draining = False
-        self._accept_loop = AcceptLoop(self, self.room, self.socket, self._is_socket_shared, self._accept)
+        self._accept_loop = AcceptLoop(self, self.capacity, self.socket, self._is_socket_shared, self._accept)
 
     def pause_accepting(self) -> None:
-        """Accept no more, as another process does at the same socket: queued connections are left to it."""
+        """Stop accepting and leave queued connections to another process, which accepts on the same socket."""
         self.draining = True
         self._stop_accepting()
 
@@ -109,19 +113,21 @@
             self._accept_loop = None
 
     @property
-    def crowded_until(self) -> float:
-        """Clock time until which clients that want to connect count as having found no place lately."""
-        return self.room.crowded_until
+    def at_capacity_until(self) -> float:
+        """Clock time until which the listener counts as at capacity: clients may be unable to connect."""
+        return self.capacity.at_capacity_until
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.counters.increment("clients.accepted")
-        if len(self.connections) >= self.max_clients and not self.room.evict_one():
+        if len(self.connections) >= self.max_clients and not self.capacity.evict_one():
             self.counters.increment("clients.rejected")
             writer.transport.abort()
             return
         limit_read_size(writer, READ_BYTES)
         disable_nagle(writer)
-        actor = ClientConnectionActor(self, reader, writer, self.room.on_closed, self.room.on_eviction_undone)
+        actor = ClientConnectionActor(
+            self, reader, writer, self.capacity.on_closed, self.capacity.on_eviction_cancelled
+        )
         self.connections.add(actor)
         protocol = writer.transport.get_protocol()
         if isinstance(protocol, DisconnectAwareProtocol):
@@ -132,9 +138,9 @@
     # disconnects
 
     def watch_for_disconnect(self, connection: PausedConnection) -> None:
-        """Poll from now on whether the client of a connection has left that is not being read.
+        """Poll a paused connection for a disconnect of its client from now on.
 
-        Guards against requests that are begun for such clients: their sockets may not be read at all.
+        Otherwise attempts would start for clients that have disconnected, as a paused socket is not read at all.
         """
         if not self._paused:
             self.deadlines.set(self.clock.now() + DISCONNECT_CHECK_INTERVAL_MS, self._check_for_disconnects)
@@ -149,23 +155,23 @@
 
     def _check_idle_connections(self) -> None:
         now = self.clock.now()
-        crowded = len(self.connections) > self.idle_client_threshold * CROWDED_RATIO
+        near_threshold = len(self.connections) > self.idle_client_threshold * NEAR_THRESHOLD_SHARE
         for actor in list(self.connections):
-            actor.check_idle(now, crowded)
-        self.room.shed_idle(now)
+            actor.check_idle(now, near_threshold)
+        self.capacity.evict_above_threshold(now)
         if self._accept_loop is not None:
             self._accept_loop.limit_queue()
         self.deadlines.set(now + IDLE_CHECK_INTERVAL_MS, self._check_idle_connections)
 
     # graceful shutdown
 
-    async def drain(self, answer_by: float = math.inf) -> None:
-        """Accept no more; close each connection once nothing is owed on it; return when all are closed.
+    async def drain(self, answer_deadline: float = math.inf) -> None:
+        """Stop accepting, close each connection once its responses are written, and return when all are closed.
 
-        answer_by: clock time by which requests are answered that arrive from now on, on connections that still owe
-        a response.
+        answer_deadline: clock time by which to answer requests that arrive from now on, on connections with a pending
+        response
         """
-        self.answer_by = answer_by
+        self.answer_deadline = answer_deadline
         if self._accept_loop is not None:
             await self._accept_loop.accept_queued()
         self._stop_accepting()
--- a/starlingthread/net/clients/reader.py
+++ b/starlingthread/net/clients/reader.py
@@ -1,4 +1,4 @@
-"""Reading a client's commands, with back-pressure."""
+"""Reads a client's commands, with back-pressure."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClientReader:
-    """Reads commands from a client's stream and hands them to its requests."""
+    """Reads commands from a client's stream and passes them to its :class:`ClientRequests`."""
 
     __slots__ = (
         "_listener",
@@ -50,7 +50,7 @@
         self.processed_bytes = 0
 
     async def run(self) -> None:
-        """Read until the client closes or framing is lost."""
+        """Read commands until the client closes or framing is lost."""
         try:
             await self._read_commands()
         except OSError:
@@ -79,14 +79,14 @@
                 await self._wait_for_pipe(incoming.pipe)
 
     async def _wait_for_slot(self) -> bool:
-        """Wait until a response is written; return False if the client disconnects before.
+        """Wait for a free response slot; return False if the client disconnects first.
 
-        Guards memory against a client that sends on and on without reading its responses.
+        This bounds the memory that a client takes by sending commands without reading its responses.
         """
         while self._responses.is_full() and not self._state.disconnected:
-            self._responses.has_room.clear()
+            self._responses.has_free_slot.clear()
             self._listener.watch_for_disconnect(self)
-            await self._responses.has_room.wait()
+            await self._responses.has_free_slot.wait()
         return not self._responses.is_full()
 
     def _update_partial_since(self) -> None:
@@ -96,13 +96,13 @@
             self._state.partial_since = self._listener.clock.now()
 
     async def _wait_for_pipe(self, pipe: Pipe) -> None:
-        """Wait until more of the incoming value may be read."""
+        """Wait until the pipe of the incoming value accepts more data."""
         self._listener.watch_for_disconnect(self)
         await pipe.until_not_full()
         self._state.partial_since = self._listener.clock.now()
 
     def check_for_disconnect(self) -> bool:
-        """Poll whether the client has closed while reading is paused; return whether to go on polling."""
+        """Poll whether the client has closed while reading is paused; return whether to continue polling."""
         transport = self._writer.transport
         if self._state.disconnected or transport.is_closing():
             return False
--- a/starlingthread/net/clients/requests.py
+++ b/starlingthread/net/clients/requests.py
@@ -1,4 +1,4 @@
-"""From a client's commands to requests, and from their answers to responses."""
+"""Turns a client's commands into requests, and the answers to them into responses."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from .responses import ResponseQueue, ResponseSlot
 
 
-def key_number(key: bytes) -> int:
-    """Return a key as the decision module knows it: the same number at every router, never 0 (which means none)."""
+def key_hash(key: bytes) -> int:
+    """Return the 64-bit hash of a key: the same at every router, and never 0, which stands for no key."""
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest(), "big") or 1
 
 
 def _number_field(fields: dict[str, str], name: str) -> float:
-    """Return a number that a client gave; 0 if it is absent or malformed."""
+    """Return the value of a numeric field of a command; 0 if it is absent or malformed."""
     text = fields.get(name, "")
     return float(text) if meta.NUMBER.fullmatch(text) else 0.0
 
@@ -34,7 +34,7 @@
 
 
 class ClientRequests:
-    """The requests of one connection that await their answer; it is the requester whom the router answers."""
+    """The unanswered requests of one connection; the router delivers its answers to this requester."""
 
     __slots__ = ("_listener", "_responses", "_state", "incoming", "slots_by_request", "unsubmitted")
 
@@ -44,19 +44,19 @@
         self._responses = responses
         self.slots_by_request: dict[PendingRequest, ResponseSlot] = {}
         self.incoming: IncomingValue | None = None
-        self.unsubmitted: PendingRequest | None = None  # the incoming one, while too little of its value is here
+        self.unsubmitted: PendingRequest | None = None  # the incoming request until enough of its value has arrived
 
     # commands
 
     def accept(self, item: meta.Command | meta.ControlCommand | meta.MalformedCommand) -> None:
-        """Take in what the client sent: submit a request or put the response."""
+        """Handle a command: submit a request or queue the response."""
         listener = self._listener
         if isinstance(item, meta.MalformedCommand) and self.incoming is not None:
             listener.counters.increment("clients.malformed")
             self._fail_incoming_value(item)
             return
         if self._state.disconnected and isinstance(item, meta.Command):
-            # Its client has closed, so nobody awaits the answer.
+            # The client has closed, so no answer is expected.
             listener.counters.increment("clients.disconnected_unread")
             return
         slot = self._responses.append()
@@ -80,13 +80,13 @@
             self._respond_malformed(slot, meta.client_error("unknown class"))
             return
         if command.request_id in listener.open_ids:
-            # Guards the request that is open: two of one id could not be told apart, here or at a server.
+            # The open request keeps its id, as two requests with one id could not be told apart here or at a server.
             listener.counters.increment("clients.duplicate_id")
             self._respond_malformed(slot, meta.client_error("id in use"))
             return
-        has_queue_place = self._state.has_queue_place or command.is_chunked
-        self._state.has_queue_place = False
-        if not has_queue_place and (
+        is_admitted = self._state.is_next_command_admitted or command.is_chunked
+        self._state.is_next_command_admitted = False
+        if not is_admitted and (
             rejection := listener.router.core_load.shed(self._state.last_used_at, request_class, command.timeout_ms)
         ):
             self._responses.put(slot, meta.busy_line(rejection.retry_after))
@@ -105,14 +105,14 @@
     def _create_request(self, command: meta.Command, request_class: RequestClass, body: Pipe | None) -> PendingRequest:
         now = self._state.last_used_at
         if body is None:
-            # Nobody waits longer than the class allows, nor than a process that ends lives.
-            timeout = min(command.timeout_ms, request_class.deadline, self._listener.answer_by - now)
+            # The wait is bounded by the request class, and by the remaining lifetime of a process that shuts down.
+            timeout = min(command.timeout_ms, request_class.deadline, self._listener.answer_deadline - now)
         else:
             timeout = VALUE_TIMEOUT_MS
         return PendingRequest(
             self,
             request_class,
-            key_number(command.key),
+            key_hash(command.key),
             now + timeout - RESPONSE_MARGIN_MS,
             command,
             now,
@@ -131,7 +131,7 @@
             self._listener.router.submit(request)
 
     def _respond_malformed(self, slot: ResponseSlot, malformed: meta.MalformedCommand) -> None:
-        """Answer a malformed command; a connection that sends too many of them is closed."""
+        """Answer a malformed command, and close a connection that sends too many of them."""
         state = self._state
         state.malformed += 1
         state.framing_lost = malformed.framing_lost or state.malformed >= MAX_MALFORMED_COMMANDS
@@ -139,23 +139,23 @@
         self._responses.put(slot, malformed.line)
 
     def fail_partial_command(self) -> None:
-        """Answer a command whose rest has not come in time; the connection is closed behind it."""
+        """Answer a command that was not completed in time; the connection is closed after the answer."""
         malformed = meta.client_error("command not finished", True)
         if self.incoming is not None:
             self._fail_incoming_value(malformed)
         else:
             self._respond_malformed(self._responses.append(), malformed)
 
-    # values in chunks
+    # chunked values
 
     def accept_chunk(self, chunk: meta.ValueChunk) -> None:
-        """Take in a chunk of the incoming value; one that belongs to no request is dropped."""
+        """Handle a chunk of the incoming value; drop a chunk that belongs to no request."""
         if self.incoming is None:
             return
         pipe = self.incoming.pipe
         pipe.put(chunk.data)
         if self.unsubmitted is not None and (pipe.buffered > meta.MAX_UNCHUNKED_BYTES or pipe.is_full() or chunk.last):
-            # Guards a server's connection against a client that sends a head and then nothing.
+            # Submitting is delayed so that a client that sends only the command line ties up no server connection.
             self.unsubmitted = None
             self._submit(self.incoming.request)
         if chunk.last:
@@ -172,11 +172,13 @@
         if slot.deferred_answer is not None:
             self._respond(slot, slot.deferred_answer)
         elif not request.finished and isinstance(request.payload, meta.Command):
-            timeout = min(request.payload.timeout_ms, request.request_class.deadline, self._listener.answer_by - now)
+            timeout = min(
+                request.payload.timeout_ms, request.request_class.deadline, self._listener.answer_deadline - now
+            )
             self._listener.router.mailbox.must_put(BodyReceived(request, now + timeout - RESPONSE_MARGIN_MS))
 
     def _fail_incoming_value(self, malformed: meta.MalformedCommand) -> None:
-        """Withdraw the request whose value will never be complete, and answer it as malformed."""
+        """Cancel the request whose value will not be completed, and answer it as malformed."""
         assert self.incoming is not None
         slot, request, pipe = self.incoming
         self.incoming = None
@@ -187,7 +189,7 @@
     # answers
 
     def answer(self, request: PendingRequest, answer: Answer) -> None:
-        """Take a request's one final answer."""
+        """Accept the final answer to a request; further answers to it are discarded."""
         slot = self.slots_by_request.pop(request, None)
         if slot is None:
             if isinstance(answer, Served) and answer.pipe is not None:
@@ -196,7 +198,7 @@
         self._release_id(request)
         request.finished = True
         if self.incoming is not None and self.incoming.request is request:
-            # A response may not precede the end of its command; the rest of the value is dropped.
+            # A response must not precede the end of its command; the rest of the value is dropped.
             slot.deferred_answer = answer
         else:
             self._respond(slot, answer)
@@ -213,12 +215,12 @@
     # cancellation
 
     def cancel_all(self) -> None:
-        """Withdraw all requests, as the client has disconnected."""
+        """Cancel all requests, as the client has disconnected."""
         for request in list(self.slots_by_request):
             self._cancel(request)
 
     def close(self) -> None:
-        """Withdraw all requests and end an incoming value, as the connection is over."""
+        """Cancel all requests and end an incoming value, as the connection is being released."""
         self.cancel_all()
         self._responses.clear()
         if self.incoming is not None:
@@ -228,7 +230,7 @@
     def _cancel(self, request: PendingRequest) -> None:
         if self.slots_by_request.pop(request, None) is None:
             return
-        request.cancelled = True  # at once: other messages precede the one that reports it
+        request.cancelled = True  # set at once, as other messages precede ClientDisconnected in the mailbox
         self._release_id(request)
         if request is not self.unsubmitted:
             self._listener.router.mailbox.must_put(ClientDisconnected(request))
--- a/starlingthread/net/clients/responses.py
+++ b/starlingthread/net/clients/responses.py
@@ -1,4 +1,4 @@
-"""The responses that a client connection owes, in the order of its commands."""
+"""The pending responses of a client connection, in the order of its commands."""
 
 from __future__ import annotations
 
@@ -10,75 +10,75 @@
 from ...core.messages import Answer
 from ...core.pipe import Pipe
 from .context import ListenerContext
-from .limits import MAX_PIPELINED
+from .limits import MAX_PIPELINED_COMMANDS
 
 
 class ResponseSlot:
-    """The place of one response in the order of a connection."""
+    """The position of one response in the response order of a connection."""
 
     __slots__ = ("closes_connection", "deferred_answer", "parts", "pipe", "reserved_bytes")
 
     def __init__(self) -> None:
         self.parts: tuple[bytes, ...] | None = None  # None until the response is ready
-        self.reserved_bytes = 0  # of the request's or response's value
-        self.closes_connection = False  # the connection is closed behind this response
-        self.pipe: Pipe | None = None  # where the rest of a chunked value follows
-        self.deferred_answer: Answer | None = None  # final answer to a request whose value is still being received
+        self.reserved_bytes = 0  # size of the request's value or of the response
+        self.closes_connection = False  # whether the connection is closed after this response
+        self.pipe: Pipe | None = None  # the rest of a chunked value
+        self.deferred_answer: Answer | None = None  # final answer to a request still being received
 
 
 class ResponseReady(NamedTuple):
-    """Message: the response for a slot can be written."""
+    """Message that the response for a slot can be written."""
 
     slot: ResponseSlot
     parts: tuple[bytes, ...]
 
 
 class ResponseQueue:
-    """The response slots of a connection in order, and the bytes that they hold."""
+    """The response slots of a connection in order, which accounts for the bytes that they hold."""
 
-    __slots__ = ("_listener", "has_room", "mailbox", "slots")
+    __slots__ = ("_listener", "has_free_slot", "mailbox", "slots")
 
     def __init__(self, listener: ListenerContext) -> None:
         self._listener = listener
         self.slots: deque[ResponseSlot] = deque()
-        self.mailbox: Mailbox[ResponseReady] = Mailbox(4 * MAX_PIPELINED)
-        self.has_room = asyncio.Event()  # set when a slot is freed; the reader clears it before it waits
+        self.mailbox: Mailbox[ResponseReady] = Mailbox(4 * MAX_PIPELINED_COMMANDS)
+        self.has_free_slot = asyncio.Event()  # set when a slot is freed, cleared by the reader before it waits
 
     def is_full(self) -> bool:
         """Return whether no more commands may be accepted until a response is written."""
-        return len(self.slots) >= MAX_PIPELINED
+        return len(self.slots) >= MAX_PIPELINED_COMMANDS
 
     def append(self) -> ResponseSlot:
-        """Return a new slot behind all others."""
+        """Append and return a new slot."""
         slot = ResponseSlot()
         self.slots.append(slot)
         return slot
 
     def reserve(self, slot: ResponseSlot, size: int) -> None:
-        """Set the bytes that a slot holds."""
+        """Set the size in bytes that a slot accounts for."""
         self._listener.buffered_bytes += size - slot.reserved_bytes
         slot.reserved_bytes = size
 
     def put(self, slot: ResponseSlot, *parts: bytes) -> None:
-        """Hand a slot's response to the writer."""
+        """Queue a slot's response for the writer."""
         self.reserve(slot, sum(map(len, parts)))
-        # A slot gets one message in its life, so there are never more of them than slots.
+        # Each slot gets one message only, so there are never more messages than slots.
         self.mailbox.must_put(ResponseReady(slot, parts))
 
     def collect_ready(self) -> None:
-        """Move the responses that have arrived to their slots."""
+        """Move the queued responses to their slots."""
         for slot, parts in self.mailbox.take():
             slot.parts = parts
 
     def remove_first(self) -> ResponseSlot:
-        """Free the first slot, whose response is written."""
+        """Free and return the first slot, whose response has been written."""
         slot = self.slots.popleft()
         self.reserve(slot, 0)
-        self.has_room.set()
+        self.has_free_slot.set()
         return slot
 
     def clear(self) -> None:
-        """Free all slots, as the connection is over."""
+        """Free all slots, as the connection is being released."""
         for slot in self.slots:
             self.reserve(slot, 0)
             if slot.pipe is not None:
--- a/starlingthread/net/clients/shedding.py
+++ b/starlingthread/net/clients/shedding.py
@@ -1,6 +1,6 @@
-"""Rejecting a read on an idle connection before it takes a turn of any actor, while the router's core is overloaded.
+"""Rejects reads on idle connections before any actor handles them, while the router's core is overloaded.
 
-A rejection has to cost far less than a request: else the rejections of an overload take the core themselves.
+A rejection must cost far less CPU time than a request; otherwise the rejections would saturate the core themselves.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class EarlyRejector:
-    """Looks at the data of one connection before its reader does."""
+    """Inspects the data that one connection receives before its reader does."""
 
     __slots__ = ("_listener", "_passed_bytes", "_reader", "_responses", "_state", "_transport")
 
@@ -31,12 +31,12 @@
         self._responses = responses
         self._reader = reader
         self._transport = transport
-        self._passed_bytes = 0  # left to the reader
+        self._passed_bytes = 0  # data left to the reader
 
     def consume(self, data: bytes) -> bool:
-        """Reject what has just been received, if it is one whole read that can't be queued; return whether it was.
+        """Reject the data just received if it is one whole read that is shed; return whether it was rejected.
 
-        Everything else is left to the reader.
+        All other data is left to the reader.
         """
         if self._listener.router.core_load.is_shedding and self._is_idle() and self._reject(data):
             return True
@@ -54,7 +54,7 @@
         now = listener.clock.now()
         rejection = listener.router.core_load.shed(now, request_class, read.timeout_ms)
         if rejection is None:
-            self._state.has_queue_place = True
+            self._state.is_next_command_admitted = True
             return False
         self._state.last_used_at = now
         self._state.commands += 1
@@ -62,7 +62,7 @@
         return True
 
     def _is_idle(self) -> bool:
-        """Return whether nothing is owed, unread or unsent on the connection, and it is not being closed."""
+        """Return whether nothing is unanswered, unread or unsent on the connection, and it is not being closed."""
         state = self._state
         if state.is_ending or state.lingering:
             return False
--- a/starlingthread/net/clients/writer.py
+++ b/starlingthread/net/clients/writer.py
@@ -1,4 +1,4 @@
-"""Writing responses to a client, bounded for clients that read slowly."""
+"""Writes responses to a client, with bounded buffers and time-outs for clients that read slowly."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
         self._listener = listener
         self._state = state
         self._writer = writer
-        self._streaming: Pipe | None = None  # the chunked value that is being written
+        self._streaming: Pipe | None = None  # the chunked value being written
 
     async def write(self, slot: ResponseSlot, parts: tuple[bytes, ...]) -> None:
-        """Write one response; a large one part by part, so that a client has little unsent at any time."""
+        """Write one response; a large one is written part by part, so that little unsent data is buffered."""
         self._state.last_used_at = self._listener.clock.now()
         if slot.reserved_bytes <= MAX_UNSENT_BYTES:
             self._writer.writelines(parts)
-            if self._has_much_unsent():
+            if self._exceeds_unsent_limit():
                 await self._drain()
         else:
             for part in parts:
                 self._writer.writelines((part,))
-                if self._has_much_unsent():
+                if self._exceeds_unsent_limit():
                     await self._drain()
         if slot.pipe is not None:
             await self._stream(slot.pipe)
@@ -39,7 +39,7 @@
     async def _stream(self, pipe: Pipe) -> None:
         """Write a chunked value as its chunks arrive.
 
-        Raises ConnectionAbortedError if it breaks off: the client must see it, so the connection goes with it.
+        Raises ConnectionAbortedError if the value is truncated; the connection is aborted so that the client notices.
         """
         self._streaming = pipe
         if self._state.disconnected:
@@ -47,7 +47,7 @@
         while not pipe.is_finished():
             for chunk in pipe.take():
                 self._writer.write(chunk)
-                if self._has_much_unsent():
+                if self._exceeds_unsent_limit():
                     await self._drain()
             await pipe.until_more()
         self._streaming = None
@@ -57,11 +57,11 @@
             self._writer.transport.abort()
             raise ConnectionAbortedError
 
-    def _has_much_unsent(self) -> bool:
+    def _exceeds_unsent_limit(self) -> bool:
         return self._writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES
 
     async def _drain(self) -> None:
-        """Wait for a slow client, for a while: its responses take memory, and its connection a descriptor."""
+        """Wait for a slow client for a limited time, as it takes memory and a descriptor."""
         timer = self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._abort_stalled)
         try:
             await self._writer.drain()
@@ -69,18 +69,18 @@
             self._listener.deadlines.clear(timer)
 
     def abandon_value(self) -> None:
-        """Take no more of the value that is being written, as the client has disconnected."""
+        """Stop taking chunks of the value being written, as the client has disconnected."""
         if self._streaming is not None:
             self._streaming.abandon()
 
     def close(self) -> None:
-        """Close the stream; what is unsent still goes out, within a time."""
+        """Close the stream; unsent data is still sent within a time limit."""
         self._writer.close()
         if self._writer.transport.get_write_buffer_size():
             self._listener.deadlines.set(self._listener.clock.now() + WRITE_STALL_TIMEOUT_MS, self._abort_stalled)
 
     def _abort_stalled(self) -> None:
-        """Abort the connection of a client that has read too slowly, unless all of its responses are sent."""
+        """Abort the connection of a client that reads too slowly, unless all of its responses are sent."""
         if not self._writer.transport.is_closing() or self._writer.transport.get_write_buffer_size():
             self._listener.counters.increment("clients.write_stalled")
             self._writer.transport.abort()
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -10,7 +10,7 @@
 import pytest
 
 from starlingthread.core.counters import Counters
-from starlingthread.net.clients.accept_queue import MIN_QUEUED, AcceptQueue
+from starlingthread.net.clients.accept_queue import MIN_QUEUED_CONNECTIONS, AcceptQueue
 
 pytestmark = pytest.mark.skipif(sys.platform != "linux", reason="other systems' queues differ")
 
@@ -44,7 +44,7 @@
 
 def test_a_limit_of_one_lets_as_many_come_up_as_the_smallest_queue_holds(listening: socket.socket) -> None:
     AcceptQueue(listening, Counters(), is_shared=False).set_limit(1)
-    assert count_established(listening) == MIN_QUEUED
+    assert count_established(listening) == MIN_QUEUED_CONNECTIONS
 
 
 def test_a_queue_that_was_shut_by_another_process_is_opened(listening: socket.socket) -> None:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -12,7 +12,7 @@
 from starlingthread.core.messages import AttemptEnded
 from starlingthread.events import AttemptResult
 from starlingthread.net.clients import limits
-from starlingthread.net.clients.limits import MAX_PIPELINED
+from starlingthread.net.clients.limits import MAX_PIPELINED_COMMANDS
 
 from .peers import Peer, RouterHarness, read_command, run_loop_turns, running_router, until
 
@@ -24,12 +24,12 @@
     async def play() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client()
-            await client.send(b"".join(read_command(n) for n in range(MAX_PIPELINED + 4)))
-            await until(lambda: harness.counters["attempts.started"] == MAX_PIPELINED)
+            await client.send(b"".join(read_command(n) for n in range(MAX_PIPELINED_COMMANDS + 4)))
+            await until(lambda: harness.counters["attempts.started"] == MAX_PIPELINED_COMMANDS)
             getattr(client, disconnect)()
-            await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED)
+            await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED_COMMANDS)
             await run_loop_turns()
-            assert harness.counters["attempts.started"] == MAX_PIPELINED and not harness.router.requests
+            assert harness.counters["attempts.started"] == MAX_PIPELINED_COMMANDS and not harness.router.requests
 
     asyncio.run(play())
 
@@ -49,9 +49,9 @@
             await run_loop_turns()
             harness.router.clock._base += limits.DISCONNECT_CHECK_INTERVAL_MS
             harness.router.mailbox.wake()
-            await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED)
+            await until(lambda: harness.counters["requests.cancelled"] == MAX_PIPELINED_COMMANDS)
             await until(lambda: not harness.program.actors.clients.connections)
-            assert harness.counters["attempts.started"] == MAX_PIPELINED and not harness.router.requests
+            assert harness.counters["attempts.started"] == MAX_PIPELINED_COMMANDS and not harness.router.requests
 
     asyncio.run(play())
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,7 +8,7 @@
 
 from starlingthread.core.messages import ClientDisconnected, Failed, Rejected, RequestReceived, Served
 from starlingthread.net import meta
-from starlingthread.net.clients import ClientConnectionActor, key_number
+from starlingthread.net.clients import ClientConnectionActor, key_hash
 
 from .fakes import READS, ClientHarness, Writer, run_client_script
 
@@ -103,11 +103,11 @@
         harness.reader.feed_data(sent)
         await harness.settle()
         harness.router.clock.time += after - 1.0  # type: ignore[attr-defined]
-        harness.actor.check_idle(harness.listener.clock.now(), crowded=False)
+        harness.actor.check_idle(harness.listener.clock.now(), near_threshold=False)
         await harness.settle()
         assert not harness.writer.transport.closed
         harness.router.clock.time += 1.0  # type: ignore[attr-defined]
-        harness.actor.check_idle(harness.listener.clock.now(), crowded=False)
+        harness.actor.check_idle(harness.listener.clock.now(), near_threshold=False)
         await harness.settle()
         assert harness.writer.transport.closed
 
@@ -214,6 +214,6 @@
     assert run_client_script(script) == b"ERROR\r\n" * 8
 
 
-def test_key_numbers_are_stable() -> None:
-    assert key_number(b"7f3a9c21e0b4d655") == 0xD54B9BF28703F94E
-    assert key_number(b"a") == key_number(b"a") != key_number(b"b")
+def test_key_hashes_are_stable() -> None:
+    assert key_hash(b"7f3a9c21e0b4d655") == 0xD54B9BF28703F94E
+    assert key_hash(b"a") == key_hash(b"a") != key_hash(b"b")
--- a/tests/test_connections_beyond_places.py
+++ b/tests/test_connections_beyond_places.py
@@ -17,10 +17,10 @@
 from hypothesis import strategies as st
 
 from starlingthread.net.clients.accept_loop import MAX_QUEUE_WAIT_MS, AcceptLoop
-from starlingthread.net.clients.accept_queue import MIN_QUEUED
+from starlingthread.net.clients.accept_queue import MIN_QUEUED_CONNECTIONS
 from starlingthread.net.clients.acceptor import SocketCounts
+from starlingthread.net.clients.capacity import SYN_RACE_CONNECTIONS, ConnectionCapacity
 from starlingthread.net.clients.idle import MIN_IDLE_SATURATED_MS
-from starlingthread.net.clients.room import RACE_EXCESS, ConnectionRoom
 
 from .peers import Peer, RouterHarness, read_command, running_router, until, value_answer
 from .test_descriptors_past_capacity import SOCKETS, begin_connect, clients_of, held_by_requests, is_connected
@@ -31,20 +31,20 @@
 class FakeContext:
     """A listener as its room sees it, with sockets in each of their states."""
 
-    def __init__(self, max_clients: int, connections: int, connecting: int, closing: int) -> None:
+    def __init__(self, max_clients: int, connections: int, initializing: int, closing: int) -> None:
         self.max_clients = max_clients
         self.connections = set(range(connections))
-        self.sockets = SocketCounts(open=connections + connecting + closing, connecting=connecting)
+        self.sockets = SocketCounts(open=connections + initializing + closing, initializing=initializing)
 
 
 @given(st.integers(18, 64), st.integers(0, 64), st.integers(0, 64), st.integers(0, 64), st.integers(0, 1))
 def test_whatever_may_come_up_finds_a_descriptor(
-    max_clients: int, connections: int, connecting: int, closing: int, accepting: int
+    max_clients: int, connections: int, initializing: int, closing: int, accepting: int
 ) -> None:
-    context = FakeContext(max_clients, connections, connecting, closing)
-    limit = ConnectionRoom(context).free_places(accepting)  # type: ignore[arg-type]
+    context = FakeContext(max_clients, connections, initializing, closing)
+    limit = ConnectionCapacity(context).free_slots(accepting)  # type: ignore[arg-type]
     free_descriptors = max_clients - context.sockets.open - accepting
-    assert not limit or max(limit, MIN_QUEUED) + RACE_EXCESS <= free_descriptors
+    assert not limit or max(limit, MIN_QUEUED_CONNECTIONS) + SYN_RACE_CONNECTIONS <= free_descriptors
 
 
 def accept_loop_of(harness: RouterHarness) -> AcceptLoop:
@@ -77,7 +77,7 @@
         clients[number].close()
 
 
-@pytest.mark.parametrize("beyond_the_limit", [0, RACE_EXCESS])
+@pytest.mark.parametrize("beyond_the_limit", [0, SYN_RACE_CONNECTIONS])
 def test_all_that_come_up_for_the_last_place_are_answered(tmp_path: Path, beyond_the_limit: int) -> None:
     """With all descriptors open the others waited unread for as long as requests held these.
 
@@ -91,9 +91,9 @@
             clients[0].close()
             await until(lambda: listener.sockets.open < len(clients))
             assert listener.socket is not None
-            listener.socket.listen(MIN_QUEUED + beyond_the_limit - 1)
+            listener.socket.listen(MIN_QUEUED_CONNECTIONS + beyond_the_limit - 1)
             up = send_on_all_that_come_up(harness, 200)
-            assert len(up) == MIN_QUEUED + beyond_the_limit
+            assert len(up) == MIN_QUEUED_CONNECTIONS + beyond_the_limit
             await assert_answered(harness, up)
 
     asyncio.run(play())
@@ -112,7 +112,7 @@
             await clients[0].until(b"x\r\n")
             harness.router.clock._base += MIN_IDLE_SATURATED_MS
             await clients[0].send(read_command(100))  # the router takes no turn from here to the last command
-            assert clients_of(harness).room.evict_one()
+            assert clients_of(harness).capacity.evict_one()
             accept_loop_of(harness).limit_queue()
             up = send_on_all_that_come_up(harness, 200)
             await servers[0].until(b"\r\n")
@@ -133,11 +133,13 @@
         async with running_router(tmp_path, limits__sockets=SOCKETS) as harness:
             listener = clients_of(harness)
             assert listener.socket is not None
-            listener.socket.listen(listener.room.max_connections)  # the system queues one more
+            listener.socket.listen(listener.capacity.max_connections)  # the system queues one more
             burst = [begin_connect(harness.port) for _ in range(2 * listener.max_clients)]
             up = dict(enumerate(filter(is_connected, burst)))
-            assert len(up) == listener.room.max_connections + RACE_EXCESS
-            await until(lambda: accept_loop_of(harness)._checked_room_at > 0.0)  # all are accepted, the queue is shut
+            assert len(up) == listener.capacity.max_connections + SYN_RACE_CONNECTIONS
+            await until(
+                lambda: accept_loop_of(harness)._last_capacity_check_at > 0.0
+            )  # all are accepted, the queue is shut
             for number, sock in up.items():
                 sock.send(read_command(number))
             await assert_answered(harness, up)
@@ -185,7 +187,7 @@
             clients, servers = await held_by_requests(harness)
             listener = clients_of(harness)
             listener.idle_client_threshold = listener.max_clients
-            listener.room.shed_ahead = lambda: None  # type: ignore[method-assign]
+            listener.capacity.evict_in_advance = lambda: None  # type: ignore[method-assign]
             clients[0].close()
             await until(lambda: listener.sockets.open < len(clients))
             late = begin_connect(harness.port)
@@ -226,7 +228,7 @@
             harness.router.clock._base += MIN_IDLE_SATURATED_MS
             await servers[1].send(value_answer(1))
             await clients[1].until(b"x\r\n")
-            accept_loop_of(harness)._check_room()  # evicts the one that has been idle for long
+            accept_loop_of(harness)._check_capacity()  # evicts the one that has been idle for long
             assert harness.counters["clients.evicted"] == 1
             assert await clients[0].read_to_eof() == b""
             await until(lambda: harness.counters["clients.accepted"] == len(clients) + 1)
--- a/tests/test_descriptors_past_capacity.py
+++ b/tests/test_descriptors_past_capacity.py
@@ -35,7 +35,7 @@
 async def held_by_requests(harness: RouterHarness) -> tuple[list[Peer], list[Peer]]:
     """Let clients with a request in flight hold all connections; return them and the cache server's peers."""
     clients, servers = [], []
-    for number in range(harness.program.actors.clients.room.max_connections):
+    for number in range(harness.program.actors.clients.capacity.max_connections):
         clients.append(await harness.client())
         await clients[-1].send(read_command(number))
         servers.append(await harness.server.accept())
@@ -118,7 +118,7 @@
         async with running_router(tmp_path, limits__sockets=SOCKETS) as harness:
             waiting = [begin_connect(harness.port) for _ in range(60)]
             queued = [sock for sock in waiting if is_connected(sock)]
-            assert len(queued) >= clients_of(harness).room.max_connections
+            assert len(queued) >= clients_of(harness).capacity.max_connections
             for number, sock in enumerate(queued):
                 sock.send(read_command(number))
             numbers = set()
@@ -180,13 +180,13 @@
             await clients[0].until(b"x\r\n")
             harness.router.clock._base += MIN_IDLE_SATURATED_MS
             await clients[0].send(read_command(100))  # the router has not taken a turn since
-            assert clients_of(harness).room.evict_one()
+            assert clients_of(harness).capacity.evict_one()
             await servers[0].until(b"\r\n")
             await servers[0].send(value_answer(100))
             await clients[0].until(b"x\r\n")
             await run_loop_turns()
             assert harness.find_actor(clients[0]) is not None
-            assert clients_of(harness).room.free_places() == 0
+            assert clients_of(harness).capacity.free_slots() == 0
 
     asyncio.run(play())
 
@@ -196,7 +196,7 @@
 
     async def play() -> None:
         async with running_router(tmp_path, limits__sockets=SOCKETS) as harness:
-            places = clients_of(harness).room.max_connections
+            places = clients_of(harness).capacity.max_connections
             burst = [begin_connect(harness.port) for _ in range(places - 1)]
             await until(lambda: len(clients_of(harness).connections) == places - 1)
             await harness.client()
@@ -272,11 +272,11 @@
                 await (await harness.client()).send(read_command(number))
                 await harness.server.accept()
             new = await harness.client()
-            assert not listener.room.evict_one() and harness.find_actor(new) is not None
+            assert not listener.capacity.evict_one() and harness.find_actor(new) is not None
             listener.max_clients = 2
-            assert not listener.room.evict_one() and harness.find_actor(new) is not None
+            assert not listener.capacity.evict_one() and harness.find_actor(new) is not None
             harness.router.clock._base += SILENT_CONNECTION_MS
-            assert listener.room.evict_one() and harness.actor_of(new).state.evicted
+            assert listener.capacity.evict_one() and harness.actor_of(new).state.evicted
 
     asyncio.run(play())
 
@@ -289,7 +289,7 @@
             new = [await harness.client() for _ in range(4)]
             listener = clients_of(harness)
             listener.max_clients = 7
-            assert [listener.room.evict_one() for _ in range(4)] == [True, True, True, False]
+            assert [listener.capacity.evict_one() for _ in range(4)] == [True, True, True, False]
             assert all(harness.actor_of(client).state.evicted for client in silent)
             assert not any(harness.actor_of(client).state.evicted for client in new)
 
--- a/tests/test_eviction_order.py
+++ b/tests/test_eviction_order.py
@@ -13,9 +13,9 @@
 
 import pytest
 
+from starlingthread.net.clients.capacity import ConnectionCapacity
 from starlingthread.net.clients.idle import MIN_IDLE_MS
 from starlingthread.net.clients.limits import SILENT_CONNECTION_MS
-from starlingthread.net.clients.room import ConnectionRoom
 
 from .peers import Peer, RouterHarness, read_command, running_router, value_answer
 from .test_descriptors_past_capacity import SOCKETS, clients_of
@@ -25,9 +25,9 @@
 
 
 async def crowd_beside(harness: RouterHarness, users: list[Peer]) -> list[Peer]:
-    """Return silent clients that take nearly all places which the users leave."""
-    places = clients_of(harness).room.max_connections
-    return [await harness.client() for _ in range(places - len(users) - FREE_PLACES)]
+    """Return silent clients that take nearly all connection slots that the users leave."""
+    max_connections = clients_of(harness).capacity.max_connections
+    return [await harness.client() for _ in range(max_connections - len(users) - FREE_PLACES)]
 
 
 async def clients_with_answers(harness: RouterHarness, count: int, answers: int) -> list[Peer]:
@@ -50,29 +50,31 @@
     return sum(actor is None or actor.state.evicted for actor in actors)
 
 
-def shed_idle(room: ConnectionRoom) -> None:
-    room.shed_idle(room._context.clock.now())
+def evict_above_threshold(capacity: ConnectionCapacity) -> None:
+    capacity.evict_above_threshold(capacity._context.clock.now())
 
 
 @pytest.mark.parametrize(
     ("answers", "command"), [(1, b""), (20, b""), (20, PING)], ids=["used once", "used again", "a crowd that speaks"]
 )
-@pytest.mark.parametrize("evict", [shed_idle, ConnectionRoom.shed_ahead, ConnectionRoom.evict_one])
+@pytest.mark.parametrize(
+    "evict", [evict_above_threshold, ConnectionCapacity.evict_in_advance, ConnectionCapacity.evict_one]
+)
 def test_a_crowd_that_came_up_a_moment_ago_is_evicted_before_connections_in_use(
-    tmp_path: Path, evict: Callable[[ConnectionRoom], None], answers: int, command: bytes
+    tmp_path: Path, evict: Callable[[ConnectionCapacity], None], answers: int, command: bytes
 ) -> None:
     async def play() -> None:
         async with running_router(tmp_path, limits__sockets=SOCKETS) as harness:
-            room = clients_of(harness).room
+            capacity = clients_of(harness).capacity
             users = await clients_with_answers(harness, 4, answers)
             crowd = await crowd_beside(harness, users)
             for client in crowd if command else []:
                 await client.send(command)
                 await client.until(b"MN\r\n")
-            evict(room)
+            evict(capacity)
             assert evicted(harness, users + crowd) == 0
             harness.router.clock._base += max(SILENT_CONNECTION_MS, MIN_IDLE_MS)
-            evict(room)
+            evict(capacity)
             assert evicted(harness, users) == 0 and evicted(harness, crowd) > 0
 
     asyncio.run(play())
