--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,7 +1,7 @@
-"""Scripted peers on real sockets and a complete router between them, all in one event loop.
+"""Scripted clients, cache servers and discovery on real sockets, with a complete router between them in one event loop.
 
-A script fixes the order of events: it waits for what a peer has received or for a state of the router, and lets the
-event loop run until then. Nothing waits for time to pass.
+A script fixes the order of events: it runs the event loop until a peer has received some data or the router is in some
+state. No script waits for time to pass.
 """
 
 from __future__ import annotations
@@ -23,11 +23,12 @@
 from starlingthread.net.clients import ClientConnectionActor
 from starlingthread.router_process.process import RouterProcess
 
-WAIT_TIMEOUT_S = 20.0  # s of real time; time-out of each wait of a script
+# Time-out, in real time, of each wait of a script.
+WAIT_TIMEOUT_S = 20.0
 
 
 class Peer:
-    """One end of a TCP connection, with what a stream hides: half-close, reset, and bytes that are left unread."""
+    """One end of a TCP connection, with operations that streams lack: half-close, reset, and leaving data unread."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.socket = sock
@@ -35,15 +36,15 @@
         self.unread = b""
 
     async def send(self, data: bytes) -> None:
-        """Hand bytes to the system."""
+        """Send all bytes."""
         await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(self.socket, data), WAIT_TIMEOUT_S)
 
     async def receive(self) -> bytes:
-        """Return some bytes, none at the end of file; raise ConnectionResetError on a reset."""
+        """Return the next bytes, or b"" at the end of file; raise ConnectionResetError on a reset."""
         return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.socket, 65536), WAIT_TIMEOUT_S)
 
     async def until(self, end: bytes) -> bytes:
-        """Return what arrives, up to and including a terminator."""
+        """Return the data up to and including a terminator."""
         while end not in self.unread:
             data = await self.receive()
             assert data, f"ended without {end!r}: {self.unread!r}"
@@ -53,14 +54,14 @@
         return received
 
     async def read_to_eof(self) -> bytes:
-        """Return all that arrives up to the end of file."""
+        """Return all data up to the end of file."""
         while data := await self.receive():
             self.unread += data
         received, self.unread = self.unread, b""
         return received
 
     def half_close(self) -> None:
-        """Send an end of file and go on reading."""
+        """Send an end of file but keep reading."""
         self.socket.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
@@ -69,12 +70,12 @@
         self.socket.close()
 
     def close(self) -> None:
-        """Close; over unread bytes this is a reset."""
+        """Close; with unread bytes this resets the connection."""
         self.socket.close()
 
 
 class Listener:
-    """A listening socket. Connections are established by the system and queue until a script accepts them."""
+    """A listening socket; the system establishes connections, which are queued until a script accepts them."""
 
     def __init__(self, port: int = 0) -> None:
         self.socket = socket.create_server(("127.0.0.1", port))
@@ -84,20 +85,23 @@
         self.accepted: list[Peer] = []
 
     async def accept(self) -> Peer:
-        """Return the next connection."""
+        """Accept the next connection."""
         sock, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.socket), WAIT_TIMEOUT_S)
         self.accepted.append(Peer(sock))
         return self.accepted[-1]
 
     def close(self) -> None:
-        """Close it and all that it has accepted."""
+        """Close the socket and all accepted connections."""
         for peer in self.accepted:
             peer.close()
         self.socket.close()
 
 
 async def connect(port: int, buffer: int = 0) -> Peer:
-    """Connect as a client; 'buffer' is the size of its receive buffer in bytes, 0 for the default."""
+    """Connect as a client.
+
+    buffer: size of the receive buffer in bytes; 0 for the default
+    """
     sock = socket.socket()
     sock.setblocking(False)
     if buffer:
@@ -113,20 +117,20 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Let the event loop run until a condition holds."""
+    """Run the event loop until a condition holds."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0)
 
 
 async def run_loop_turns(turns: int = 20) -> None:
-    """Let the event loop take some turns."""
+    """Run the event loop for some turns."""
     for _ in range(turns):
         await asyncio.sleep(0)
 
 
 def entry(name: str, address: str, status: str = "in_service") -> dict[str, Any]:
-    """Return a cache server as discovery lists it."""
+    """Return the endpoint list's entry for a cache server."""
     return {
         "name": name,
         "address": address,
@@ -140,18 +144,18 @@
 
 
 def listing(index: int, *entries: dict[str, Any], full: bool = True, indent: int | None = None) -> bytes:
-    """Return a list as discovery writes it, without an end of line."""
+    """Return an endpoint list as discovery sends it, without an end of line."""
     return json.dumps({"index": index, "snapshot": full, "endpoints": entries}, indent=indent).encode()
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a chunk of an answer that stays open."""
+    """Return a chunk of a chunked HTTP response."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def read_command(number: int, key: str = "k", wait: float = 5000.0) -> bytes:
+def read_command(number: int, key: str = "k", timeout_ms: float = 5000.0) -> bytes:
     """Return a read command."""
-    return b"mg %b%d v O%d Pc=read,d=%d\r\n" % (key.encode(), number, number, wait)
+    return b"mg %b%d v O%d Pc=read,d=%d\r\n" % (key.encode(), number, number, timeout_ms)
 
 
 def value_answer(number: int) -> bytes:
@@ -175,9 +179,9 @@
 
 
 class RouterHarness:
-    """A router, its discovery service and its cache servers, 's-1' and so on; scripts add clients."""
+    """A router, its discovery service and its cache servers, named 's-1' and so on; scripts add clients."""
 
-    def __init__(self, folder: Path, servers: int, change: dict[str, Any]) -> None:
+    def __init__(self, folder: Path, servers: int, config_changes: dict[str, Any]) -> None:
         self.discovery = Listener()
         self.servers = [Listener() for _ in range(servers)]
         self.path = folder / "config.json"
@@ -198,7 +202,7 @@
                 "rules": {"drainGraceMs": 1000.0, "askWithinMs": 1e9},
             },
         }
-        for place, value in change.items():
+        for place, value in config_changes.items():
             *parts, last = place.split(".")
             inner = self.raw
             for part in parts:
@@ -209,7 +213,7 @@
         self.clients: list[Peer] = []
 
     def entries(self) -> list[dict[str, Any]]:
-        """Return the cache servers as discovery lists them."""
+        """Return the endpoint list's entries for all cache servers."""
         return [entry(f"s-{n}", server.address) for n, server in enumerate(self.servers, 1)]
 
     @property
@@ -219,7 +223,7 @@
 
     @property
     def router(self) -> Router:
-        """The module's actor."""
+        """The router actor."""
         return self.program.actors.router
 
     @property
@@ -227,32 +231,32 @@
         """The router's counters."""
         return self.program.counters
 
-    async def client(self, taken: bool = True, buffer: int = 0) -> Peer:
-        """Connect as a client; return once the router has accepted it, if 'taken'. 'buffer' is as in connect()."""
+    async def client(self, wait_until_accepted: bool = True, buffer: int = 0) -> Peer:
+        """Connect as a client, by default until the router has accepted it; see connect() for 'buffer'."""
         self.clients.append(await connect(self.port, buffer))
-        if taken:
+        if wait_until_accepted:
             await until(lambda: self.find_actor(self.clients[-1]) is not None)
         return self.clients[-1]
 
     def actor_of(self, client: Peer) -> ClientConnectionActor:
-        """Return the router's actor of a client."""
+        """Return the router's actor for a client."""
         actor = self.find_actor(client)
         assert actor is not None
         return actor
 
     def find_actor(self, client: Peer) -> ClientConnectionActor | None:
-        """Return the router's actor of a client, None if there is none."""
+        """Return the router's actor for a client; None if there is none."""
         name = client.socket.getsockname()
         return next(
             (a for a in self.program.actors.clients.connections if a.writer.get_extra_info("peername") == name), None
         )
 
     def reload(self, classes: list[dict[str, Any]]) -> None:
-        """Have the router reload its file with other request classes."""
+        """Make the router reload its configuration file with other request classes."""
         self.raw["settings"]["grades"] = classes
         self.path.write_text(json.dumps(self.raw))
         configuration = self.program.configuration
-        configuration.config = configuration.config._replace(shape={})  # else a file with fewer would not be taken
+        configuration.config = configuration.config._replace(shape={})  # otherwise a file with fewer fields is rejected
         configuration.reload()
 
     def close(self) -> None:
@@ -264,7 +268,7 @@
 
 
 async def request_in_flight(harness: RouterHarness, number: int = 1) -> tuple[Peer, Peer]:
-    """Send a request and let it reach the cache server; return the client's and the server's peer."""
+    """Send a request that reaches the cache server; return the client's and the server's peer."""
     client = await harness.client()
     await client.send(read_command(number))
     server = await harness.server.accept()
@@ -274,10 +278,15 @@
 
 @asynccontextmanager
 async def running_router(
-    folder: Path, servers: int = 1, wait: bool = True, **change: Any
+    folder: Path, servers: int = 1, wait: bool = True, **config_changes: Any
 ) -> AsyncIterator[RouterHarness]:
-    """Run a router between scripted peers; 'change' names places of its file, as settings__discovery="automatic"."""
-    harness = RouterHarness(folder, servers, {place.replace("__", "."): value for place, value in change.items()})
+    """Run a router between scripted peers.
+
+    config_changes: values of its configuration file by path, such as settings__discovery="automatic"
+    """
+    harness = RouterHarness(
+        folder, servers, {place.replace("__", "."): value for place, value in config_changes.items()}
+    )
     thresholds = gc.get_threshold()
     task = asyncio.create_task(harness.program.run())
     try:
@@ -287,7 +296,7 @@
     finally:
         harness.close()
         if not harness.program.stop_requested.is_set():
-            harness.program.exit_code = harness.program.exit_code or 1  # ends at once
+            harness.program.exit_code = harness.program.exit_code or 1  # makes the process end at once
         harness.program.stop_requested.set()
         await asyncio.wait_for(task, WAIT_TIMEOUT_S)
         gc.unfreeze()
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -12,7 +12,7 @@
 from starlingthread.core.counters import Counters
 from starlingthread.net.clients.accept_queue import MIN_QUEUED_CONNECTIONS, AcceptQueue
 
-pytestmark = pytest.mark.skipif(sys.platform != "linux", reason="other systems' queues differ")
+pytestmark = pytest.mark.skipif(sys.platform != "linux", reason="other systems limit accept queues differently")
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
 
 
 def count_established(listening: socket.socket, attempts: int = 12) -> int:
-    """Return how many of some clients get a connection at once."""
+    """Connect some clients at once; return how many connections are established."""
     clients = [socket.socket() for _ in range(attempts)]
     poll = select.poll()
     for client in clients:
@@ -35,14 +35,14 @@
     return established
 
 
-@pytest.mark.parametrize("places", [0, 2, 3, 10])
-def test_the_system_establishes_as_many_connections_as_there_are_places(listening: socket.socket, places: int) -> None:
-    """Guards against requests in connections that nobody can accept; the system queues one more than it is told."""
-    AcceptQueue(listening, Counters(), is_shared=False).set_limit(places)
-    assert count_established(listening) == places
+@pytest.mark.parametrize("limit", [0, 2, 3, 10])
+def test_the_system_establishes_as_many_connections_as_the_limit_allows(listening: socket.socket, limit: int) -> None:
+    """Guards against requests on connections that can't be accepted: the system queues one more than the backlog."""
+    AcceptQueue(listening, Counters(), is_shared=False).set_limit(limit)
+    assert count_established(listening) == limit
 
 
-def test_a_limit_of_one_lets_as_many_come_up_as_the_smallest_queue_holds(listening: socket.socket) -> None:
+def test_a_limit_of_one_allows_as_many_connections_as_the_smallest_queue_holds(listening: socket.socket) -> None:
     AcceptQueue(listening, Counters(), is_shared=False).set_limit(1)
     assert count_established(listening) == MIN_QUEUED_CONNECTIONS
 
@@ -53,7 +53,7 @@
     assert counters["clients.queue_shut"] == 1
     successor = AcceptQueue(listening, Counters(), is_shared=True)
     successor.set_limit(5)
-    AcceptQueue(listening, counters, is_shared=False).set_limit(0)  # the predecessor goes on until it pauses
+    AcceptQueue(listening, counters, is_shared=False).set_limit(0)  # the old process accepts until it pauses
     successor.set_limit(5)
     assert count_established(listening) == 5
 
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -28,7 +28,7 @@
 )
 
 SOCKETS = 96
-MAX_MEMORY_GROWTH = 25.0  # MB that a router's memory may grow by while it is flooded
+MAX_MEMORY_GROWTH_MB = 25.0  # allowed growth of a router's memory while it is flooded
 FATAL_LOG_TEXTS = ("Traceback", "Too many open files", "actor-died", "module-error")
 
 
@@ -66,7 +66,7 @@
         )
         self.process: asyncio.subprocess.Process
         self.log = ""
-        self.evictions = 0  # times that the router closed the well-behaved client's idle connection
+        self.evictions = 0  # number of times that the router closed the well-behaved client's idle connection
 
     def memory_mb(self) -> float:
         """Return the resident memory of the process, in MB."""
@@ -105,10 +105,10 @@
             client = await router.connect_and_send(b"mn\r\n")
         else:
             assert answer == b"MN\r\n"
-        assert router.memory_mb() - memory_before < MAX_MEMORY_GROWTH
+        assert router.memory_mb() - memory_before < MAX_MEMORY_GROWTH_MB
 
     yield check_served
-    assert router.memory_mb() - memory_before < MAX_MEMORY_GROWTH
+    assert router.memory_mb() - memory_before < MAX_MEMORY_GROWTH_MB
     client.close()
 
 
@@ -141,7 +141,7 @@
 
 
 def final_counter(log: str, name: str) -> int:
-    """Return a counter from the line that the process logs at its end, 0 if it is not there."""
+    """Return a counter from the line that the process logs when it ends; 0 if it is not there."""
     (line,) = (line for line in log.splitlines() if " counters " in line)
     return next((int(word.partition("=")[2]) for word in line.split() if word.startswith(f"{name}=")), 0)
 
@@ -149,7 +149,7 @@
 def test_idle_clients_that_use_all_descriptors_while_discovery_is_down_block_no_one(tmp_path: Path) -> None:
     """Descriptors must remain for discovery, a cache server, management calls and for accepting connections."""
 
-    async def play() -> str:
+    async def scenario() -> str:
         async with limited_router(tmp_path) as router:
             idle = [await router.connect_and_send(b"mn\r\n" if n % 2 else b"") for n in range(3 * SOCKETS)]
             discovery = Listener(router.discovery_port)
@@ -172,7 +172,7 @@
             discovery.close()
         return router.log
 
-    assert final_counter(asyncio.run(play()), "clients.evicted") > 3 * SOCKETS
+    assert final_counter(asyncio.run(scenario()), "clients.evicted") > 3 * SOCKETS
 
 
 FLOODS = {
@@ -187,7 +187,7 @@
 def test_floods_from_clients_that_disconnect_at_once_affect_no_other_client(tmp_path: Path, flood: str) -> None:
     """They leave no open request behind, whether they close or reset the connection."""
 
-    async def play() -> str:
+    async def scenario() -> str:
         async with limited_router(tmp_path) as router, well_behaved_client(router) as check_served:
             text = FLOODS[flood]
             for number in range(150):
@@ -199,7 +199,7 @@
                     await check_served()
         return router.log
 
-    log = asyncio.run(play())
+    log = asyncio.run(scenario())
     assert final_counter(log, "requests.open") == 0 and final_counter(log, "clients.accepted") > 150
 
 
@@ -215,7 +215,7 @@
 def test_endless_answers_fail_only_their_own_request(tmp_path: Path, answer: str) -> None:
     """The requests end in time, and other clients are served meanwhile."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with limited_router(tmp_path) as router, well_behaved_client(router) as check_served:
 
             async def answer_endlessly(peer: Peer) -> None:
@@ -242,4 +242,4 @@
                 task.cancel()
             await asyncio.gather(*serving, *answering, return_exceptions=True)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their connection is not read, written to or answered, on real sockets."""
+"""Clients that disconnect while their connection is not read or written to, on real sockets."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @pytest.mark.parametrize("disconnect", ["close", "reset", "half_close"])
 def test_a_disconnect_is_detected_while_reading_is_paused(tmp_path: Path, disconnect: str) -> None:
-    """Its commands wait for room, so nobody reads on: what it asked was sent on, and again when it failed."""
+    """Guards against attempts and retries for a client that disconnected while its commands waited for a free slot."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client()
             await client.send(b"".join(read_command(n) for n in range(MAX_PIPELINED_COMMANDS + 4)))
@@ -31,14 +31,14 @@
             await run_loop_turns()
             assert harness.counters["attempts.started"] == MAX_PIPELINED_COMMANDS and not harness.router.requests
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("disconnect", ["close", "reset"])
 def test_a_disconnect_behind_unread_bytes_is_detected(tmp_path: Path, disconnect: str) -> None:
-    """Its end of file lies behind bytes that nobody reads, so only the system can tell of it."""
+    """The end of file follows bytes that are not read, so only polling the socket detects it."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client()
             client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
@@ -53,13 +53,13 @@
             await until(lambda: not harness.program.actors.clients.connections)
             assert harness.counters["attempts.started"] == MAX_PIPELINED_COMMANDS and not harness.router.requests
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_disconnect_is_detected_while_the_writer_waits_for_a_slow_client(tmp_path: Path) -> None:
-    """The writer waited up to 10 s for it to read on, and its other requests went out meanwhile."""
+    """Guards against attempts for a disconnected client, for which the writer waited up to 10 s."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client(buffer=4096)
             (actor,) = harness.program.actors.clients.connections
@@ -68,9 +68,9 @@
             await client.send(read_command(1) + read_command(2))
             first = await harness.server.accept()
             second = await harness.server.accept()
-            said = {await peer.until(b"\r\n"): peer for peer in (first, second)}
-            (one,) = (peer for line, peer in said.items() if b" O1 " in line)
-            await one.send(b"VA 60000 O1 h1\r\n" + b"x" * 60000 + b"\r\n")
+            peers_by_command = {await peer.until(b"\r\n"): peer for peer in (first, second)}
+            (first_peer,) = (peer for line, peer in peers_by_command.items() if b" O1 " in line)
+            await first_peer.send(b"VA 60000 O1 h1\r\n" + b"x" * 60000 + b"\r\n")
             await until(
                 lambda: (
                     actor.writer.transport.get_write_buffer_size() > limits.MAX_UNSENT_BYTES
@@ -78,15 +78,15 @@
                 )
             )
             await run_loop_turns()
-            client.half_close()  # it reads nothing, so the writer goes on waiting
+            client.half_close()  # the client reads nothing, so the writer keeps waiting
             await until(lambda: harness.counters["requests.cancelled"] == 1)
             assert not harness.router.requests and actor in harness.program.actors.clients.connections
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 async def request_at_any_server(harness: RouterHarness) -> tuple[Peer, Peer]:
-    """Have a client ask; return its end, and that of whichever cache server was asked."""
+    """Send a request; return the client's peer and that of the cache server that received the request."""
     client = await harness.client()
     await client.send(read_command(1))
     await until(lambda: any(actor.pool.busy for actor in harness.program.actors.fleet.actors.values()))
@@ -98,9 +98,9 @@
 
 
 def test_no_attempt_starts_once_a_disconnect_is_in_the_mailbox(tmp_path: Path) -> None:
-    """A failure that was told before it had the module try again; the message that the client left came behind."""
+    """Guards against a retry for a failure that precedes the client's disconnect in the mailbox."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, 2) as harness:
             client, _ = await request_at_any_server(harness)
             (request,) = harness.router.requests.values()
@@ -108,17 +108,17 @@
             (actor,) = harness.program.actors.clients.connections
             harness.router.mailbox.must_put(AttemptEnded(attempt, AttemptResult.RESET))
             actor.on_disconnect()
-            began = harness.counters["attempts.started"]
+            attempts_before = harness.counters["attempts.started"]
             harness.router.turn()
             await until(lambda: not harness.router.requests)
-            assert harness.counters["attempts.started"] == began
+            assert harness.counters["attempts.started"] == attempts_before
             client.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_command_read_after_the_disconnect_is_not_submitted(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client()
             (actor,) = harness.program.actors.clients.connections
@@ -128,4 +128,4 @@
             await run_loop_turns()
             assert harness.counters["attempts.started"] == 0 and not harness.router.requests
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections, with hand-fed streams: no socket, no waiting."""
+"""Client connections on fake streams, without network and without waiting."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 def test_a_disconnect_cancels_requests_in_flight() -> None:
     async def script(harness: ClientHarness) -> None:
         harness.reader.feed_data(READS)
-        asked = await harness.settle()
+        received = await harness.settle()
         harness.reader.feed_eof()
-        gone = await harness.settle()
-        assert [m.request for m in gone] == [m.request for m in asked]
-        assert all(isinstance(m, ClientDisconnected) for m in gone) and harness.writer.transport.closed
+        disconnects = await harness.settle()
+        assert [m.request for m in disconnects] == [m.request for m in received]
+        assert all(isinstance(m, ClientDisconnected) for m in disconnects) and harness.writer.transport.closed
 
     run_client_script(script)
 
@@ -59,7 +59,7 @@
     assert run_client_script(script) == b"SERVER_ERROR failed\r\n" * 40
 
 
-def test_closing_waits_for_responses_that_are_owed() -> None:
+def test_closing_waits_for_pending_responses() -> None:
     async def script(harness: ClientHarness) -> None:
         harness.reader.feed_data(READS[:25])
         (message,) = await harness.settle()
@@ -73,7 +73,7 @@
     assert run_client_script(script) == b"SERVER_ERROR failed\r\n"
 
 
-def test_a_client_that_reads_no_responses_is_cut_off() -> None:
+def test_a_client_that_reads_no_responses_is_disconnected() -> None:
     async def script(harness: ClientHarness) -> None:
         harness.writer.transport.unsent = 1 << 20
         harness.reader.feed_data(b"mn\r\n")
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "after", "answer"),
+    ("sent", "after_ms", "answer"),
     [
         (b"", 2000.0, b""),
         (b"mg a v O1", 2200.0, b"CLIENT_ERROR command not finished\r\n"),
@@ -96,13 +96,13 @@
         (b"mn\r\n", 8000.0, b"MN\r\n"),
     ],
 )
-def test_an_idle_connection_is_closed(sent: bytes, after: float, answer: bytes) -> None:
-    """Guards descriptors and memory against clients that hold their connection and say nothing, or half."""
+def test_an_idle_connection_is_closed(sent: bytes, after_ms: float, answer: bytes) -> None:
+    """Guards descriptors and memory against clients that keep a connection open and send nothing, or half a command."""
 
     async def script(harness: ClientHarness) -> None:
         harness.reader.feed_data(sent)
         await harness.settle()
-        harness.router.clock.time += after - 1.0  # type: ignore[attr-defined]
+        harness.router.clock.time += after_ms - 1.0  # type: ignore[attr-defined]
         harness.actor.check_idle(harness.listener.clock.now(), near_threshold=False)
         await harness.settle()
         assert not harness.writer.transport.closed
@@ -142,8 +142,8 @@
     run_client_script(script)
 
 
-def test_idle_connections_above_the_threshold_are_shed() -> None:
-    """Guards against clients that find no connection left, of which a router hears nothing."""
+def test_idle_connections_above_the_threshold_are_evicted() -> None:
+    """Guards against clients that can't connect, which a router does not notice."""
 
     async def script(harness: ClientHarness) -> None:
         harness.listener.idle_client_threshold = 2
@@ -158,16 +158,16 @@
         await harness.settle()
         assert len(harness.listener.connections) == 4
         harness.router.clock.time += 85.0  # type: ignore[attr-defined]
-        harness.listener._check_idle_connections()  # two have been idle for long enough, and there are two too many
+        harness.listener._check_idle_connections()  # two are idle for long enough, and two exceed the threshold
         await harness.settle()
         assert {a.reader for a in harness.listener.connections} == {harness.reader, readers[2]}
 
     run_client_script(script)
 
 
-def test_a_connection_is_not_closed_while_bytes_lie_unread_in_its_socket() -> None:
+def test_a_connection_is_not_closed_while_its_socket_has_unread_bytes() -> None:
     async def script(harness: ClientHarness) -> None:
-        harness.writer.other.send(b"mg a v O1 Pc=read,d=500")  # the system has them, the reader has not
+        harness.writer.other.send(b"mg a v O1 Pc=read,d=500")  # in the socket's buffer, not in the reader
         harness.actor.close_when_idle()
         await harness.settle()
         assert not harness.writer.transport.closed
@@ -180,15 +180,15 @@
 
 
 def test_a_request_that_crosses_our_close_is_answered_if_it_was_read_off_the_socket() -> None:
-    """Guards against a loss: nobody else can read that request any more, and its client would see a close."""
+    """Guards against a lost request: no other process can read it, and its client would only see a close."""
 
     async def script(harness: ClientHarness) -> None:
         await harness.settle()
-        harness.actor.close_when_idle()  # the actor's turn to close comes before the reader's
+        harness.actor.close_when_idle()  # the actor's turn to close precedes the reader's turn
         harness.reader.feed_data(READS[:25])
-        (asked,) = await harness.settle()
+        (received,) = await harness.settle()
         assert not harness.writer.transport.closed and not harness.writer.transport.paused
-        harness.actor.requests.answer(asked.request, Failed())
+        harness.actor.requests.answer(received.request, Failed())
 
     assert run_client_script(script) == b"SERVER_ERROR failed\r\n"
 
--- a/tests/test_eviction_order.py
+++ b/tests/test_eviction_order.py
@@ -1,8 +1,7 @@
-"""Which connections are evicted while a crowd of idle clients comes up.
+"""The order of evictions while many idle clients connect.
 
-What happened: requests crossed the close of their connections and were lost (soak seed 4117). Why: the crowd's
-connections had to stay for their first 100 ms, so those that clients used went in their place. What showed it: a trace
-of each eviction; those whose close was crossed had carried about 20 requests.
+Guards against lost requests (soak seed 4117): new connections are not evicted for their first 100 ms, so connections in
+use were evicted instead, and the next requests on them crossed the close.
 """
 
 from __future__ import annotations
@@ -18,20 +17,21 @@
 from starlingthread.net.clients.limits import SILENT_CONNECTION_MS
 
 from .peers import Peer, RouterHarness, read_command, running_router, value_answer
-from .test_descriptors_past_capacity import SOCKETS, clients_of
+from .test_descriptors_past_capacity import SOCKETS, listener_of
 
-PING = b"mn\r\n"
-FREE_PLACES = 2  # beside the crowd, so that nobody has failed to connect
+NOOP = b"mn\r\n"
+# Connection slots left free, so that the listener is not at capacity.
+FREE_SLOTS = 2
 
 
-async def crowd_beside(harness: RouterHarness, users: list[Peer]) -> list[Peer]:
-    """Return silent clients that take nearly all connection slots that the users leave."""
-    max_connections = clients_of(harness).capacity.max_connections
-    return [await harness.client() for _ in range(max_connections - len(users) - FREE_PLACES)]
+async def connect_new_clients(harness: RouterHarness, active_clients: list[Peer]) -> list[Peer]:
+    """Connect silent clients on all but a few of the remaining connection slots."""
+    max_connections = listener_of(harness).capacity.max_connections
+    return [await harness.client() for _ in range(max_connections - len(active_clients) - FREE_SLOTS)]
 
 
-async def clients_with_answers(harness: RouterHarness, count: int, answers: int) -> list[Peer]:
-    """Return clients that have got so many answers each, on connections that are idle for as long as they must stay."""
+async def connect_answered_clients(harness: RouterHarness, count: int, answers: int) -> list[Peer]:
+    """Return clients that each got a number of answers, and whose connections have just become evictable."""
     clients = [await harness.client() for _ in range(count)]
     for client in clients:
         for number in range(answers):
@@ -45,7 +45,7 @@
     return clients
 
 
-def evicted(harness: RouterHarness, clients: list[Peer]) -> int:
+def count_evicted(harness: RouterHarness, clients: list[Peer]) -> int:
     actors = [harness.find_actor(client) for client in clients]
     return sum(actor is None or actor.state.evicted for actor in actors)
 
@@ -55,26 +55,28 @@
 
 
 @pytest.mark.parametrize(
-    ("answers", "command"), [(1, b""), (20, b""), (20, PING)], ids=["used once", "used again", "a crowd that speaks"]
+    ("answers", "command"),
+    [(1, b""), (20, b""), (20, NOOP)],
+    ids=["used once", "used again", "new clients that ping"],
 )
 @pytest.mark.parametrize(
     "evict", [evict_above_threshold, ConnectionCapacity.evict_in_advance, ConnectionCapacity.evict_one]
 )
-def test_a_crowd_that_came_up_a_moment_ago_is_evicted_before_connections_in_use(
+def test_new_connections_are_evicted_before_connections_in_use(
     tmp_path: Path, evict: Callable[[ConnectionCapacity], None], answers: int, command: bytes
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path, limits__sockets=SOCKETS) as harness:
-            capacity = clients_of(harness).capacity
-            users = await clients_with_answers(harness, 4, answers)
-            crowd = await crowd_beside(harness, users)
-            for client in crowd if command else []:
+            capacity = listener_of(harness).capacity
+            active_clients = await connect_answered_clients(harness, 4, answers)
+            new_clients = await connect_new_clients(harness, active_clients)
+            for client in new_clients if command else []:
                 await client.send(command)
                 await client.until(b"MN\r\n")
             evict(capacity)
-            assert evicted(harness, users + crowd) == 0
+            assert count_evicted(harness, active_clients + new_clients) == 0
             harness.router.clock._base += max(SILENT_CONNECTION_MS, MIN_IDLE_MS)
             evict(capacity)
-            assert evicted(harness, users) == 0 and evicted(harness, crowd) > 0
+            assert count_evicted(harness, active_clients) == 0 and count_evicted(harness, new_clients) > 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_lingering_close.py
+++ b/tests/test_lingering_close.py
@@ -1,4 +1,4 @@
-"""The router's close of a client connection: the last response, lingering, and what crosses it, on real sockets."""
+"""The router's close of a client connection on real sockets: last responses, lingering, and requests that cross it."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 
 
 def test_nagle_is_disabled_towards_clients_and_servers(tmp_path: Path) -> None:
-    """What the system holds back is lost with a reset; of accepted sockets asyncio does not see that they are TCP."""
+    """Data delayed by Nagle's algorithm is lost in a reset; asyncio does not disable it on accepted sockets."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
-            socket_of_ours = harness.actor_of(await harness.client()).writer.get_extra_info("socket")
-            assert socket_of_ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            client_socket = harness.actor_of(await harness.client()).writer.get_extra_info("socket")
+            assert client_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             await request_in_flight(harness)
             (actor,) = harness.program.actors.fleet.actors.values()
             (connection,) = actor.pool.busy.values()
-            to_server = connection.writer.get_extra_info("socket")
-            assert to_server.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            server_socket = connection.writer.get_extra_info("socket")
+            assert server_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_last_response_arrives_though_bytes_lie_unread_behind_its_command(tmp_path: Path) -> None:
-    """A close over unread bytes is a reset, and takes what the client has not read yet with it."""
+def test_the_last_response_arrives_though_unread_bytes_follow_its_command(tmp_path: Path) -> None:
+    """Closing with unread bytes resets the connection, and the client loses responses that it has not read yet."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await harness.client()
             await client.send(b"mn\r\nms k nine O1\r\n" + b"x" * 60000)
@@ -55,11 +55,11 @@
             client.half_close()
             await until(lambda: not harness.program.actors.clients.connections)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 async def idle_client(harness: RouterHarness) -> Peer:
-    """Return a client that has had an answer and rests."""
+    """Return a client that is idle after an answer."""
     client = await harness.client()
     await client.send(b"mn\r\n")
     assert await client.until(b"\r\n") == b"MN\r\n"
@@ -67,9 +67,9 @@
 
 
 def test_a_request_that_crosses_our_end_of_file_is_neither_submitted_nor_reset(tmp_path: Path) -> None:
-    """Its client sends it again elsewhere: sent on as well, it would run twice, and its answer be lost."""
+    """The client sends the request again elsewhere; if submitted here too, it would run twice."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await idle_client(harness)
             harness.actor_of(client).close_when_idle()
@@ -81,11 +81,11 @@
             await until(lambda: not harness.program.actors.clients.connections)
             assert await client.receive() == b"" and harness.counters["attempts.started"] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_lingering_ends_though_the_client_never_closes(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await idle_client(harness)
             harness.actor_of(client).close_when_idle()
@@ -96,18 +96,18 @@
             harness.router.mailbox.wake()
             await until(lambda: not harness.program.actors.clients.connections)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def unhandled_exceptions() -> list[dict[str, Any]]:
-    """Return what callbacks of this loop raise from now on, which nobody else takes."""
-    raised: list[dict[str, Any]] = []
-    asyncio.get_running_loop().set_exception_handler(lambda _, context: raised.append(context))
-    return raised
+def collect_unhandled_exceptions() -> list[dict[str, Any]]:
+    """Return a list that collects the unhandled exceptions of this loop's callbacks from now on."""
+    unhandled: list[dict[str, Any]] = []
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: unhandled.append(context))
+    return unhandled
 
 
-async def closing_with_bytes_unsent(harness: RouterHarness) -> tuple[Peer, Any]:
-    """Have a client be closed behind an answer that it has not read; return it, and the router's transport to it."""
+async def close_with_unsent_bytes(harness: RouterHarness) -> tuple[Peer, Any]:
+    """Close a client's connection after an answer that it has not read; return it, and the router's transport to it."""
     client = await harness.client(buffer=4096)
     actor = harness.actor_of(client)
     actor.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -124,23 +124,23 @@
 
 @pytest.mark.parametrize("disconnect", ["reset", "close"])
 def test_a_disconnect_while_the_last_response_is_written_raises_nothing(tmp_path: Path, disconnect: str) -> None:
-    """Our end of file waits behind what is unsent; it was sent from a callback then, which may fail."""
+    """Guards against sending our end of file, which follows unsent data, from a callback that may raise."""
 
-    async def play() -> None:
-        raised = unhandled_exceptions()
+    async def scenario() -> None:
+        unhandled = collect_unhandled_exceptions()
         async with running_router(tmp_path) as harness:
-            client, _ = await closing_with_bytes_unsent(harness)
+            client, _ = await close_with_unsent_bytes(harness)
             await client.receive()
             getattr(client, disconnect)()
             await until(lambda: not harness.program.actors.clients.connections)
             await run_loop_turns()
-        assert not raised
+        assert not unhandled
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 class ResettingSocket:
-    """Stands before a socket: its other side resets in the moment in which the last byte has gone out."""
+    """Wraps a socket whose peer resets the connection as soon as the last byte is sent."""
 
     def __init__(self, sock: Any, client: Peer) -> None:
         self.socket, self.client = sock, client
@@ -159,10 +159,10 @@
 
 
 def test_a_reset_between_the_last_byte_and_our_end_of_file_raises_nothing(tmp_path: Path) -> None:
-    async def play() -> None:
-        raised = unhandled_exceptions()
+    async def scenario() -> None:
+        unhandled = collect_unhandled_exceptions()
         async with running_router(tmp_path) as harness:
-            client, transport = await closing_with_bytes_unsent(harness)
+            client, transport = await close_with_unsent_bytes(harness)
             transport._sock = ResettingSocket(transport._sock, client)
             while client.socket.fileno() >= 0:
                 with contextlib.suppress(BlockingIOError):
@@ -170,36 +170,36 @@
                 await run_loop_turns()
             await until(lambda: not harness.program.actors.clients.connections)
             await run_loop_turns()
-        assert not raised
+        assert not unhandled
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_eviction_sends_end_of_file_in_the_step_in_which_nothing_lay_unread(tmp_path: Path) -> None:
-    """What came between that step and the close of the socket, a turn later, was lost with no end of file before."""
+def test_eviction_sends_end_of_file_in_the_turn_in_which_nothing_is_unread(tmp_path: Path) -> None:
+    """Guards against losing requests that arrive before the socket is closed one turn later, without an end of file."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             client = await idle_client(harness)
             actor, eof_seen = harness.actor_of(client), []
             close = actor.writer.close
 
-            def closes() -> None:
+            def close_and_poll() -> None:
                 ended = select.poll()
                 ended.register(client.socket, select.POLLRDHUP)
                 eof_seen.append(bool(ended.poll(0)))
                 close()
 
-            actor.writer.close = closes  # type: ignore[method-assign]
+            actor.writer.close = close_and_poll  # type: ignore[method-assign]
             actor.evict()
             await until(lambda: bool(eof_seen))
             assert eof_seen == [True]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_lingering_connections_are_evicted_first(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_router(tmp_path) as harness:
             first, other = await idle_client(harness), await idle_client(harness)
             harness.actor_of(first).close_when_idle()
@@ -209,4 +209,4 @@
             await until(lambda: harness.find_actor(first) is None)
             assert harness.find_actor(other) is not None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_past_capacity_process.py
+++ b/tests/test_past_capacity_process.py
@@ -1,4 +1,4 @@
-"""A real router past its capacity, set here by its descriptors and the servers' time and so the same on any machine."""
+"""A real router past its capacity, which the descriptors and the servers' time determine, so on any machine alike."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from starlingthread.experiment.scenario_file import parse
 from starlingthread.testbed.bench import bench
 
-# 64 descriptors leave 19 for requests of clients, and each request takes 100 ms: 190 a second.
+# With 64 descriptors, 19 client connections can have a request in flight, and a request takes 100 ms: 190 per second.
 SCENARIO = """
 name = "past-capacity"
 length_s = 6.0
@@ -34,15 +34,16 @@
 name = "item-lookup"
 share = 1.0
 """
-CROWD = 400  # connections, far more than the router can hold
-WITHIN_A_THIRD = 0  # the load tool's own bound: a third of the descriptors
-CAPACITY = 190.0  # requests a second
-NEAR_CAPACITY = 0.9 * CAPACITY
-MIN_SERVED_SHARE = 0.9  # past the capacity, of what is served near it
+MANY_CONNECTIONS = 400  # far more than the router can hold
+DEFAULT_MAX_CONNECTIONS = 0  # selects the default limit of the load tool: a third of the descriptors
+CAPACITY_PER_S = 190.0  # requests per second
+NEAR_CAPACITY_PER_S = 0.9 * CAPACITY_PER_S
+# Minimum of the requests served past the capacity, as a share of those served near it.
+MIN_SERVED_SHARE = 0.9
 
 
-def served_at(rate: float, max_connections: int = CROWD) -> int:
-    """Play a rate without breaking a rule; return how many requests were served."""
+def count_served(rate: float, max_connections: int = MANY_CONNECTIONS) -> int:
+    """Run the scenario at a request rate; fail if a rule is broken, and return how many requests were served."""
     scenario: Scenario = parse(SCENARIO.format(rate=rate, max_connections=max_connections), "past-capacity")
     results = bench(scenario)
     assert not results.verdict.counts, results.verdict
@@ -51,15 +52,15 @@
 
 
 def test_a_router_past_its_capacity_serves_what_it_can_carry_and_answers_the_rest() -> None:
-    near = served_at(NEAR_CAPACITY)
+    served_near_capacity = count_served(NEAR_CAPACITY_PER_S)
     for overload in (1.25, 2.0):
-        assert served_at(overload * CAPACITY) >= MIN_SERVED_SHARE * near
+        assert count_served(overload * CAPACITY_PER_S) >= MIN_SERVED_SHARE * served_near_capacity
 
 
 @pytest.mark.parametrize("overload", [2.0, 3.0])
-@pytest.mark.parametrize("max_connections", [WITHIN_A_THIRD, CROWD])
+@pytest.mark.parametrize("max_connections", [DEFAULT_MAX_CONNECTIONS, MANY_CONNECTIONS])
 def test_no_request_is_lost_or_held_back_at_two_and_three_times_the_capacity(
     max_connections: int, overload: float
 ) -> None:
-    """A rule of the service: past the capacity 523 requests were lost, and 60 held back."""
-    assert served_at(overload * CAPACITY, max_connections) > 0
+    """Guards a rule of the service: past the capacity, 523 requests were lost and 60 held back."""
+    assert count_served(overload * CAPACITY_PER_S, max_connections) > 0
