--- a/starlingthread/net/clients/context.py
+++ b/starlingthread/net/clients/context.py
@@ -54,7 +54,7 @@
 
     last_used_at: float  # clock time
     partial_since: float | None = None  # clock time at which a partial command began, or its value last progressed
-    disconnected: bool = False  # the client has closed or reset the connection, or its reader has ended
+    disconnected: bool = False  # the client has closed or reset the connection, or it has ended otherwise
     closing: bool = False  # we close once all responses are written; commands that arrive before that are served
     closing_if_idle: bool = False  # we close unless a command arrives before
     framing_lost: bool = False  # the start of the client's next command is unknown, or it sent too many malformed ones
--- a/starlingthread/net/clients/idle.py
+++ b/starlingthread/net/clients/idle.py
@@ -12,7 +12,8 @@
 MIN_IDLE_MS = 100.0
 # A connection is kept longer while our core is saturated, as clients that wait for the router send later.
 MIN_IDLE_SATURATED_MS = 500.0
-# A connection that its client has reused is kept longer while the listener is at capacity.
+# A connection that its client has reused is kept longer while the listener is at capacity, as a client whose request
+# crosses the close may be unable to connect again.
 MIN_IDLE_AT_CAPACITY_MS = 500.0
 
 
@@ -38,7 +39,11 @@
 
 
 def eviction_rank(
-    state: ConnectionState, owes_responses: bool, is_core_saturated: bool, now: float, is_at_capacity: bool = False
+    state: ConnectionState,
+    has_pending_responses: bool,
+    is_core_saturated: bool,
+    now: float,
+    is_at_capacity: bool = False,
 ) -> EvictionRank | None:
     """Return a connection's rank in the eviction order; None if a response is pending or it is being closed.
 
@@ -46,7 +51,7 @@
     """
     if state.lingering:
         return None if state.evicted else EvictionRank(EvictionClass.LINGERING, state.last_used_at, state.last_used_at)
-    if owes_responses or state.is_ending:
+    if has_pending_responses or state.is_ending:
         return None
     if state.partial_since is not None:
         eviction_class = _class_of_partial_command(now - state.partial_since)
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -185,7 +185,7 @@
 
 @pytest.mark.parametrize("flood", FLOODS)
 def test_floods_from_clients_that_disconnect_at_once_affect_no_other_client(tmp_path: Path, flood: str) -> None:
-    """They leave no open request behind, whether they close or reset the connection."""
+    """Flooding clients leave no request open, whether they close or reset the connection."""
 
     async def scenario() -> str:
         async with limited_router(tmp_path) as router, well_behaved_client(router) as check_served:
--- a/tests/test_lingering_close.py
+++ b/tests/test_lingering_close.py
@@ -26,7 +26,7 @@
 
 
 def test_nagle_is_disabled_towards_clients_and_servers(tmp_path: Path) -> None:
-    """Data delayed by Nagle's algorithm is lost in a reset; asyncio does not disable it on accepted sockets."""
+    """Data delayed by Nagle's algorithm is lost in a reset; asyncio can't tell that accepted sockets are TCP."""
 
     async def scenario() -> None:
         async with running_router(tmp_path) as harness:
@@ -67,7 +67,7 @@
 
 
 def test_a_request_that_crosses_our_end_of_file_is_neither_submitted_nor_reset(tmp_path: Path) -> None:
-    """The client sends the request again elsewhere; if submitted here too, it would run twice."""
+    """The client sends the request again elsewhere; submitted here too, it would run twice and lose an answer."""
 
     async def scenario() -> None:
         async with running_router(tmp_path) as harness:
--- a/tests/test_many_clients_past_capacity.py
+++ b/tests/test_many_clients_past_capacity.py
@@ -212,7 +212,7 @@
     for peer in clients.connect_many(1):
         await clients.exchange(peer)
         number, deadline = clients.send_request(peer), clients.clock.now() + REQUEST_TIMEOUT_MS
-        # The accept queue is full after this; the router does not run meanwhile.
+        # Connections are begun until the accept queue is full; the router does not run meanwhile.
         assert any(len(clients.connect_many(50)) < 50 for _ in range(50))
         if is_closed(peer):  # the client sends the request again on a new connection
             peer = clients.begin_connecting(1)[0]
@@ -235,7 +235,7 @@
         size = int(first * len(commands[0]))
         assert peer.socket.send(b"".join(commands)[:size]) == size
         pending_answers.append(clients.expect_answers(peer, numbers, rest=b"".join(commands)[size:]))
-    # The router has handled the first parts after this.
+    # The router has handled the first parts once these exchanges have ended.
     await assert_no_loss([clients.exchange(other) for other in clients.connect_many(1)])
     await assert_no_loss(pending_answers)
 
--- a/tests/test_past_capacity_process.py
+++ b/tests/test_past_capacity_process.py
@@ -1,4 +1,4 @@
-"""A real router past its capacity, which the descriptors and the servers' time determine, so on any machine alike."""
+"""A real router past its capacity, which its descriptors and the servers' time determine on any machine alike."""
 
 from __future__ import annotations
 
