--- a/starlingthread/analysis/evenness.py
+++ b/starlingthread/analysis/evenness.py
@@ -133,7 +133,7 @@
             serving[event.server, at:] = True
         elif event.kind == "cold" and event.at > ledger.started_at:
             serving[event.server, at:] = False
-            serving[event.server, at + int(scenario.fleet.cold_ms // BIN_MS) + 1 :] = True
+            serving[event.server, at + int(scenario.fleet.warm_up_ms // BIN_MS) + 1 :] = True
     return serving
 
 
--- a/starlingthread/analysis/judge.py
+++ b/starlingthread/analysis/judge.py
@@ -9,7 +9,7 @@
 
 from collections import Counter
 
-from ..experiment.records import CUT, Ledger
+from ..experiment.records import DISCONNECTED, Ledger
 from ..experiment.scenario import Scenario
 from .evidence import RunEvidence
 from .rules import CHECKS, Note
@@ -40,7 +40,7 @@
 def _close_cut_deliveries(ledger: Ledger) -> None:
     """Let deliveries whose connection was cut without a time end with the run."""
     for delivery in ledger.deliveries:
-        if delivery.outcome == CUT and not delivery.ended_at:
+        if delivery.outcome == DISCONNECTED and not delivery.ended_at:
             delivery.ended_at = ledger.ended_at
 
 
@@ -50,12 +50,12 @@
     ledger = run.ledger
     reasons = []
     late = sum(operation.send_delay_ms > rules.late_send_ms for operation in ledger.operations)
-    if ledger.operations and late > rules.late_sends_share * len(ledger.operations):
+    if ledger.operations and late > rules.max_late_send_share * len(ledger.operations):
         reasons.append(
             f"the load tool fell behind: {late} of {len(ledger.operations)} requests were sent more than "
             f"{rules.late_send_ms:g} ms late; raise machine.load_processes or lower traffic.rate"
         )
-    if run.longest_stall_ms > rules.most_lag_ms:
+    if run.longest_stall_ms > rules.max_stall_ms:
         process = max(ledger.lags, key=lambda name: ledger.lags[name])
         reasons.append(
             f"process {process} stood still for {run.longest_stall_ms:.0f} ms; raise machine.{process.split('-')[0]}"
--- a/starlingthread/analysis/reduction.py
+++ b/starlingthread/analysis/reduction.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from .. import __version__
-from ..experiment.records import NO_CONNECTION, RUN, FaultRecord, Ledger, Operation, RouterSample
+from ..experiment.records import EXECUTED, NO_CONNECTION, FaultRecord, Ledger, Operation, RouterSample
 from ..experiment.scenario import RequestClass, Scenario
 from .evenness import measure
 from .latency import percentile_curve, percentiles_of
@@ -34,7 +34,7 @@
     earned = sum(weight * result.goodput_share for weight, result in zip(weights, classes, strict=True))
     routers = _router_usages(scenario, ledger)
     values_read = sum(1 for attempt in ledger.attempts if attempt.outcome == "value")
-    runs = sum(1 for delivery in ledger.deliveries if delivery.disposition == RUN)
+    runs = sum(1 for delivery in ledger.deliveries if delivery.disposition == EXECUTED)
     return Results(
         version=__version__,
         python=platform.python_version(),
--- a/starlingthread/analysis/rules/answers.py
+++ b/starlingthread/analysis/rules/answers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from ...experiment.records import OUT, RUN, ClientAttempt, Delivery
+from ...experiment.records import EXECUTED, PENDING, ClientAttempt, Delivery
 from ..evidence import RunEvidence
 from ..verdict import Rule, Violation
 from .base import NO_ROUTER, Finding, Note, violation, violation_by
@@ -50,7 +50,7 @@
         if attempt.protocol_error.startswith("answer for"):
             yield violation_by(run, Rule.FOREIGN_VALUE, attempt, attempt.answered_at, attempt.protocol_error)
         elif attempt.outcome in ("value", "receipt"):
-            made = {d.checksum for d in run.deliveries_of(attempt) if d.disposition == RUN and d.checksum}
+            made = {d.checksum for d in run.deliveries_of(attempt) if d.disposition == EXECUTED and d.checksum}
             if attempt.checksum not in made:
                 text = (
                     f"{attempt.outcome} with CRC {attempt.checksum:08x}, servers made "
@@ -80,7 +80,7 @@
     """Return whether a server may have been at work on a request until shortly before its answer."""
 
     def is_recent(delivery: Delivery) -> bool:
-        return delivery.outcome == OUT or run.answer_arrival(delivery, attempt.router) > attempt.answered_at - limit
+        return delivery.outcome == PENDING or run.answer_arrival(delivery, attempt.router) > attempt.answered_at - limit
 
     return (
         any(is_recent(delivery) for delivery in run.deliveries_of(attempt))
--- a/starlingthread/analysis/rules/effects.py
+++ b/starlingthread/analysis/rules/effects.py
@@ -5,7 +5,7 @@
 import itertools
 from collections.abc import Iterator
 
-from ...experiment.records import REJECTED, RUN, ClientAttempt, Delivery
+from ...experiment.records import EXECUTED, REJECTED, ClientAttempt, Delivery
 from ..evidence import RunEvidence
 from ..verdict import Rule, Violation
 from .base import Finding, Note, violation, violation_by
@@ -19,7 +19,7 @@
         for attempt in attempts:
             yield from _resent(run, attempt)
             yield from _rejected_after_delivery(run, attempt)
-        runs = [d for attempt in attempts for d in run.deliveries_of(attempt) if d.disposition == RUN]
+        runs = [d for attempt in attempts for d in run.deliveries_of(attempt) if d.disposition == EXECUTED]
         if len(runs) > 1:
             yield _ran_twice(run, operation, attempts[-1].router, runs)
         elif runs and not any(attempt.outcome in ("value", "receipt") for attempt in attempts):
@@ -56,7 +56,7 @@
         attempt = run.attempts.get(request_id)
         if attempt is None or run.class_of(attempt).effect != "by_key":
             continue
-        remembered_for = run.class_of(attempt).memory_span_ms + run.tolerance_ms
+        remembered_for = run.class_of(attempt).idempotency_window_ms + run.tolerance_ms
         may_have_run = [delivery for delivery in deliveries if delivery.outcome != REJECTED]
         for delivery in may_have_run[1:]:
             first_at = may_have_run[0].first_at
--- a/starlingthread/analysis/soak_result.py
+++ b/starlingthread/analysis/soak_result.py
@@ -30,7 +30,7 @@
     peak_descriptors: int = 0
 
     @classmethod
-    def not_played(cls, scenario: Scenario, length_s: float, reason: str) -> SoakResult:
+    def from_testbed_error(cls, scenario: Scenario, length_s: float, reason: str) -> SoakResult:
         """Return the outcome of a seed for which the testbed failed."""
         return cls(scenario.seed, length_s, _fault_labels(scenario), void=[reason], findings=[f"VOID: {reason}"])
 
--- a/starlingthread/cli/soak.py
+++ b/starlingthread/cli/soak.py
@@ -61,17 +61,17 @@
     import tempfile
 
     from ..analysis.soak_result import SoakResult, summarize
-    from ..experiment.soak import draw
+    from ..experiment.soak import generate_scenario
     from ..testbed.bench import bench
     from ..testbed.errors import RunError
 
-    scenario = draw(seed, length_s)
+    scenario = generate_scenario(seed, length_s)
     with tempfile.TemporaryDirectory(prefix="starlingthread-soak-") as temporary:
         logs = Path(temporary) / f"seed-{seed}"
         try:
             outcome = summarize(bench(scenario, folder=logs), length_s)
         except RunError as error:
-            outcome = SoakResult.not_played(scenario, length_s, str(error))
+            outcome = SoakResult.from_testbed_error(scenario, length_s, str(error))
         if log_folder is not None and not outcome.passed:
             shutil.copytree(logs, log_folder / logs.name, dirs_exist_ok=True)
     return outcome
--- a/starlingthread/emulator/datagram_relay.py
+++ b/starlingthread/emulator/datagram_relay.py
@@ -77,7 +77,7 @@
         if self._is_partitioned(source, destination):
             self.dropped += 1
             return
-        copies = 2 if self._draws.next() < self.spec.repeat else 1
+        copies = 2 if self._draws.next() < self.spec.duplicate else 1
         for _ in range(copies):
             if self._draws.next() < self.spec.drop or self._draws.next() < self.extra_loss:
                 self.dropped += 1
--- a/starlingthread/emulator/fault_injector.py
+++ b/starlingthread/emulator/fault_injector.py
@@ -64,7 +64,7 @@
                 target=_describe_target(fault, affected),
                 affected=affected,
                 groups=tuple(affected_link_groups(fault, self.scenario)),
-                direction=fault.way,
+                direction=fault.direction,
             )
         )
 
--- a/starlingthread/emulator/fault_targets.py
+++ b/starlingthread/emulator/fault_targets.py
@@ -30,7 +30,7 @@
     if fault.zone:
         return tuple(n for n in range(servers) if zones[n % len(zones)] == fault.zone)
     # Drawn even for faults that affect no server, so that the other faults of a seed stay the same.
-    count = max(1, math.ceil(servers * fault.part - _ROUNDING_SLACK)) if fault.part else 1
+    count = max(1, math.ceil(servers * fault.server_share - _ROUNDING_SLACK)) if fault.server_share else 1
     return tuple(sorted(int(n) for n in rng.choice(servers, size=min(count, servers), replace=False)))
 
 
--- a/starlingthread/emulator/platform_faults.py
+++ b/starlingthread/emulator/platform_faults.py
@@ -104,7 +104,7 @@
         await injected.testbed.call_clients("leave", injected.fault.strength)
 
     async def end(self, injected: InjectedFault) -> None:
-        await injected.testbed.call_clients("leave", injected.testbed.scenario.traffic.leave)
+        await injected.testbed.call_clients("leave", injected.testbed.scenario.traffic.abandon_share)
 
 
 # routers
--- a/starlingthread/emulator/router_settings.py
+++ b/starlingthread/emulator/router_settings.py
@@ -47,7 +47,7 @@
         "group": "all",
         "hardLimitMs": request_class.deadline_ms,
         "lateWorth": request_class.late_weight_share,
-        "memorySpanMs": request_class.memory_span_ms,
+        "memorySpanMs": request_class.idempotency_window_ms,
         "name": request_class.name,
         "promiseMs": request_class.latency_objective_ms,
         "streamed": False,
@@ -88,10 +88,10 @@
     rules = scenario.rules
     return {
         "answerSlackMs": rules.answer_slack_ms,
-        "askWithinMs": scenario.discovery.ask_within_ms,
-        "coldFrom": fleet.cold_from,
-        "coldMs": fleet.cold_ms,
+        "askWithinMs": scenario.discovery.max_poll_interval_ms,
+        "coldFrom": fleet.initial_capacity_share,
+        "coldMs": fleet.warm_up_ms,
         "drainGraceMs": rules.drain_grace_ms,
         "overloadFactor": fleet.overload_factor,
-        "tipAfterMs": fleet.tip_after_ms,
+        "tipAfterMs": fleet.overload_window_ms,
     }
--- a/starlingthread/emulator/server_connection.py
+++ b/starlingthread/emulator/server_connection.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import NamedTuple, Protocol, cast
 
-from ..experiment.records import ANSWERED, CUT, FAILED, OUT, REJECTED, RUN, Delivery, Ledger
+from ..experiment.records import ANSWERED, DISCONNECTED, EXECUTED, FAILED, PENDING, REJECTED, Delivery, Ledger
 from .schedule import Schedule
 from .server_answers import (
     BAD_COMMAND_ANSWER,
@@ -116,10 +116,10 @@
 
     def _abandon(self, pending: PendingAnswer) -> None:
         command, delivery = pending.command, pending.delivery
-        if delivery is not None and delivery.outcome == OUT:
-            self._end_delivery(delivery, CUT)
+        if delivery is not None and delivery.outcome == PENDING:
+            self._end_delivery(delivery, DISCONNECTED)
             if command is not None and command.is_started:  # after waiting in the queue
-                delivery.disposition = RUN
+                delivery.disposition = EXECUTED
         if command is not None:
             self.server.model.cancel(command)
 
@@ -200,7 +200,7 @@
         pending.command = command
         server.model.submit(command)
         if command.is_started:
-            delivery.disposition = RUN
+            delivery.disposition = EXECUTED
 
     def _exceeds_limits(self) -> bool:
         spec = self.server.model.spec
@@ -213,7 +213,7 @@
         answer = self._render(delivery, command, outcome)
         delivery.ended_at = self.server.schedule.now()
         if self.is_dead or command.is_cancelled:
-            delivery.outcome = CUT
+            delivery.outcome = DISCONNECTED
             return
         faults = self.server.answer_faults
         fault = faults.draw(outcome is CommandOutcome.SERVED, self.link.truncation_rate)
@@ -222,7 +222,7 @@
             pending.data = faults.corrupt(answer, command.request_id) if is_corrupted else answer
             self._flush()
             return
-        delivery.outcome = CUT
+        delivery.outcome = DISCONNECTED
         if fault is AnswerFault.RESET:
             self.reset()
             return
@@ -236,7 +236,7 @@
         if outcome is CommandOutcome.BUSY:
             delivery.outcome = REJECTED
             return BUSY_ANSWER
-        delivery.disposition = RUN
+        delivery.disposition = EXECUTED
         if outcome is CommandOutcome.FAILED:
             delivery.outcome = FAILED
             return FAILED_ANSWER
--- a/starlingthread/emulator/server_faults.py
+++ b/starlingthread/emulator/server_faults.py
@@ -43,7 +43,7 @@
 
     async def begin(self, injected: InjectedFault) -> None:
         for number in injected.affected:
-            await injected.testbed.set_server_attribute(number, "tail_share", injected.fault.share)
+            await injected.testbed.set_server_attribute(number, "tail_share", injected.fault.command_share)
             await injected.testbed.set_server_attribute(number, "tail_factor", injected.fault.strength)
 
     async def end(self, injected: InjectedFault) -> None:
@@ -70,17 +70,17 @@
 
     async def begin(self, injected: InjectedFault) -> None:
         for position, number in enumerate(injected.affected):
-            offset_s = injected.fault.every_s * position / len(injected.affected)
+            offset_s = injected.fault.pause_interval_s * position / len(injected.affected)
             injected.schedule(offset_s, partial(self._pause_repeatedly, injected, number))
 
     async def _pause_repeatedly(self, injected: InjectedFault, number: int) -> None:
         fault = injected.fault
         pause_s = fault.strength / 1000.0
-        for _ in range(max(1, int(fault.length_s / fault.every_s))):
+        for _ in range(max(1, int(fault.length_s / fault.pause_interval_s))):
             await injected.call_each((number,), "freeze")
             await asyncio.sleep(pause_s)
             await injected.call_each((number,), "resume")
-            await asyncio.sleep(max(0.0, fault.every_s - pause_s))
+            await asyncio.sleep(max(0.0, fault.pause_interval_s - pause_s))
 
 
 class Unreachable(FaultAction):
@@ -181,6 +181,6 @@
 
     def conditions(self, fault: Fault, is_active: bool) -> dict[str, float]:
         return {
-            "inbound_blocked": is_active and fault.way != "from-server",
-            "outbound_blocked": is_active and fault.way != "to-server",
+            "inbound_blocked": is_active and fault.direction != "from-server",
+            "outbound_blocked": is_active and fault.direction != "to-server",
         }
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -125,7 +125,7 @@
             self.crashed = True
             self.on_overload_crash(self._warm_up.recent_request_ids())
             return
-        if self.draining or (len(self.queue) >= self.spec.waiting and self.busy_slots >= self.spec.slots):
+        if self.draining or (len(self.queue) >= self.spec.queue_length and self.busy_slots >= self.spec.slots):
             command.finish(CommandOutcome.BUSY)
             return
         if self.busy_slots >= self.spec.slots:
@@ -228,7 +228,7 @@
         """Cache a value; evict the least recently used one if the memory is full."""
         self.cache[key] = version
         self.cache.move_to_end(key)
-        if len(self.cache) > self.spec.memory_keys:
+        if len(self.cache) > self.spec.cache_capacity_keys:
             self.cache.popitem(last=False)
 
     def invalidate(self, key: str) -> None:
--- a/starlingthread/emulator/warm_up.py
+++ b/starlingthread/emulator/warm_up.py
@@ -15,7 +15,10 @@
 
 
 class WarmUp:
-    """Capacity that grows linearly from ``cold_from`` to 1 in ``cold_ms``; work beyond a multiple of it is overload."""
+    """Capacity that grows linearly from ``initial_capacity_share`` to 1 in ``warm_up_ms``.
+
+    Work beyond a multiple of it is overload.
+    """
 
     def __init__(self, spec: Fleet, speed: float, started_at: float | None) -> None:
         """Start at a time in milliseconds; None stands for a server that has warmed up long ago."""
@@ -30,9 +33,11 @@
         if self._started_at is None:
             return 1.0
         age = now - self._started_at
-        if age >= self._spec.cold_ms:
+        if age >= self._spec.warm_up_ms:
             return 1.0
-        return self._spec.cold_from + (1.0 - self._spec.cold_from) * age / self._spec.cold_ms
+        return (
+            self._spec.initial_capacity_share + (1.0 - self._spec.initial_capacity_share) * age / self._spec.warm_up_ms
+        )
 
     def is_overloaded_by(self, now: float, request_id: str, work: float) -> bool:
         """Count the work (ms) of a command; return whether the recent work now exceeds what the server survives."""
@@ -41,7 +46,7 @@
             self._recent_commands.clear()
             self._recent_work = 0.0
             return False
-        window = self._spec.tip_after_ms
+        window = self._spec.overload_window_ms
         self._recent_commands.append(_RecentCommand(now, work, request_id))
         self._recent_work += work
         while self._recent_commands[0].at <= now - window:
--- a/starlingthread/experiment/randomness.py
+++ b/starlingthread/experiment/randomness.py
@@ -40,7 +40,7 @@
         return self._block.pop()
 
 
-def streams(seed: int, count: int) -> list[np.random.Generator]:
+def random_streams(seed: int, count: int) -> list[np.random.Generator]:
     """Return independent random streams: draws from one do not change those of another."""
     return [np.random.default_rng(child) for child in np.random.SeedSequence(seed).spawn(count)]
 
@@ -48,6 +48,6 @@
 def server_speeds(scenario: Scenario) -> list[float]:
     """Return the speed of each server, which depends on the scenario and its seed alone."""
     fleet = scenario.fleet
-    rng = streams(scenario.seed + SPEED_SEED_OFFSET, 1)[0]
+    rng = random_streams(scenario.seed + SPEED_SEED_OFFSET, 1)[0]
     factors = rng.uniform(1.0 - fleet.speed_spread, 1.0 + fleet.speed_spread, fleet.servers)
     return [fleet.speed * float(factor) for factor in factors]
--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -9,14 +9,14 @@
 
 # What a server did with a command.
 BUSY = "busy"
-RUN = "run"
+EXECUTED = "run"
 
 # How a delivery ended.
-OUT = "out"  # not ended
+PENDING = "out"  # not ended
 ANSWERED = "answered"
 FAILED = "failed"
 REJECTED = "turned-away"
-CUT = "cut"  # its connection ended first
+DISCONNECTED = "cut"  # its connection ended first
 NO_CONNECTION = "refused"  # outcome of a client's attempt that was never sent
 
 KILLED_AFTER_TERM = "killed-after-term"  # the kind of router event of a SIGKILL some time after SIGTERM
@@ -31,7 +31,7 @@
     first_at: float  # when its first byte arrived
     received_at: float  # when its last byte arrived
     disposition: str = BUSY
-    outcome: str = OUT
+    outcome: str = PENDING
     ended_at: float = 0.0
     checksum: int = 0  # CRC-32 of the value or receipt that was made for it
 
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -71,7 +71,9 @@
     deadline_ms: Positive = 4000.0
     priority_weight: NotNegative = msgspec.field(default=5.0, name="worth")  # earned within the objective
     late_weight_share: Share = msgspec.field(default=0.0, name="late_worth")  # earned when late
-    memory_span_ms: NotNegative = 4000.0  # for which servers remember an idempotency key
+    idempotency_window_ms: NotNegative = msgspec.field(
+        default=4000.0, name="memory_span_ms"
+    )  # for which servers remember an idempotency key
     write: bool = False
 
 
@@ -81,23 +83,29 @@
     servers: Annotated[int, Meta(ge=1, le=10000)] = 9
     zones: Annotated[tuple[str, ...], Meta(min_length=1)] = ("bloco-a", "bloco-b", "bloco-c")
     regions: tuple[str, ...] = ()  # the region of each zone; none: all in one
-    zone_ms: NotNegative = 0.0  # one way, between two zones of a region
-    region_ms: NotNegative = 0.0  # one way, between two regions
+    inter_zone_delay_ms: NotNegative = msgspec.field(
+        default=0.0, name="zone_ms"
+    )  # one way, between two zones of a region
+    inter_region_delay_ms: NotNegative = msgspec.field(default=0.0, name="region_ms")  # one way, between two regions
     slots: Count = 8  # commands that a server works on at once
-    waiting: Annotated[int, Meta(ge=0)] = 16  # length of its queue
+    queue_length: Annotated[int, Meta(ge=0)] = msgspec.field(default=16, name="waiting")  # length of its queue
     speed: Positive = 1.0
     speed_spread: Share = 0.2
     hit_ms: Positive = 4.0
     miss_ms: NotNegative = 4.0
     write_ms: Positive = 4.0
     work_cv: NotNegative = 0.8  # coefficient of variation of the work
-    memory_keys: Count = 2000  # keys that a server caches
+    cache_capacity_keys: Count = msgspec.field(default=2000, name="memory_keys")  # keys that a server caches
     cold_servers: Annotated[int, Meta(ge=0)] = 0  # servers that are warming up at the run's start
     warm_keys: bool = True  # whether the other servers have keys cached at the run's start
-    cold_from: Share = 0.2  # capacity after a cold start, of the full one
-    cold_ms: Positive = 10000.0  # until a cold server has its full capacity
+    initial_capacity_share: Share = msgspec.field(
+        default=0.2, name="cold_from"
+    )  # capacity after a cold start, of the full one
+    warm_up_ms: Positive = msgspec.field(default=10000.0, name="cold_ms")  # until a cold server has its full capacity
     overload_factor: Positive = 4.0  # work offered to a cold server, of its capacity, from which on it crashes
-    tip_after_ms: Positive = 2000.0  # for how long that work is summed up
+    overload_window_ms: Positive = msgspec.field(
+        default=2000.0, name="tip_after_ms"
+    )  # for how long that work is summed up
     connections: Count = 900
     handshake_ms: NotNegative = 1.0
     streams: Count = 32
@@ -139,7 +147,7 @@
     notice_ms: NotNegative = 300.0
     crash_notice_ms: NotNegative = 2000.0
     call_ms: NotNegative = 5.0
-    ask_within_ms: Positive = 10000.0
+    max_poll_interval_ms: Positive = msgspec.field(default=10000.0, name="ask_within_ms")
 
 
 class Datagrams(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -147,7 +155,7 @@
 
     delay_ms: NotNegative = 2.0
     drop: Share = 0.0
-    repeat: Share = 0.0
+    duplicate: Share = msgspec.field(default=0.0, name="repeat")
     reorder: Share = 0.0
 
 
@@ -167,10 +175,14 @@
     max_connections: Annotated[int, Meta(ge=0)] = 0  # of all clients to one router; 0: a third of its descriptors
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
     backoff_ms: Positive = 20.0
-    honour: Share = 0.9  # of clients that honour Retry-After
-    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.8  # of the time left that an attempt gets before the last
-    leave: Share = 0.0  # of requests whose client leaves before the answer
-    front_notices_ms: NotNegative = 2000.0  # until a router that does not respond gets no more connections
+    retry_after_share: Share = msgspec.field(default=0.9, name="honour")  # of clients that honour Retry-After
+    attempt_time_share: Annotated[float, Meta(gt=0.0, le=1.0)] = msgspec.field(
+        default=0.8, name="try_share"
+    )  # of the time left that an attempt gets before the last
+    abandon_share: Share = msgspec.field(default=0.0, name="leave")  # of requests whose client leaves before the answer
+    router_removal_delay_ms: NotNegative = msgspec.field(
+        default=2000.0, name="front_notices_ms"
+    )  # until a router that does not respond gets no more connections
     classes: tuple[RequestClass, ...] = (
         RequestClass("item-lookup", 0.94),
         RequestClass("hold-item", 0.04, "once", 150.0, 400.0, 5.0, write=True),
@@ -193,9 +205,13 @@
     socket_slack_ms: NotNegative = 50.0  # of all times, for what passes between sockets and processes
     notified_within_ms: NotNegative = 6000.0  # after a change every router counts as notified
     idle_rejection_ms: Positive = msgspec.field(default=300.0, name="held_back_ms")  # without work in flight
-    late_sends_share: Share = 0.01  # of requests sent late, above which the run is void
+    max_late_send_share: Share = msgspec.field(
+        default=0.01, name="late_sends_share"
+    )  # of requests sent late, above which the run is void
     late_send_ms: Positive = 25.0  # from which on a request counts as sent late
-    most_lag_ms: Positive = 400.0  # longest stall of a process of the testbed, above which the run is void
+    max_stall_ms: Positive = msgspec.field(
+        default=400.0, name="most_lag_ms"
+    )  # longest stall of a process of the testbed, above which the run is void
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -210,14 +226,16 @@
     strength: NotNegative = 0.0
     name: str = ""
     servers: tuple[int, ...] = ()
-    part: Share = 0.0  # of all servers, if none is named
-    share: Share = 0.02  # of the commands, for heavy-tail
-    every_s: Positive = 1.0  # between the beginnings of pauses
+    server_share: Share = msgspec.field(default=0.0, name="part")  # of all servers, if none is named
+    command_share: Share = msgspec.field(default=0.02, name="share")  # of the commands, for heavy-tail
+    pause_interval_s: Positive = msgspec.field(default=1.0, name="every_s")  # between the beginnings of pauses
     routers: tuple[int, ...] = ()
     zone: str = ""  # whose servers are affected
     groups: tuple[int, ...] = ()  # of routers whose links are affected; none: all
     from_zone: str = ""  # only links of routers in this zone
-    way: Literal["both", "to-server", "from-server"] = "both"  # what a link-cut blocks
+    direction: Literal["both", "to-server", "from-server"] = msgspec.field(
+        default="both", name="way"
+    )  # what a link-cut blocks
 
     def label(self) -> str:
         """Return the name that reports show."""
@@ -262,5 +280,5 @@
     if server_zone == router_zone:
         return 0.0
     if fleet.regions and fleet.regions[server_zone] != fleet.regions[router_zone]:
-        return fleet.region_ms
-    return fleet.zone_ms
+        return fleet.inter_region_delay_ms
+    return fleet.inter_zone_delay_ms
--- a/starlingthread/experiment/soak.py
+++ b/starlingthread/experiment/soak.py
@@ -7,19 +7,19 @@
 
 from .scenario import Datagrams, Discovery, Fault, FaultKind, Fleet, Machine, Routers, Scenario, Traffic
 
-SHORTEST_LENGTH_S = 12.0
-FIRST_FAULT_S = 2.5  # after the clients' warm-up
-QUIET_END_S = 4.0  # without faults, so that the end can be compared with the warm-up
+MIN_LENGTH_S = 12.0
+EARLIEST_FAULT_S = 2.5  # after the clients' warm-up
+FAULT_FREE_END_S = 4.0  # without faults, so that the end can be compared with the warm-up
 WARM_UP_S = 2.0
 MIN_DRAIN_S = 3.5  # a draining server leaves the list after 3 s, and can come back after that only
 DESCRIPTOR_LIMITS = (192, 256, 512)
 # Ignores the signals that arrive before the program's first line, as the deploy file does.
 ROUTER_COMMAND = ("/bin/sh", "-c", f"trap '' HUP USR1; exec {sys.executable} -m starlingthread")
-CROWD_SHARE = 0.6  # of a router's descriptors: more connections than clients may hold
+IDLE_CONNECTION_SHARE = 0.6  # of a router's descriptors: more connections than clients may hold
 RESTARTING_KINDS = frozenset(("restart-router", "signals-router", "kill-router"))
 
 
-class SoakDraw:
+class SoakScenarioGenerator:
     """Draws one scenario."""
 
     def __init__(self, seed: int, length_s: float) -> None:
@@ -43,7 +43,7 @@
             warmup_s=WARM_UP_S,
             connections=10 * self._router_count,
             retries=rng.randint(0, 2),
-            leave=rng.choice((0.0, 0.0, 0.03)),
+            abandon_share=rng.choice((0.0, 0.0, 0.03)),
         )
         self._draw_restarts()
         self._draw_discovery_faults()
@@ -94,15 +94,15 @@
         kinds: dict[FaultKind, float] = {"reset": 0.05, "spoilt": 0.05, "half-answers": 0.02, "slow": 5.0}
         for kind, strength in kinds.items():
             if self._chance(0.25):
-                self._add(kind, self._start(), rng.uniform(0.5, 2.0), strength, part=rng.uniform(0.1, 0.5))
+                self._add(kind, self._start(), rng.uniform(0.5, 2.0), strength, server_share=rng.uniform(0.1, 0.5))
         silent: tuple[FaultKind, ...] = ("silent", "crash", "pause")
         for kind in silent:
             if self._chance(0.25):
                 self._add_leave(kind, self._start(), rng.uniform(0.3, 2.0))
         if self._chance(0.3):
-            self._add("link-cut", self._start(), rng.uniform(0.2, 1.5), part=rng.uniform(0.1, 0.5))
+            self._add("link-cut", self._start(), rng.uniform(0.2, 1.5), server_share=rng.uniform(0.1, 0.5))
         if self._chance(0.2):
-            self._add("link-broken", self._start(), rng.uniform(0.5, 2.0), 0.05, part=0.5)
+            self._add("link-broken", self._start(), rng.uniform(0.5, 2.0), 0.05, server_share=0.5)
 
     def _draw_client_faults(self) -> None:
         rng = self._rng
@@ -113,7 +113,7 @@
         if self._chance(0.3):
             self._add("leaving-clients", self._start(), rng.uniform(0.5, 2.0), rng.uniform(0.05, 0.5))
         if self._chance(0.3):
-            self._add("idle-clients", self._start(), rng.uniform(1.5, 4.0), CROWD_SHARE * self._descriptors)
+            self._add("idle-clients", self._start(), rng.uniform(1.5, 4.0), IDLE_CONNECTION_SHARE * self._descriptors)
 
     def _add_leave(self, kind: FaultKind, start_s: float, length_s: float) -> None:
         """Add a fault in which a server goes and comes back, while there is one left for it."""
@@ -125,7 +125,9 @@
 
     def _start(self) -> float:
         """Return when a fault begins: it can end before the quiet end."""
-        return self._rng.uniform(FIRST_FAULT_S, max(FIRST_FAULT_S, self._length_s - QUIET_END_S - MIN_DRAIN_S))
+        return self._rng.uniform(
+            EARLIEST_FAULT_S, max(EARLIEST_FAULT_S, self._length_s - FAULT_FREE_END_S - MIN_DRAIN_S)
+        )
 
     def _add(
         self,
@@ -133,19 +135,21 @@
         start_s: float,
         length_s: float = 0.0,
         strength: float = 0.0,
-        part: float = 0.0,
+        server_share: float = 0.0,
         routers: tuple[int, ...] = (),
         servers: tuple[int, ...] = (),
     ) -> None:
-        latest = self._length_s - QUIET_END_S
+        latest = self._length_s - FAULT_FREE_END_S
         shortest = MIN_DRAIN_S if kind == "shrink" else 0.2
         length_s = min(length_s, max(shortest, latest - start_s)) if length_s else 0.0
-        self._faults.append(Fault(kind, start_s, length_s, strength, part=part, routers=routers, servers=servers))
+        self._faults.append(
+            Fault(kind, start_s, length_s, strength, server_share=server_share, routers=routers, servers=servers)
+        )
 
 
-def draw(seed: int, length_s: float) -> Scenario:
+def generate_scenario(seed: int, length_s: float) -> Scenario:
     """Return the scenario of a seed."""
-    return SoakDraw(seed, max(SHORTEST_LENGTH_S, length_s)).scenario()
+    return SoakScenarioGenerator(seed, max(MIN_LENGTH_S, length_s)).scenario()
 
 
 def restarted_routers(scenario: Scenario) -> set[int]:
--- a/starlingthread/load/operations.py
+++ b/starlingthread/load/operations.py
@@ -44,7 +44,7 @@
         """Return whether a retry after an attempt's outcome can do no harm."""
         if self.spec.effect == "repeatable" or outcome in ("busy", "refused"):
             return True
-        is_key_remembered = now_ms() - self.attempts[0].sent_at < self.spec.memory_span_ms
+        is_key_remembered = now_ms() - self.attempts[0].sent_at < self.spec.idempotency_window_ms
         return self.spec.effect == "by_key" and is_key_remembered
 
 
@@ -79,7 +79,7 @@
     ) -> None:
         self.pool = ConnectionPool(addresses, self, _max_connections(scenario))
         self._waiting: list[deque[WaitingAttempt]] = [deque() for _ in addresses]
-        self.leave_share = scenario.traffic.leave  # share of requests whose client leaves before the answer
+        self.leave_share = scenario.traffic.abandon_share  # share of requests whose client leaves before the answer
         self.exhausted_count = 0  # attempts for which no connection could be opened any more
         self._seed = scenario.seed
         self._traffic = scenario.traffic
@@ -114,7 +114,7 @@
             return
         retry_index = len(operation.attempts)
         keeps_reserve = retry_index < self._traffic.retries and operation.spec.effect != "once"
-        budget = remaining * self._traffic.try_share if keeps_reserve else remaining
+        budget = remaining * self._traffic.attempt_time_share if keeps_reserve else remaining
         attempt = ClientAttempt(
             request_id(record.number, retry_index, self._seed),
             record.number,
@@ -290,7 +290,7 @@
         """Return the exponential backoff with jitter, or the router's Retry-After where the client honours it."""
         jitter = 0.5 + self._chances.next()
         backoff = self._traffic.backoff_ms * 2.0 ** (len(operation.attempts) - 1) * jitter
-        if attempt.retry_after_ms and self._chances.next() < self._traffic.honour:
+        if attempt.retry_after_ms and self._chances.next() < self._traffic.retry_after_share:
             return max(backoff, attempt.retry_after_ms)
         return backoff
 
--- a/starlingthread/load/traffic.py
+++ b/starlingthread/load/traffic.py
@@ -7,7 +7,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from ..experiment.randomness import streams
+from ..experiment.randomness import random_streams
 from ..experiment.scenario import Fault, Scenario
 
 Floats = npt.NDArray[np.float64]
@@ -31,7 +31,7 @@
 
 
 def _traffic_streams(scenario: Scenario) -> _TrafficStreams:
-    return _TrafficStreams(*streams(scenario.seed, len(_TrafficStreams._fields)))
+    return _TrafficStreams(*random_streams(scenario.seed, len(_TrafficStreams._fields)))
 
 
 def draw(scenario: Scenario) -> Arrivals:
--- a/starlingthread/testbed/client_worker.py
+++ b/starlingthread/testbed/client_worker.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..experiment.randomness import streams
+from ..experiment.randomness import random_streams
 from ..experiment.scenario import Scenario
 from ..load.generator import LoadGenerator
 from ..load.traffic import draw
@@ -36,7 +36,7 @@
     async def set_up(self, scenario: dict[str, Any], routers: list[tuple[str, int]]) -> None:
         """Draw the arrivals and open the connections."""
         self.scenario = msgspec.convert(scenario, Scenario)
-        rng = streams(self.scenario.seed + _SEED_OFFSET, self.scenario.machine.load_processes)[self.number]
+        rng = random_streams(self.scenario.seed + _SEED_OFFSET, self.scenario.machine.load_processes)[self.number]
         addresses = [(host, port) for host, port in routers]
         arrivals = draw(self.scenario)
         self.load = LoadGenerator(self.scenario, self.number, arrivals, addresses, rng, self.ledger)
--- a/starlingthread/testbed/platform.py
+++ b/starlingthread/testbed/platform.py
@@ -311,4 +311,4 @@
             self._front.restore_soon(number)
 
     def _remove_unresponsive(self, number: int) -> None:
-        self._front.remove_later(number, self.scenario.traffic.front_notices_ms / 1000.0)
+        self._front.remove_later(number, self.scenario.traffic.router_removal_delay_ms / 1000.0)
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -17,7 +17,7 @@
 
 from ..emulator.fault_injector import FaultInjector
 from ..emulator.router_process import RouterProcess
-from ..experiment.randomness import streams
+from ..experiment.randomness import random_streams
 from ..experiment.records import Ledger
 from ..experiment.scenario import Scenario
 from .errors import RunError
@@ -47,7 +47,7 @@
     def __init__(
         self, scenario: Scenario, folder: Path, progress: Progress | None = None, has_clients: bool = True
     ) -> None:
-        origin_rng, relay_rng, fault_rng = streams(scenario.seed + SEED_OFFSET, 3)
+        origin_rng, relay_rng, fault_rng = random_streams(scenario.seed + SEED_OFFSET, 3)
         self.scenario = scenario
         self.platform = Platform(scenario, folder, origin_rng, relay_rng, has_clients)
         self.faults = FaultInjector(self.platform, fault_rng)
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -18,7 +18,7 @@
 from ..emulator.rpc_channel import RpcChannel
 from ..emulator.server_links import ServerLink
 from ..emulator.server_model import ServerModel
-from ..experiment.randomness import UniformDraws, server_speeds, streams
+from ..experiment.randomness import UniformDraws, random_streams, server_speeds
 from ..experiment.records import ServerSample
 from ..experiment.scenario import Scenario, distance_ms, link_groups
 from ..load.traffic import key_name, keys_by_popularity
@@ -90,7 +90,7 @@
         self.scenario = msgspec.convert(scenario, Scenario)
         self.origin = RemoteOrigin(self.channel)
         fleet = self.scenario.fleet
-        rngs = streams(self.scenario.seed + _SEED_OFFSET, fleet.servers * 2)
+        rngs = random_streams(self.scenario.seed + _SEED_OFFSET, fleet.servers * 2)
         speeds = server_speeds(self.scenario)
         for number in range(self.number, fleet.servers, self.scenario.machine.server_processes):
             model = ServerModel(number, fleet, speeds[number], self.schedule, self.origin, rngs[2 * number])
@@ -123,7 +123,7 @@
 
     def _warm_caches(self) -> None:
         """Fill the caches with the hottest keys, as after a day's work."""
-        memory_keys = self.scenario.fleet.memory_keys
+        memory_keys = self.scenario.fleet.cache_capacity_keys
         servers = list(self.servers.values())
         hottest = keys_by_popularity(self.scenario)
         if self.scenario.traffic.direct:  # any server may get any key
--- a/tests/test_emulated_servers.py
+++ b/tests/test_emulated_servers.py
@@ -16,7 +16,7 @@
 from starlingthread.experiment import scenario
 from starlingthread.experiment.records import Ledger
 
-FLEET = scenario.Fleet(slots=2, waiting=1, hit_ms=4.0, miss_ms=2.0, work_cv=0.0, report_noise=0.0)
+FLEET = scenario.Fleet(slots=2, queue_length=1, hit_ms=4.0, miss_ms=2.0, work_cv=0.0, report_noise=0.0)
 
 
 class ServerClient:
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -61,7 +61,7 @@
 
 def test_a_server_out_of_service_is_not_idle_and_fair_shares_follow_speeds() -> None:
     spec = msgspec.structs.replace(
-        BASE, length_s=32.0, fleet=scenario.Fleet(servers=4, speed_spread=0.5, cold_ms=1000.0)
+        BASE, length_s=32.0, fleet=scenario.Fleet(servers=4, speed_spread=0.5, warm_up_ms=1000.0)
     )
     speeds, ledger, rng = server_speeds(spec), Ledger(), np.random.default_rng(2)
     for server, speed in enumerate(speeds):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -144,7 +144,7 @@
         servers=(1,),
         routers=(1,),
         zone="bloco-b",
-        every_s=0.001,
+        pause_interval_s=0.001,
     )
     quick = scenario.Discovery(notice_ms=0.0, crash_notice_ms=0.0)
     spec = msgspec.structs.replace(CALM, faults=(fault,), discovery=quick, fleet=scenario.Fleet(servers=2))
@@ -155,6 +155,6 @@
 
 
 def test_targets_depend_on_the_seed_alone() -> None:
-    fault = scenario.Fault("slow", 0.0, 1.0, 2.0, part=0.3)
+    fault = scenario.Fault("slow", 0.0, 1.0, 2.0, server_share=0.3)
     drawn = [targets(fault, CALM, np.random.default_rng(s)) for s in (1, 1, 2)]
     assert drawn[0] == drawn[1] != drawn[2] and len(drawn[0]) == 3
--- a/tests/test_judge_rules.py
+++ b/tests/test_judge_rules.py
@@ -9,9 +9,9 @@
 from starlingthread.analysis.judge import judge
 from starlingthread.experiment.records import (
     ANSWERED,
-    CUT,
-    OUT,
-    RUN,
+    DISCONNECTED,
+    EXECUTED,
+    PENDING,
     ClientAttempt,
     Delivery,
     FaultRecord,
@@ -34,11 +34,11 @@
     scenario, ledger = _scenario_and_ledger()
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, 100.0, 300.0, outcome="eof")]
     ledger.router_events = [RouterEvent(0, "killed", 150.0)]
-    ledger.deliveries = [Delivery("a", 3, 110.0, 110.0, RUN, CUT, 150.0)]
+    ledger.deliveries = [Delivery("a", 3, 110.0, 110.0, EXECUTED, DISCONNECTED, 150.0)]
     verdict = judge(scenario, ledger)
     assert not verdict.counts
     assert verdict.notes == {"unanswered by a dead or stopped router": 1, "once: ran, client never heard": 1}
-    ledger.deliveries.append(Delivery("a", 4, 120.0, 120.0, RUN, ANSWERED, 160.0))
+    ledger.deliveries.append(Delivery("a", 4, 120.0, 120.0, EXECUTED, ANSWERED, 160.0))
     assert set(judge(scenario, ledger).counts) == {"once-ran-twice", "once-resent"}
 
 
@@ -52,7 +52,10 @@
 def test_an_idempotent_write_is_not_resent_after_its_key_is_forgotten() -> None:
     scenario, ledger = _scenario_and_ledger("by_key")
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, 100.0, 9000.0, outcome="failed", answered_at=5000.0)]
-    ledger.deliveries = [Delivery("a", 3, 110.0, 110.0, RUN, OUT), Delivery("a", 4, 3900.0, 3900.0, RUN, CUT, 4990.0)]
+    ledger.deliveries = [
+        Delivery("a", 3, 110.0, 110.0, EXECUTED, PENDING),
+        Delivery("a", 4, 3900.0, 3900.0, EXECUTED, DISCONNECTED, 4990.0),
+    ]
     assert not judge(scenario, ledger).counts
     ledger.deliveries[1].first_at = 4300.0
     assert set(judge(scenario, ledger).counts) == {"keyed-late"}
@@ -73,7 +76,7 @@
     scenario, ledger = _scenario_and_ledger("repeatable")
     ledger.operations = [Operation(0, 0, 4990.0)]
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, router, 4990.0, 3200.0, outcome="busy", answered_at=8187.0)]
-    ledger.deliveries = [Delivery("a", server, 4991.0, 4991.0, RUN, ANSWERED, ended_at)]
+    ledger.deliveries = [Delivery("a", server, 4991.0, 4991.0, EXECUTED, ANSWERED, ended_at)]
     ledger.faults = [FaultRecord("cut", "link-cut", 5000.0, 9000.0, "servers 0", (0,), (1,), way)]
     return set(judge(scenario, ledger).counts)
 
@@ -128,5 +131,5 @@
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, sent_at, 3000.0, outcome=outcome)]
     ledger.router_events = [RouterEvent(0, "terminating", 5000.0), RouterEvent(0, "exited", 6000.0)]
     if delivered:
-        ledger.deliveries = [Delivery("a", 3, sent_at, sent_at, RUN, CUT, 6000.0)]
+        ledger.deliveries = [Delivery("a", 3, sent_at, sent_at, EXECUTED, DISCONNECTED, 6000.0)]
     assert ("lost" not in judge(scenario, ledger).counts) == excused
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -59,7 +59,7 @@
         )
 
 
-PREDICTABLE = scenario.Fleet(slots=2, waiting=1, hit_ms=4.0, miss_ms=2.0, work_cv=0.0, report_noise=0.0)
+PREDICTABLE = scenario.Fleet(slots=2, queue_length=1, hit_ms=4.0, miss_ms=2.0, work_cv=0.0, report_noise=0.0)
 
 
 def test_a_server_runs_commands_in_its_slots_then_queues_then_rejects() -> None:
@@ -97,7 +97,7 @@
 
 
 def test_memory_evicts_the_least_recently_used_and_the_origin_fails_requests_beyond_its_queue() -> None:
-    fleet = msgspec.structs.replace(PREDICTABLE, memory_keys=2, slots=9)
+    fleet = msgspec.structs.replace(PREDICTABLE, cache_capacity_keys=2, slots=9)
     server = ModelServer(fleet, scenario.Origin(slots=1, fetch_ms=10.0, cv=0.0, queue=1))
     for key in "abc":
         server.submit(key, key)
@@ -115,7 +115,12 @@
 
 def test_a_server_that_warms_up_crashes_when_it_is_overloaded() -> None:
     fleet = msgspec.structs.replace(
-        PREDICTABLE, cold_from=0.1, cold_ms=1e6, waiting=999, overload_factor=4.0, tip_after_ms=1000.0
+        PREDICTABLE,
+        initial_capacity_share=0.1,
+        warm_up_ms=1e6,
+        queue_length=999,
+        overload_factor=4.0,
+        overload_window_ms=1000.0,
     )
     crashes: list[tuple[str, ...]] = []
     for gap, is_crash in ((7.0, False), (4.0, True)):  # budget: 4 x 0.1 x 2 slots x 1000 ms of work; 4 ms a command
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,7 +15,7 @@
 from starlingthread.analysis.soak_result import SoakResult
 from starlingthread.analysis.verdict import Violation
 from starlingthread.experiment.records import KILLED_AFTER_TERM, ClientAttempt, Ledger, RouterEvent
-from starlingthread.experiment.soak import MIN_DRAIN_S, QUIET_END_S, draw, restarted_routers
+from starlingthread.experiment.soak import FAULT_FREE_END_S, MIN_DRAIN_S, generate_scenario, restarted_routers
 from starlingthread.experiment.validation import validate
 
 CI_SEEDS = (101, 102, 103, 104)
@@ -23,8 +23,8 @@
 
 def test_a_seed_draws_the_same_valid_scenario_each_time() -> None:
     for seed in range(200):
-        scenario = draw(seed, 14.0)
-        assert scenario == draw(seed, 14.0)
+        scenario = generate_scenario(seed, 14.0)
+        assert scenario == generate_scenario(seed, 14.0)
         validate(scenario, f"seed {seed}")
         assert "signals-router" in {fault.kind for fault in scenario.faults}
         assert len(restarted_routers(scenario)) < scenario.routers.count
@@ -32,11 +32,11 @@
         assert all(fault.length_s >= MIN_DRAIN_S for fault in drains)
         assert len({fault.servers for fault in drains}) == len(drains)
         ends = [fault.start_s + fault.length_s for fault in scenario.faults]
-        assert max(ends) <= scenario.length_s - QUIET_END_S + 1.0
+        assert max(ends) <= scenario.length_s - FAULT_FREE_END_S + 1.0
 
 
 def test_seeds_differ_and_draw_every_kind_of_fault() -> None:
-    drawn = [{fault.kind for fault in draw(seed, 14.0).faults} for seed in range(200)]
+    drawn = [{fault.kind for fault in generate_scenario(seed, 14.0).faults} for seed in range(200)]
     assert len({frozenset(kinds) for kinds in drawn}) > 100
     expected = {"shrink", "kill-router", "silent-watches", "discovery-down", "discovery-slow", "link-cut", "silent"}
     expected |= {"idle-clients", "garbage-clients", "half-commands", "reset", "restart-router", "leaving-clients"}
@@ -50,7 +50,7 @@
     ledger = Ledger()
     ledger.attempts.append(ClientAttempt("a", 1, 0, 7, 0, sent_at, 3000.0, outcome="none"))
     ledger.router_events.append(RouterEvent(0, KILLED_AFTER_TERM, killed_at))
-    return list(check_answer_time(RunEvidence(draw(1, 14.0), ledger)))
+    return list(check_answer_time(RunEvidence(generate_scenario(1, 14.0), ledger)))
 
 
 def test_a_request_before_an_announced_kill_is_owed_its_answer() -> None:
@@ -69,7 +69,7 @@
 
 
 def test_a_play_that_failed_for_the_testbed_is_void_and_not_passed() -> None:
-    outcome = SoakResult.not_played(draw(5, 14.0), 14.0, "a port was taken")
+    outcome = SoakResult.from_testbed_error(generate_scenario(5, 14.0), 14.0, "a port was taken")
     assert outcome.is_void and not outcome.passed and outcome.verdict == "void"
     assert "--first-seed 5 --seeds 1 --length 14" in outcome.replay_command
 
