--- a/starlingthread/experiment/__init__.py
+++ b/starlingthread/experiment/__init__.py
@@ -1,4 +1,4 @@
-"""What describes an experiment and what it records: scenarios, the ledger of a run, and seeded random streams.
+"""Descriptions and records of experiments: scenarios, the ledger of a run, and seeded random streams.
 
-Both the emulated platform and the load tool build on this package; it imports neither.
+The emulated platform and the load tool import this package; it imports neither of them.
 """
--- a/starlingthread/experiment/randomness.py
+++ b/starlingthread/experiment/randomness.py
@@ -1,4 +1,4 @@
-"""Random numbers of an experiment: independent streams from one seed, drawn in blocks."""
+"""Random numbers for an experiment: independent streams from one seed, generated in blocks."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from .scenario import Scenario
 
-BLOCK_SIZE = 4096  # numbers drawn at once, as single draws are slow
-SPEED_SEED_OFFSET = 8_000_003  # apart from the seeds of other parts of the run
+NUMBERS_PER_BLOCK = 4096  # numpy is slow at generating numbers one by one
+SPEED_SEED_OFFSET = 8_000_003  # keeps the seed distinct from those of other parts of the run
 
 
 class LognormalFactors:
-    """Factors of mean 1 from a lognormal distribution with a given coefficient of variation."""
+    """Random factors of mean 1 from a lognormal distribution with a given coefficient of variation."""
 
     def __init__(self, rng: np.random.Generator, cv: float) -> None:
         self._rng = rng
@@ -22,7 +22,7 @@
         """Return the next factor."""
         if not self._block:
             mu = -self._sigma * self._sigma / 2.0
-            self._block = self._rng.lognormal(mu, self._sigma, BLOCK_SIZE).tolist()
+            self._block = self._rng.lognormal(mu, self._sigma, NUMBERS_PER_BLOCK).tolist()
         return self._block.pop()
 
 
@@ -36,17 +36,17 @@
     def next(self) -> float:
         """Return the next number."""
         if not self._block:
-            self._block = self._rng.random(BLOCK_SIZE).tolist()
+            self._block = self._rng.random(NUMBERS_PER_BLOCK).tolist()
         return self._block.pop()
 
 
 def random_streams(seed: int, count: int) -> list[np.random.Generator]:
-    """Return independent random streams: draws from one do not change those of another."""
+    """Return independent random streams: numbers taken from one do not change those of another."""
     return [np.random.default_rng(child) for child in np.random.SeedSequence(seed).spawn(count)]
 
 
 def server_speeds(scenario: Scenario) -> list[float]:
-    """Return the speed of each server, which depends on the scenario and its seed alone."""
+    """Return the speed of each server, which depends only on the scenario and its seed."""
     fleet = scenario.fleet
     rng = random_streams(scenario.seed + SPEED_SEED_OFFSET, 1)[0]
     factors = rng.uniform(1.0 - fleet.speed_spread, 1.0 + fleet.speed_spread, fleet.servers)
--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -1,26 +1,27 @@
 """The records that the emulator and the load tool write during a run, for the judge and the results.
 
-All times are milliseconds of the machine's monotonic clock, which every process of a run reads alike.
+All times are milliseconds of the machine's monotonic clock, which is the same in every process of a run.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# What a server did with a command.
+# Dispositions: whether a server rejected a command as busy or executed it.
 BUSY = "busy"
 EXECUTED = "run"
 
-# How a delivery ended.
-PENDING = "out"  # not ended
+# Outcomes of a delivery.
+PENDING = "out"  # the server has not answered yet
 ANSWERED = "answered"
 FAILED = "failed"
 REJECTED = "turned-away"
-DISCONNECTED = "cut"  # its connection ended first
-NO_CONNECTION = "refused"  # outcome of a client's attempt that was never sent
+DISCONNECTED = "cut"  # the connection closed before the answer
+NO_CONNECTION = "refused"  # outcome of a client's attempt that was not sent for lack of a connection
 
-KILLED_AFTER_TERM = "killed-after-term"  # the kind of router event of a SIGKILL some time after SIGTERM
-LISTED_PREFIX = "listed "  # of the kind of server events that change a status at discovery
+KILLED_AFTER_TERM = "killed-after-term"  # kind of a router event: SIGKILL some time after SIGTERM
+# The kind of a server event is this prefix and a status if discovery changed the status that it lists.
+LISTED_PREFIX = "listed "
 
 
 class Delivery(msgspec.Struct, array_like=True):
@@ -28,68 +29,68 @@
 
     request_id: str
     server: int
-    first_at: float  # when its first byte arrived
-    received_at: float  # when its last byte arrived
+    first_at: float  # arrival of the first byte
+    received_at: float  # arrival of the last byte
     disposition: str = BUSY
     outcome: str = PENDING
     ended_at: float = 0.0
-    checksum: int = 0  # CRC-32 of the value or receipt that was made for it
+    checksum: int = 0  # CRC-32 of the value or receipt that the server generated for this command
 
 
 class StatusNotification(msgspec.Struct, array_like=True):
-    """Discovery has notified a router of a server's status."""
+    """A notification from discovery to a router about a server's status."""
 
     router: int
     server: int
     status: str
     at: float
-    started_at: float = 0.0  # when the server started
+    started_at: float = 0.0  # start of the server
 
 
 class ServerEvent(msgspec.Struct, array_like=True):
-    """A change of a server.
+    """A change in a server's state.
 
-    Kinds: ``cold`` (a cold start), ``fell`` (by overload), ``draining``, ``gone``, ``up``, and ``listed STATUS``.
+    Kinds: ``cold`` (a cold start), ``fell`` (crashed by overload), ``draining``, ``gone``, ``up``, ``listed STATUS``.
     """
 
     server: int
     kind: str
     at: float
-    overloading_requests: tuple[str, ...] = ()  # ids of the requests whose work overloaded it
+    overloading_requests: tuple[str, ...] = ()  # ids of the requests that overloaded the server
 
 
 class ClientAttempt(msgspec.Struct, array_like=True):
-    """One request as a client sent it; a retry is an attempt of its own with the same operation."""
+    """One request that a client sent; a retry is a separate attempt of the same operation."""
 
     request_id: str
     operation: int
     class_index: int
     key: int
     router: int
-    sent_at: float  # its last byte was written to the connection
-    budget_ms: float  # time until its deadline, the request's field d
+    sent_at: float  # time at which the last byte was written to the connection
+    budget_ms: float  # time until the deadline, sent as the request's field d
     retry_index: int = 0
     outcome: str = "none"  # value, receipt, busy, failed, other, eof, refused, none or left
     answered_at: float = 0.0
     checksum: int = 0
-    protocol_error: str = ""  # what was wrong with the answer
-    retry_after_ms: float = 0.0  # of a rejection
+    protocol_error: str = ""  # description of an invalid answer
+    retry_after_ms: float = 0.0  # Retry-After of a rejection
 
 
 class Operation(msgspec.Struct, array_like=True):
-    """One operation of a client, over all its attempts."""
+    """One operation of a client, which consists of one or more attempts."""
 
     number: int
     class_index: int
-    due_at: float  # when it was to be sent; latency counts from here
-    send_delay_ms: float = 0.0  # by which the load tool itself was late
+    due_at: float  # scheduled send time, from which latency is measured
+    send_delay_ms: float = 0.0  # delay of the send that the load tool itself caused
     result: str = "none"  # served, failed, refused (rejected), left, none
     done_at: float = 0.0
     attempts: int = 0
 
 
 class RouterSample(msgspec.Struct, array_like=True):
-    """Resources that a router's process used at a moment."""
+    """Resource usage of a router's process at one time."""
 
     router: int
     at: float
@@ -99,7 +100,7 @@
 
 
 class RouterEvent(msgspec.Struct, array_like=True):
-    """A change of a router's process.
+    """A change in the state of a router's process.
 
     Kinds: ``up``, ``killed``, ``stopped``, ``continued``, ``terminating``, ``exited``, ``crashed``, ``bad-exit``,
     ``killed-after-term``.
@@ -112,7 +113,7 @@
 
 
 class ServerSample(msgspec.Struct, array_like=True):
-    """Load of one server in one second: share of its slots in use, commands, connections."""
+    """Load of one server in one second: share of its slots in use, commands, open connections."""
 
     server: int
     at: float
@@ -122,16 +123,16 @@
 
 
 class FaultRecord(msgspec.Struct, array_like=True):
-    """A fault as it was carried out."""
+    """A fault as it was injected."""
 
     label: str
     kind: str
     began_at: float
     ended_at: float
     target: str
-    affected: tuple[int, ...] = ()  # the servers or routers of the target
-    groups: tuple[int, ...] = ()  # of a link: the groups of routers for whom it failed
-    direction: str = "both"  # of a link that was cut: the direction that let nothing through
+    affected: tuple[int, ...] = ()  # numbers of the servers or routers of the target
+    groups: tuple[int, ...] = ()  # for link faults: the groups of routers whose links failed
+    direction: str = "both"  # for cut links: the blocked direction
 
 
 class Ledger(msgspec.Struct):
@@ -149,7 +150,7 @@
     server_samples: list[ServerSample] = msgspec.field(default_factory=list)
     faults: list[FaultRecord] = msgspec.field(default_factory=list)
     lags: dict[str, float] = msgspec.field(default_factory=dict)  # longest stall of each process, ms
-    bad_client_outcomes: dict[str, int] = msgspec.field(default_factory=dict)  # what bad clients met, by outcome
+    bad_client_outcomes: dict[str, int] = msgspec.field(default_factory=dict)  # results of misbehaving clients
 
     def merge(self, part: Ledger) -> None:
         """Add the records of another process."""
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -1,6 +1,6 @@
 """Types of a scenario: fleet, traffic, faults and limits. ``scenario_file`` reads them from TOML.
 
-Attributes have the names of their keys in the file, but for those with a ``name`` of their own. Times are in
+Attributes are named like their keys in the file, except where a field's ``name`` gives the key. Times are in
 milliseconds where a name ends in ``_ms``, in seconds where it ends in ``_s``.
 """
 
@@ -53,7 +53,7 @@
     "idle-clients",
 ]
 
-# The router's own choice of servers, or one of baselines/policies.py.
+# Empty: the router's own choice of servers; otherwise a policy of baselines/policies.py.
 Policy = Literal[
     "", "random", "round-robin", "hash", "bounded-hash", "two-choices", "two-reported", "least-reported", "truth"
 ]
@@ -65,47 +65,50 @@
     """One class of requests."""
 
     name: Annotated[str, Meta(pattern="^[A-Za-z0-9_-]{1,32}$")]
-    share: NotNegative  # of all requests
-    effect: Effect = "repeatable"  # or idempotent by its key, or to run at most once
+    share: NotNegative  # weight of this class among all requests
+    # Repeatable, idempotent by the request's idempotency key, or to be executed at most once.
+    effect: Effect = "repeatable"
     latency_objective_ms: Positive = msgspec.field(default=1200.0, name="aim_ms")
     deadline_ms: Positive = 4000.0
-    priority_weight: NotNegative = msgspec.field(default=5.0, name="worth")  # earned within the objective
-    late_weight_share: Share = msgspec.field(default=0.0, name="late_worth")  # earned when late
-    idempotency_window_ms: NotNegative = msgspec.field(
-        default=4000.0, name="memory_span_ms"
-    )  # for which servers remember an idempotency key
+    # Goodput earned by an answer within the latency objective.
+    priority_weight: NotNegative = msgspec.field(default=5.0, name="worth")
+    # Share of the priority weight that is earned by an answer after the objective and before the deadline.
+    late_weight_share: Share = msgspec.field(default=0.0, name="late_worth")
+    # Servers deduplicate requests by their idempotency key for this long.
+    idempotency_window_ms: NotNegative = msgspec.field(default=4000.0, name="memory_span_ms")
     write: bool = False
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The cache servers. Times of work are those of an idle server of speed 1."""
+    """The cache servers. Processing times are those of an idle server of speed 1."""
 
     servers: Annotated[int, Meta(ge=1, le=10000)] = 9
     zones: Annotated[tuple[str, ...], Meta(min_length=1)] = ("bloco-a", "bloco-b", "bloco-c")
-    regions: tuple[str, ...] = ()  # the region of each zone; none: all in one
-    inter_zone_delay_ms: NotNegative = msgspec.field(
-        default=0.0, name="zone_ms"
-    )  # one way, between two zones of a region
-    inter_region_delay_ms: NotNegative = msgspec.field(default=0.0, name="region_ms")  # one way, between two regions
-    slots: Count = 8  # commands that a server works on at once
-    queue_length: Annotated[int, Meta(ge=0)] = msgspec.field(default=16, name="waiting")  # length of its queue
+    regions: tuple[str, ...] = ()  # the region of each zone; if empty, all zones are in one region
+    # One-way delay between two zones of a region.
+    inter_zone_delay_ms: NotNegative = msgspec.field(default=0.0, name="zone_ms")
+    # One-way delay between two regions.
+    inter_region_delay_ms: NotNegative = msgspec.field(default=0.0, name="region_ms")
+    slots: Count = 8  # commands that a server processes concurrently
+    queue_length: Annotated[int, Meta(ge=0)] = msgspec.field(default=16, name="waiting")
     speed: Positive = 1.0
     speed_spread: Share = 0.2
     hit_ms: Positive = 4.0
     miss_ms: NotNegative = 4.0
     write_ms: Positive = 4.0
-    work_cv: NotNegative = 0.8  # coefficient of variation of the work
-    cache_capacity_keys: Count = msgspec.field(default=2000, name="memory_keys")  # keys that a server caches
+    work_cv: NotNegative = 0.8  # coefficient of variation of the processing time
+    # Keys that the cache of a server can hold.
+    cache_capacity_keys: Count = msgspec.field(default=2000, name="memory_keys")
     cold_servers: Annotated[int, Meta(ge=0)] = 0  # servers that are warming up at the run's start
     warm_keys: bool = True  # whether the other servers have keys cached at the run's start
-    initial_capacity_share: Share = msgspec.field(
-        default=0.2, name="cold_from"
-    )  # capacity after a cold start, of the full one
-    warm_up_ms: Positive = msgspec.field(default=10000.0, name="cold_ms")  # until a cold server has its full capacity
-    overload_factor: Positive = 4.0  # work offered to a cold server, of its capacity, from which on it crashes
-    overload_window_ms: Positive = msgspec.field(
-        default=2000.0, name="tip_after_ms"
-    )  # for how long that work is summed up
+    # Capacity right after a cold start, as a share of the full capacity.
+    initial_capacity_share: Share = msgspec.field(default=0.2, name="cold_from")
+    # Time from a cold start until the server has its full capacity.
+    warm_up_ms: Positive = msgspec.field(default=10000.0, name="cold_ms")
+    # Multiple of its capacity: a warming server crashes when it is offered more work than this.
+    overload_factor: Positive = 4.0
+    # Sliding window over which the work offered to a warming server is summed.
+    overload_window_ms: Positive = msgspec.field(default=2000.0, name="tip_after_ms")
     connections: Count = 900
     handshake_ms: NotNegative = 1.0
     streams: Count = 32
@@ -134,15 +137,16 @@
     memory_mb: Positive = 128.0
     sockets: Annotated[int, Meta(ge=64)] = 1024
     peer_messages: bool = True
-    pin: bool = False  # each router to a core
-    link_groups: Annotated[int, Meta(ge=0, le=30)] = 0  # routers whose links fail together: by number; 0: by zone
+    pin: bool = False  # whether each router is pinned to a core
+    # Number of groups of routers whose links fail together: a router's number modulo this is its group. 0: by zone.
+    link_groups: Annotated[int, Meta(ge=0, le=30)] = 0
     policy: Policy = ""  # a baseline to compare the router with
-    options: dict[str, Any] = msgspec.field(default_factory=dict)  # the operator's file, as tables
-    command: tuple[str, ...] = ()  # empty: the router of this project
+    options: dict[str, Any] = msgspec.field(default_factory=dict)  # the operators' options file, as tables
+    command: tuple[str, ...] = ()  # command line that starts a router; if empty, the router of this project
 
 
 class Discovery(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The discovery service. It learns of a change after ``notice_ms``; requests take ``call_ms`` each, in turn."""
+    """The discovery service. It learns of a change after ``notice_ms``; requests take ``call_ms`` each, in sequence."""
 
     notice_ms: NotNegative = 300.0
     crash_notice_ms: NotNegative = 2000.0
@@ -151,7 +155,7 @@
 
 
 class Datagrams(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The relay of datagrams between routers."""
+    """The relay of datagrams between routers, with the shares of them that it drops, duplicates and reorders."""
 
     delay_ms: NotNegative = 2.0
     drop: Share = 0.0
@@ -165,7 +169,7 @@
     rate: Positive = 600.0
     in_flight: Annotated[int, Meta(ge=0, le=4096)] = 0  # above 0: a closed loop of this concurrency, without a rate
     direct: bool = False  # clients use the servers without a router, to measure the emulator
-    warmup_s: NotNegative = 2.0  # at the start, not part of the results
+    warmup_s: NotNegative = 2.0  # initial part of the run, excluded from the results
     keys: Count = 5000
     zipf: NotNegative = 1.0  # exponent of the keys' popularity
     drift_per_s: NotNegative = 0.0  # share of all ranks by which popularity moves in a second
@@ -175,14 +179,14 @@
     max_connections: Annotated[int, Meta(ge=0)] = 0  # of all clients to one router; 0: a third of its descriptors
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
     backoff_ms: Positive = 20.0
-    retry_after_share: Share = msgspec.field(default=0.9, name="honour")  # of clients that honour Retry-After
-    attempt_time_share: Annotated[float, Meta(gt=0.0, le=1.0)] = msgspec.field(
-        default=0.8, name="try_share"
-    )  # of the time left that an attempt gets before the last
-    abandon_share: Share = msgspec.field(default=0.0, name="leave")  # of requests whose client leaves before the answer
-    router_removal_delay_ms: NotNegative = msgspec.field(
-        default=2000.0, name="front_notices_ms"
-    )  # until a router that does not respond gets no more connections
+    # Share of clients that honour Retry-After.
+    retry_after_share: Share = msgspec.field(default=0.9, name="honour")
+    # Share of the remaining time that an attempt gets while further retries are possible.
+    attempt_time_share: Annotated[float, Meta(gt=0.0, le=1.0)] = msgspec.field(default=0.8, name="try_share")
+    # Share of requests whose client disconnects before the answer.
+    abandon_share: Share = msgspec.field(default=0.0, name="leave")
+    # Time until clients stop connecting to a router that does not respond.
+    router_removal_delay_ms: NotNegative = msgspec.field(default=2000.0, name="front_notices_ms")
     classes: tuple[RequestClass, ...] = (
         RequestClass("item-lookup", 0.94),
         RequestClass("hold-item", 0.04, "once", 150.0, 400.0, 5.0, write=True),
@@ -194,28 +198,27 @@
         return max(spec.deadline_ms for spec in self.classes)
 
 
-CLIENT_DESCRIPTOR_SHARE = 1 / 3  # of a router's descriptors, that clients hold at most for requests
+CLIENT_DESCRIPTOR_SHARE = 1 / 3  # share of a router's descriptors that clients use at most for requests
 
 
 class Rules(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Tolerances of the judge."""
 
     answer_slack_ms: NotNegative = 8.0
-    drain_grace_ms: NotNegative = 400.0  # after a router knew that a server is draining
-    socket_slack_ms: NotNegative = 50.0  # of all times, for what passes between sockets and processes
-    notified_within_ms: NotNegative = 6000.0  # after a change every router counts as notified
-    idle_rejection_ms: Positive = msgspec.field(default=300.0, name="held_back_ms")  # without work in flight
-    max_late_send_share: Share = msgspec.field(
-        default=0.01, name="late_sends_share"
-    )  # of requests sent late, above which the run is void
-    late_send_ms: Positive = 25.0  # from which on a request counts as sent late
-    max_stall_ms: Positive = msgspec.field(
-        default=400.0, name="most_lag_ms"
-    )  # longest stall of a process of the testbed, above which the run is void
+    drain_grace_ms: NotNegative = 400.0  # starts when the router learns that a server is draining
+    socket_slack_ms: NotNegative = 50.0  # added to all times, for delays between sockets and processes
+    notified_within_ms: NotNegative = 6000.0  # this long after a change every router counts as notified
+    # Longest wait for a rejection or failure while no attempt is in flight.
+    idle_rejection_ms: Positive = msgspec.field(default=300.0, name="held_back_ms")
+    # Share of requests sent late above which the run is void.
+    max_late_send_share: Share = msgspec.field(default=0.01, name="late_sends_share")
+    late_send_ms: Positive = 25.0  # delay from which on a request counts as sent late
+    # Stall of a testbed process above which the run is void.
+    max_stall_ms: Positive = msgspec.field(default=400.0, name="most_lag_ms")
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One fault: kind, time, strength and target (none named: drawn by the seed).
+    """One fault: kind, time, strength and target. If no target is named, the seed selects it.
 
     The meaning of ``strength`` is in docs/emulator.md, with a row for each kind.
     """
@@ -226,16 +229,18 @@
     strength: NotNegative = 0.0
     name: str = ""
     servers: tuple[int, ...] = ()
-    server_share: Share = msgspec.field(default=0.0, name="part")  # of all servers, if none is named
-    command_share: Share = msgspec.field(default=0.02, name="share")  # of the commands, for heavy-tail
-    pause_interval_s: Positive = msgspec.field(default=1.0, name="every_s")  # between the beginnings of pauses
+    # Share of all servers that are affected if none is named.
+    server_share: Share = msgspec.field(default=0.0, name="part")
+    # Share of the commands that a heavy-tail fault slows down.
+    command_share: Share = msgspec.field(default=0.02, name="share")
+    # Time from the start of one pause to the start of the next.
+    pause_interval_s: Positive = msgspec.field(default=1.0, name="every_s")
     routers: tuple[int, ...] = ()
-    zone: str = ""  # whose servers are affected
-    groups: tuple[int, ...] = ()  # of routers whose links are affected; none: all
-    from_zone: str = ""  # only links of routers in this zone
-    direction: Literal["both", "to-server", "from-server"] = msgspec.field(
-        default="both", name="way"
-    )  # what a link-cut blocks
+    zone: str = ""  # zone whose servers are affected
+    groups: tuple[int, ...] = ()  # groups of routers whose links are affected; if empty, all groups
+    from_zone: str = ""  # if set, only links of routers in this zone are affected
+    # Direction that a link-cut blocks.
+    direction: Literal["both", "to-server", "from-server"] = msgspec.field(default="both", name="way")
 
     def label(self) -> str:
         """Return the name that reports show."""
@@ -243,14 +248,14 @@
 
 
 class Machine(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How many worker processes play the servers and the clients."""
+    """Number of worker processes that emulate the servers and the clients."""
 
     server_processes: Annotated[int, Meta(ge=1, le=64)] = 1
     load_processes: Annotated[int, Meta(ge=1, le=64)] = 1
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One run."""
+    """The description of one run."""
 
     name: Name
     length_s: Annotated[float, Meta(gt=0.0, le=MAX_LENGTH_S)] = 20.0
@@ -268,7 +273,7 @@
 
 
 def link_groups(scenario: Scenario) -> int:
-    """Return how many groups of routers have links of their own to the servers."""
+    """Return the number of groups of routers; each group has separate links to the servers."""
     return scenario.routers.link_groups or len(scenario.fleet.zones)
 
 
--- a/starlingthread/experiment/scenario_file.py
+++ b/starlingthread/experiment/scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenarios in TOML: reading a file, settings of the command line, and errors that name the key."""
+"""Reads scenarios from TOML files, applies overrides from the command line, and reports errors with the key."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .scenario import FaultKind, Scenario
 from .validation import ScenarioError, validate
 
-# Keys and values of older scenarios, with what they are called now.
+# Renamed keys and values: the name in older scenario files and the current one.
 RENAMED = {
     "boxes": "servers",
     "cold_boxes": "cold_servers",
@@ -24,7 +24,7 @@
 
 
 def read(path: str | Path, overrides: tuple[str, ...] = ()) -> Scenario:
-    """Read a scenario from a file. Raise a ScenarioError."""
+    """Read a scenario from a file. Raise a ScenarioError if it can't be read or is invalid."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -33,12 +33,12 @@
 
 
 def parse(text: str, source: str, overrides: tuple[str, ...] = ()) -> Scenario:
-    """Parse and validate a scenario's text. Raise a ScenarioError.
+    """Parse and validate a scenario's text. Raise a ScenarioError if it is invalid.
 
     Args:
         text: The scenario in TOML.
-        source: Where the text comes from, for errors.
-        overrides: Settings ``key.path=value`` that replace those of the text.
+        source: File name or other origin of the text, for error messages.
+        overrides: Assignments ``key.path=value`` that replace values of the text.
     """
     try:
         tables = tomllib.loads(text)
@@ -54,7 +54,7 @@
 
 
 def _apply_override(tables: dict[str, Any], override: str) -> None:
-    """Replace one key by a ``key.path=value`` of the command line; the value is TOML, a bare word is a string."""
+    """Apply one ``key.path=value`` of the command line; the value is TOML, or a string if it is not valid TOML."""
     source = f"--set {override!r}"
     path, separator, value = override.partition("=")
     if not separator or not path.strip():
@@ -68,12 +68,12 @@
     for parent in parents:
         table = table.setdefault(parent, {})
         if not isinstance(table, dict):
-            raise ScenarioError(source, f"{parent!r} is no table")
+            raise ScenarioError(source, f"{parent!r} is not a table")
     table[key] = parsed
 
 
 def _scenario_error(source: str, error: msgspec.ValidationError) -> ScenarioError:
-    """Return a validation error of msgspec as a ScenarioError with the key apart."""
+    """Convert a validation error of msgspec to a ScenarioError, with the key separate from the message."""
     message, _, path = str(error).partition(" - at `$")
     key = path.rstrip("`").lstrip(".") or "the top level"
     if key.startswith("faults[") and key.endswith(".kind"):
--- a/starlingthread/experiment/validation.py
+++ b/starlingthread/experiment/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a scenario that its types can't express."""
+"""Validation of scenarios beyond what their types can express."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ..options import parse as parse_options
 from .scenario import Fault, Fleet, Scenario, Traffic, link_groups
 
-MAX_OPERATIONS = 20_000_000  # arrivals are drawn in advance and kept in memory: about 40 bytes each
+MAX_OPERATIONS = 20_000_000  # arrivals are generated in advance and kept in memory, at about 40 bytes each
 
 
 class ScenarioError(Exception):
-    """A scenario is invalid; the text names the file or option, the key and what was expected."""
+    """A scenario is invalid. The message names the file or option, the key and the expected value."""
 
     def __init__(self, source: str, problem: str, key: str = "") -> None:
         super().__init__(": ".join(part for part in (source, key, problem) if part))
@@ -24,7 +24,7 @@
 
 
 class _InvalidKeyError(Exception):
-    """A key of a scenario has a value that makes no sense."""
+    """A key of a scenario has an invalid value."""
 
     def __init__(self, key: str, problem: str) -> None:
         super().__init__(f"{key}: {problem}")
@@ -33,7 +33,7 @@
 
 
 class StrengthRange(NamedTuple):
-    """The strengths that a kind of fault can have."""
+    """The valid strengths of a kind of fault, and their meaning."""
 
     minimum: float
     maximum: float
@@ -41,30 +41,30 @@
 
 
 STRENGTHS: dict[str, StrengthRange] = {
-    "slow": StrengthRange(1.0, 1000.0, "how many times slower"),
-    "pauses": StrengthRange(1.0, 10000.0, "ms of each pause"),
-    "heavy-tail": StrengthRange(1.0, 1000.0, "how many times longer a share of the commands takes"),
-    "reset": StrengthRange(0.0, 1.0, "share of answers that become a reset"),
-    "late-reports": StrengthRange(0.0, 60000.0, "ms by which load reports are older"),
-    "spoilt": StrengthRange(0.0, 1.0, "share of answers that are spoilt"),
-    "half-answers": StrengthRange(0.0, 1.0, "share of answers that stop in the middle"),
+    "slow": StrengthRange(1.0, 1000.0, "factor by which commands take longer"),
+    "pauses": StrengthRange(1.0, 10000.0, "ms, the length of each pause"),
+    "heavy-tail": StrengthRange(1.0, 1000.0, "factor by which a share of the commands takes longer"),
+    "reset": StrengthRange(0.0, 1.0, "share of answers replaced by a connection reset"),
+    "late-reports": StrengthRange(0.0, 60000.0, "ms by which load reports are delayed"),
+    "spoilt": StrengthRange(0.0, 1.0, "share of answers that are corrupted"),
+    "half-answers": StrengthRange(0.0, 1.0, "share of answers that are truncated"),
     "garbage-clients": StrengthRange(0.0, 500.0, "connections a second"),
     "half-commands": StrengthRange(0.0, 500.0, "connections a second"),
-    "leaving-clients": StrengthRange(0.0, 1.0, "share of requests whose client leaves"),
-    "lost-datagrams": StrengthRange(0.0, 1.0, "share that is lost"),
-    "origin-jam": StrengthRange(1.0, 1000.0, "how many times less the origin takes"),
-    "surge": StrengthRange(0.0, 100.0, "rate as a multiple"),
-    "link-slow": StrengthRange(0.0, 60000.0, "ms more, each way"),
-    "link-lossy": StrengthRange(0.0, 1.0, "share of what is sent that is lost at first"),
-    "link-broken": StrengthRange(0.0, 1.0, "share of answers in which the connection ends"),
-    "discovery-slow": StrengthRange(0.0, 60000.0, "ms that a call takes more"),
+    "leaving-clients": StrengthRange(0.0, 1.0, "share of requests whose client disconnects before the answer"),
+    "lost-datagrams": StrengthRange(0.0, 1.0, "share of datagrams that are lost"),
+    "origin-jam": StrengthRange(1.0, 1000.0, "factor by which requests to the origin take longer"),
+    "surge": StrengthRange(0.0, 100.0, "factor by which the rate is multiplied"),
+    "link-slow": StrengthRange(0.0, 60000.0, "ms of added delay in each direction"),
+    "link-lossy": StrengthRange(0.0, 1.0, "share of data segments that are lost and retransmitted"),
+    "link-broken": StrengthRange(0.0, 1.0, "share of answers during which the connection closes"),
+    "discovery-slow": StrengthRange(0.0, 60000.0, "ms by which a call takes longer"),
     "idle-clients": StrengthRange(1.0, 4000.0, "connections to each router"),
     "replace": StrengthRange(0.0, 60000.0, "ms until the new server answers at the same address"),
 }
 
 
 def validate(scenario: Scenario, source: str) -> Scenario:
-    """Return a scenario that is valid. Raise a ScenarioError that names the source, the key and what was expected."""
+    """Return the scenario if it is valid. Raise a ScenarioError that names source, key and expected value."""
     try:
         _check_classes(scenario.traffic)
         _check_zones(scenario)
@@ -83,11 +83,11 @@
         raise _InvalidKeyError("traffic.classes", "expected at least one class with a share above 0")
     names = [spec.name for spec in traffic.classes]
     if len(set(names)) < len(names):
-        raise _InvalidKeyError("traffic.classes", f"expected different names, found {names}")
+        raise _InvalidKeyError("traffic.classes", f"expected distinct names, found {names}")
     for number, spec in enumerate(traffic.classes):
         key = f"traffic.classes[{number}]"
         if spec.effect != "repeatable" and not spec.write:
-            problem = f"expected true, as effect is {spec.effect!r}: only writes have one"
+            problem = f"expected true, as effect is {spec.effect!r}: only writes have an effect other than repeatable"
             raise _InvalidKeyError(f"{key}.write", problem)
         if spec.latency_objective_ms > spec.deadline_ms:
             raise _InvalidKeyError(f"{key}.aim_ms", f"expected at most deadline_ms {spec.deadline_ms:g}")
@@ -138,7 +138,7 @@
             problem = f"expected {minimum:g} to {maximum:g} ({meaning}), found {fault.strength:g}"
             raise _InvalidKeyError(f"{key}.strength", problem)
     elif fault.strength:
-        raise _InvalidKeyError(f"{key}.strength", f"expected none: {fault.kind!r} has no strength")
+        raise _InvalidKeyError(f"{key}.strength", f"expected no strength: {fault.kind!r} has none")
 
 
 def _check_numbers(key: str, numbers: tuple[int, ...], count: int) -> None:
@@ -152,6 +152,6 @@
     if operations > MAX_OPERATIONS:
         raise _InvalidKeyError(
             "traffic.rate",
-            f"expected at most {MAX_OPERATIONS} requests in all, this asks for "
+            f"expected at most {MAX_OPERATIONS} requests in total, found "
             f"{operations:.0f}; lower traffic.rate or length_s",
         )
