--- a/starlingthread/analysis/__init__.py
+++ b/starlingthread/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""Analysis of the records of a run: broken rules, results, evenness of the load, reports. Needs the extra ``lab``."""
+"""Analysis of the records of a run: rule violations, results, load evenness, reports. Needs the extra ``lab``."""
--- a/starlingthread/analysis/comparison.py
+++ b/starlingthread/analysis/comparison.py
@@ -1,4 +1,4 @@
-"""The figures of two runs beside each other."""
+"""Comparison of the figures of two runs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Change(msgspec.Struct):
-    """One figure of two runs."""
+    """One figure, as measured in two runs."""
 
     name: str
     before: float
@@ -36,12 +36,12 @@
 
     @property
     def ratio(self) -> float | None:
-        """After by before; None where that has no meaning."""
+        """The figure after, divided by the figure before; None if the latter is 0."""
         return self.after / self.before if self.before else None
 
 
 def compare(before: Results, after: Results) -> list[Change]:
-    """Return the figures of two runs beside each other; classes that only one of them has are left out."""
+    """Return the figures of two runs in pairs, without request classes that occur in only one of the runs."""
     changes = [
         Change("goodput share", before.goodput_share, after.goodput_share),
         Change("attempts per request", before.attempts_per_request, after.attempts_per_request),
--- a/starlingthread/analysis/judge.py
+++ b/starlingthread/analysis/judge.py
@@ -1,8 +1,8 @@
-"""The judge: compares what servers, clients and discovery recorded, and reports which rules a run broke.
+"""The judge compares the records of servers, clients and discovery, and reports which rules a run violated.
 
-A server records each command that reached it and whether it ran, so "ran once and the client got no answer" and
-"ran twice" are different findings. Each rule is a check of its own in ``rules``; each violation names the rule, the
-request, the router and the time. docs/emulator.md lists the rules in words.
+A server records each command that it received and whether it executed it, so that "executed once, and the client got no
+answer" differs from "executed twice". The checks of the rules are in ``rules``; each violation names the rule, the
+request, the router and the time. docs/emulator.md describes the rules.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from .rules import CHECKS, Note
 from .verdict import Verdict, Violation
 
-MAX_LISTED = 200  # violations of one rule that are listed; all are counted
+MAX_LISTED_PER_RULE = 200  # the verdict counts all violations of a rule, and lists this many
 
 
 def judge(scenario: Scenario, ledger: Ledger) -> Verdict:
     """Apply all rules to a run."""
-    _close_cut_deliveries(ledger)
+    _end_disconnected_deliveries(ledger)
     run = RunEvidence(scenario, ledger)
     counts: Counter[str] = Counter()
     notes: Counter[str] = Counter()
@@ -31,21 +31,21 @@
                 notes[finding.text] += 1
                 continue
             counts[finding.rule] += 1
-            if counts[finding.rule] <= MAX_LISTED:
+            if counts[finding.rule] <= MAX_LISTED_PER_RULE:
                 listed.append(finding)
     listed.sort(key=lambda violation: violation.at_s)
     return Verdict(_void_reasons(run), dict(counts), listed, dict(notes))
 
 
-def _close_cut_deliveries(ledger: Ledger) -> None:
-    """Let deliveries whose connection was cut without a time end with the run."""
+def _end_disconnected_deliveries(ledger: Ledger) -> None:
+    """Set the end of disconnected deliveries that have no end time to the end of the run."""
     for delivery in ledger.deliveries:
         if delivery.outcome == DISCONNECTED and not delivery.ended_at:
             delivery.ended_at = ledger.ended_at
 
 
 def _void_reasons(run: RunEvidence) -> list[str]:
-    """Return why the run proves nothing: the tools themselves were too slow."""
+    """Return the reasons why the run is inconclusive: the test tools themselves were too slow."""
     rules = run.scenario.rules
     ledger = run.ledger
     reasons = []
@@ -58,8 +58,8 @@
     if run.longest_stall_ms > rules.max_stall_ms:
         process = max(ledger.lags, key=lambda name: ledger.lags[name])
         reasons.append(
-            f"process {process} stood still for {run.longest_stall_ms:.0f} ms; raise machine.{process.split('-')[0]}"
-            f" processes, or give the run the cores to itself"
+            f"process {process} stalled for {run.longest_stall_ms:.0f} ms; raise machine.{process.split('-')[0]}"
+            f" processes, or run nothing else on these cores"
         )
     if exhausted := ledger.bad_client_outcomes.get("out-of-connections"):
         reasons.append(f"the load tool ran out of connections {exhausted} times; raise machine.load_processes")
--- a/starlingthread/analysis/latency.py
+++ b/starlingthread/analysis/latency.py
@@ -1,4 +1,4 @@
-"""Percentiles of latencies by an HDR histogram (high dynamic range) of three digits."""
+"""Percentiles of latencies, by an HDR (high dynamic range) histogram of three significant digits."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 HIGHEST_US = 120_000_000
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 99.99, 100.0)
-CURVE_START = (0.0, 10.0, 25.0)  # percentiles of the curve below the median
-CURVE_STEP = 0.8  # by which the tail shrinks from one point of the curve to the next
+PERCENTILES_BELOW_MEDIAN = (0.0, 10.0, 25.0)  # first points of the curve
+TAIL_RATIO = 0.8  # each further point of the curve has a tail of this ratio to the tail of the point before
 
 
 def percentiles_of(latencies_ms: list[float]) -> dict[str, float]:
-    """Return the percentiles of latencies in ms, by their names."""
+    """Return the percentiles of latencies (ms) by name, for example ``"99.9"``."""
     if not latencies_ms:
         return {}
     histogram = _histogram(latencies_ms)
@@ -21,7 +21,7 @@
 
 
 def percentile_curve(latencies_ms: list[float]) -> list[tuple[float, float]]:
-    """Return (percentile, ms) from the least to the tail, as far out as there are latencies."""
+    """Return points (percentile, ms) from the minimum to the last percentile that the number of latencies supports."""
     if not latencies_ms:
         return []
     histogram = _histogram(latencies_ms)
@@ -29,8 +29,10 @@
     tail = 0.5
     while tail * len(latencies_ms) >= 1.0 or not tail_percentiles:
         tail_percentiles.append(round(100.0 * (1.0 - tail), 6))
-        tail *= CURVE_STEP
-    return [(percentile, _value_at(histogram, percentile)) for percentile in (*CURVE_START, *tail_percentiles)]
+        tail *= TAIL_RATIO
+    return [
+        (percentile, _value_at(histogram, percentile)) for percentile in (*PERCENTILES_BELOW_MEDIAN, *tail_percentiles)
+    ]
 
 
 def _histogram(latencies_ms: list[float]) -> HdrHistogram:
--- a/starlingthread/analysis/plots.py
+++ b/starlingthread/analysis/plots.py
@@ -15,28 +15,29 @@
 
 from .results import Results, TimeSeries
 
-WIDTH = 10.0  # inches
-HEIGHT = 3.0
-CURVE_HEIGHT = 3.6
+WIDTH_INCHES = 10.0
+HEIGHT_INCHES = 3.0
+CURVE_HEIGHT_INCHES = 3.6
 DPI = 110
-MAX_NAMED_LINES = 12  # in one plot; more are drawn faint and without a legend
-MIN_LOG_VALUE = 0.1  # in place of 0 on a logarithmic axis
-MIN_TAIL = 1e-7
+MAX_LABELLED_LINES = 12  # a plot with more lines has faint lines and no legend
+MIN_LOG_VALUE = 0.1  # replaces 0 on a logarithmic axis
+MIN_TAIL_SHARE = 1e-7
 MIN_FAULT_WIDTH_S = 0.1
-FAULT_COLOURS = 8
+FAULT_COLOUR_COUNT = 8
 FAULT_LABEL_ROWS = 4
-PERCENTILE_TICKS = {1: "0", 2: "50", 10: "90", 100: "99", 1000: "99.9", 10000: "99.99"}  # by 1 / tail
+# Labels of the percentile axis, by 1 / tail share.
+PERCENTILE_TICKS = {1: "0", 2: "50", 10: "90", 100: "99", 1000: "99.9", 10000: "99.99"}
 
 
 class Plot(NamedTuple):
-    """A plot as base64 of a PNG."""
+    """A plot as a PNG, encoded in base64."""
 
     title: str
     image: str
 
 
-def plots_of(results: Results) -> list[Plot]:
-    """Return the plots of a run."""
+def render_plots(results: Results) -> list[Plot]:
+    """Render all plots of a run."""
     limits = results.scenario.routers
     return [
         _plot("Goodput, with the faults marked", lambda axes: _draw_goodput(axes, results)),
@@ -44,7 +45,7 @@
         _plot(
             "Latency by percentile, from when a request was due",
             lambda axes: _draw_latency_curve(axes, results),
-            CURVE_HEIGHT,
+            CURVE_HEIGHT_INCHES,
         ),
         _series_plot("Load of each server", results, results.server_load, "share of slots"),
         _series_plot("Connections of each server", results, results.server_connections, "connections"),
@@ -56,8 +57,8 @@
     ]
 
 
-def _plot(title: str, draw: Callable[[Axes], None], height: float = HEIGHT) -> Plot:
-    figure, axes = plt.subplots(figsize=(WIDTH, height), dpi=DPI, layout="constrained")
+def _plot(title: str, draw: Callable[[Axes], None], height: float = HEIGHT_INCHES) -> Plot:
+    figure, axes = plt.subplots(figsize=(WIDTH_INCHES, height), dpi=DPI, layout="constrained")
     try:
         draw(axes)
         axes.grid(alpha=0.25)
@@ -76,22 +77,22 @@
 
 
 def _draw_series(axes: Axes, results: Results, series: list[TimeSeries], label: str, limit: float | None) -> None:
-    are_named = len(series) <= MAX_NAMED_LINES
+    has_legend = len(series) <= MAX_LABELLED_LINES
     for line in series:
-        axes.plot(line.at, line.values, lw=1.0, label=line.name, alpha=0.85 if are_named else 0.3)
+        axes.plot(line.at, line.values, lw=1.0, label=line.name, alpha=0.85 if has_legend else 0.3)
     if limit is not None:
         axes.axhline(limit, color="C3", ls="--", lw=1.0, label="limit")
     axes.set_ylabel(label)
     axes.set_xlabel("s")
     axes.set_ylim(bottom=0)
-    if are_named:
+    if has_legend:
         axes.legend(fontsize=7, ncols=3, loc="lower left")
     _draw_faults(axes, results)
 
 
 def _draw_faults(axes: Axes, results: Results) -> None:
     for number, fault in enumerate(results.faults):
-        colour = f"C{number % FAULT_COLOURS + 1}"
+        colour = f"C{number % FAULT_COLOUR_COUNT + 1}"
         end = max(fault.ended_at, fault.began_at + MIN_FAULT_WIDTH_S)
         axes.axvspan(fault.began_at, end, color=colour, alpha=0.13, lw=0)
         axes.text(
@@ -130,7 +131,7 @@
 def _draw_latency_curve(axes: Axes, results: Results) -> None:
     for result in results.classes:
         if result.curve:
-            tails = [1.0 / max(MIN_TAIL, 1.0 - percentile / 100.0) for percentile, _ in result.curve]
+            tails = [1.0 / max(MIN_TAIL_SHARE, 1.0 - percentile / 100.0) for percentile, _ in result.curve]
             axes.loglog(tails, [latency for _, latency in result.curve], marker=".", label=result.name)
     axes.set_xticks(list(PERCENTILE_TICKS), list(PERCENTILE_TICKS.values()))
     axes.set_xlabel("percentile of the served requests")
--- a/starlingthread/analysis/reduction.py
+++ b/starlingthread/analysis/reduction.py
@@ -1,4 +1,4 @@
-"""Reduction of a run's ledger to its results."""
+"""Aggregates the ledger of a run into its results."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from .verdict import Verdict
 
 SAMPLES_BEFORE_START_MS = 300.0  # router samples count from this long before the run's start
-SAMPLES_AFTER_END_MS = 500.0  # and until this long after the last operation was due
+SAMPLES_AFTER_END_MS = 500.0  # router samples count until this long after the last operation was due
 MIN_SAMPLE_SPAN_S = 1e-3
 
 
 def reduce(scenario: Scenario, ledger: Ledger, facts: dict[str, float], verdict: Verdict) -> Results:
-    """Reduce a run to its results. What was due in the warm-up does not count for goodput and percentiles."""
+    """Aggregate a run into its results. Operations due in the warm-up do not count for goodput and percentiles."""
     counted_from = ledger.started_at + scenario.traffic.warmup_s * 1000.0
     operations = [operation for operation in ledger.operations if operation.due_at >= counted_from]
     specs = scenario.traffic.classes
@@ -84,19 +84,19 @@
 
 def _class_result(class_index: int, spec: RequestClass, all_operations: list[Operation]) -> ClassResult:
     operations = [operation for operation in all_operations if operation.class_index == class_index]
-    counted = [operation for operation in operations if operation.result != "left"]
-    latencies = _latencies(counted)
+    not_abandoned = [operation for operation in operations if operation.result != "left"]
+    latencies = _latencies(not_abandoned)
     in_time = sum(latency <= spec.latency_objective_ms for latency in latencies)
-    offered = len(counted) * spec.priority_weight
-    earned = sum(_goodput(operation, spec) for operation in counted)
+    offered = len(not_abandoned) * spec.priority_weight
+    earned = sum(_goodput(operation, spec) for operation in not_abandoned)
     return ClassResult(
         name=spec.name,
-        offered=len(counted),
+        offered=len(not_abandoned),
         in_time=in_time,
         late=len(latencies) - in_time,
-        rejected=sum(operation.result == "refused" for operation in counted),
-        failed=sum(operation.result == "failed" for operation in counted),
-        abandoned=len(operations) - len(counted),
+        rejected=sum(operation.result == "refused" for operation in not_abandoned),
+        failed=sum(operation.result == "failed" for operation in not_abandoned),
+        abandoned=len(operations) - len(not_abandoned),
         attempts=sum(operation.attempts for operation in operations),
         goodput_share=round(earned / offered, 5) if offered else 0.0,
         percentiles=percentiles_of(latencies),
@@ -129,7 +129,7 @@
 
 
 class _RouterUsage(NamedTuple):
-    """What one router used: the summary, and values over time."""
+    """Resource usage of one router: the summary and the time series."""
 
     result: RouterResult
     cpu: TimeSeries
@@ -159,7 +159,7 @@
     cpu_s = 0.0
     observed_s = 0.0
     for earlier, later in itertools.pairwise(samples):
-        if later.cpu_s < earlier.cpu_s:  # the router restarted in between
+        if later.cpu_s < earlier.cpu_s:  # the router restarted between the samples
             continue
         used_s = later.cpu_s - earlier.cpu_s
         span_s = (later.at - earlier.at) / 1000.0
@@ -186,14 +186,14 @@
     value_of = attrgetter(field)
     series: dict[int, TimeSeries] = {}
     for sample in ledger.server_samples:
-        of_server = series.setdefault(sample.server, TimeSeries(f"server {sample.server}", [], []))
-        of_server.at.append(_seconds_since(ledger.started_at, sample.at))
-        of_server.values.append(float(value_of(sample)))
+        server_series = series.setdefault(sample.server, TimeSeries(f"server {sample.server}", [], []))
+        server_series.at.append(_seconds_since(ledger.started_at, sample.at))
+        server_series.values.append(float(value_of(sample)))
     return [series[server] for server in sorted(series)]
 
 
 def _faults(ledger: Ledger) -> list[FaultRecord]:
-    """Return the faults in the order of their begin, with times in s since the run's start."""
+    """Return the faults ordered by start time, with times in s since the run's start."""
     return [
         FaultRecord(
             fault.label,
--- a/starlingthread/analysis/results.py
+++ b/starlingthread/analysis/results.py
@@ -1,6 +1,6 @@
-"""Results of a run and their file (JSON, format 2): goodput, latencies, time series and what routers used.
+"""Results of a run and their file (JSON, format 2): goodput, latencies, time series and resource usage of routers.
 
-Attributes have the names of the field; where the file's key is an older one, ``rename`` maps to it.
+Attributes are named like the keys of the file, except where ``rename`` maps them to the keys of older versions.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 
 class ResultError(Exception):
-    """A file of results can't be read; the text says which and why."""
+    """A results file can't be read. The message names the file and the reason."""
 
 
 class ClassResult(
     msgspec.Struct,
     rename={"rejected": "refused", "abandoned": "left", "attempts": "tries", "goodput_share": "worth_share"},
 ):
-    """Operations of one class, each counted once with all its attempts. Latencies in ms from when it was due."""
+    """Operations of one class; retries do not count again. Latencies are in ms from the scheduled send time."""
 
     name: str
     offered: int
     in_time: int  # served within the latency objective
-    late: int  # served, but later
+    late: int  # served after the latency objective
     rejected: int
     failed: int
-    abandoned: int  # whose client left before the answer; not part of what is offered
+    abandoned: int  # operations whose client disconnected before the answer; they are not part of ``offered``
     attempts: int
-    goodput_share: float  # priority weight earned, of what was offered
-    percentiles: dict[str, float]  # of what was served
+    goodput_share: float  # earned share of the offered priority weight
+    percentiles: dict[str, float]  # latencies of the served operations
     curve: list[tuple[float, float]]  # (percentile, ms)
 
 
@@ -44,15 +44,15 @@
     msgspec.Struct,
     rename={"peak_memory_mb": "memory_mb_most", "peak_descriptors": "descriptors_most"},
 ):
-    """What one router used between the first and the last request."""
+    """Resource usage of one router between the first and the last request."""
 
     name: str
-    requests: int  # attempts of clients, also those that found no connection
+    requests: int  # attempts of clients, including those that got no connection
     cpu_us_per_request: float
     cpu_share: float
     peak_memory_mb: float
     peak_descriptors: int
-    received: int = 0  # of these, those that were sent on a connection; 0 in results of older versions
+    received: int = 0  # attempts that were sent on a connection; 0 in results of older versions
 
 
 class SecondResult(msgspec.Struct, rename={"rejected": "refused"}):
@@ -60,7 +60,7 @@
 
     at: int
     offered: float  # priority weight
-    served: float
+    served: float  # priority weight earned
     requests: int
     rejected: int
     failed: int
@@ -68,7 +68,7 @@
 
 
 class TimeSeries(msgspec.Struct):
-    """Values with their times, in seconds since the start."""
+    """Values with their times in seconds since the run's start."""
 
     name: str
     at: list[float]
@@ -80,7 +80,7 @@
     kw_only=True,
     rename={"goodput_share": "worth_share", "bad_client_outcomes": "garbage"},
 ):
-    """The results of one run. ``write`` and ``read`` are their file."""
+    """The results of one run. ``write`` stores them in a file, ``read`` loads them."""
 
     format: int = FORMAT
     version: str
@@ -94,7 +94,7 @@
     classes: list[ClassResult]
     routers: list[RouterResult]
     seconds: list[SecondResult]
-    faults: list[FaultRecord]  # times in s since the start
+    faults: list[FaultRecord]  # with times in s since the run's start
     server_load: list[TimeSeries]
     server_commands: list[TimeSeries]
     server_connections: list[TimeSeries]
@@ -105,11 +105,11 @@
     lags: dict[str, float]  # longest stall of each process of the testbed, ms
     bad_client_outcomes: dict[str, int]
     verdict: Verdict
-    evenness: Evenness | None = None  # None: the run was too short to measure it
+    evenness: Evenness | None = None  # None if the run was too short to measure it
 
     @property
     def passed(self) -> bool:
-        """Whether the run counts and no rule was broken."""
+        """Whether the run is valid and no rule was violated."""
         return self.verdict.is_clean
 
 
@@ -120,13 +120,13 @@
 
 
 def read(path: str | Path) -> Results:
-    """Read results back. Raise a ResultError that names the file."""
+    """Read results from a file. Raise a ResultError if it can't be read."""
     try:
         results = msgspec.json.decode(Path(path).read_bytes(), type=Results)
     except OSError as error:
         raise ResultError(f"{path}: {error.strerror}") from None
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
-        raise ResultError(f"{path}: no results of a run: {error}") from None
+        raise ResultError(f"{path}: not a valid results file: {error}") from None
     if results.format != FORMAT:
-        raise ResultError(f"{path}: results of format {results.format}, this version reads {FORMAT}")
+        raise ResultError(f"{path}: results have format {results.format}, this version reads format {FORMAT}")
     return results
--- a/starlingthread/analysis/rules/__init__.py
+++ b/starlingthread/analysis/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The rules of the judge: each check goes through the evidence of a run and yields what it finds."""
+"""The rules of the judge: each check examines the evidence of a run and yields violations and notes."""
 
 from __future__ import annotations
 
--- a/starlingthread/analysis/rules/base.py
+++ b/starlingthread/analysis/rules/base.py
@@ -1,4 +1,4 @@
-"""What the checks of the judge share: the type of a check and of its findings."""
+"""Types that all checks of the judge share, and constructors of violations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Note(NamedTuple):
-    """An occurrence that is no violation but worth counting."""
+    """A notable occurrence that is no violation; occurrences are counted by their text."""
 
     text: str
 
@@ -28,5 +28,5 @@
 
 
 def violation_by(run: RunEvidence, rule: Rule, attempt: ClientAttempt, at: float, text: str) -> Violation:
-    """Return a violation by the router that a client's attempt went to."""
+    """Return a violation by the router to which a client sent an attempt."""
     return violation(run, rule, attempt.request_id, attempt.router, at, text)
--- a/starlingthread/analysis/rules/processes.py
+++ b/starlingthread/analysis/rules/processes.py
@@ -14,7 +14,7 @@
     limits = run.scenario.routers
     for sample in run.ledger.router_samples:
         if sample.memory_mb > limits.memory_mb:
-            text = f"{sample.memory_mb:.1f} MB, {limits.memory_mb:g} are allowed"
+            text = f"{sample.memory_mb:.1f} MB of memory, {limits.memory_mb:g} MB are allowed"
             yield violation(run, Rule.MEMORY, "", sample.router, sample.at, text)
         if sample.descriptors > limits.sockets:
             text = f"{sample.descriptors} descriptors, {limits.sockets} are allowed"
@@ -22,7 +22,7 @@
 
 
 def check_crashes(run: RunEvidence) -> Iterator[Violation]:
-    """A router ends only when asked to, and then with exit code 0."""
+    """A router exits only on request, and then with exit code 0."""
     for event in run.ledger.router_events:
         if event.kind in ("crashed", "bad-exit"):
             text = f"{event.kind} with exit code {event.exit_code}"
--- a/starlingthread/analysis/soak_result.py
+++ b/starlingthread/analysis/soak_result.py
@@ -1,4 +1,4 @@
-"""What the soak keeps of each play."""
+"""The outcome of each run of the soak test, as stored in its summary file."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from .growth import Growth, measure_growth
 from .results import Results
 
-MAX_FINDINGS = 10  # broken rules that are kept of a play
+MAX_VIOLATIONS = 10  # violations of one run that are stored
 
 
 class SoakResult(msgspec.Struct):
-    """The outcome of one seed."""
+    """The outcome of the run of one seed."""
 
     seed: int
     length_s: float
     faults: list[str]
     goodput_share: float = 0.0
     requests: int = 0
-    broken: dict[str, int] = {}  # broken rules
-    void: list[str] = []  # why the run proves nothing
-    findings: list[str] = []  # broken rules with their times, and growth
+    broken: dict[str, int] = {}  # number of violations by rule
+    void: list[str] = []  # reasons why the run is inconclusive
+    findings: list[str] = []  # violations with their times, and growth of resource usage
     growth: list[Growth] = []
     peak_memory_mb: float = 0.0
     peak_descriptors: int = 0
 
     @classmethod
     def from_testbed_error(cls, scenario: Scenario, length_s: float, reason: str) -> SoakResult:
-        """Return the outcome of a seed for which the testbed failed."""
+        """Return the outcome of a seed whose run failed because of the testbed."""
         return cls(scenario.seed, length_s, _fault_labels(scenario), void=[reason], findings=[f"VOID: {reason}"])
 
     @property
     def is_void(self) -> bool:
-        """Whether the run proves nothing."""
+        """Whether the run is inconclusive."""
         return bool(self.void) and not self.broken
 
     @property
     def passed(self) -> bool:
-        """Whether the run counts, no rule was broken and no router grew."""
+        """Whether the run is valid, no rule was violated and no router's resource usage grew."""
         return not self.void and not self.findings
 
     @property
     def verdict(self) -> str:
-        """The verdict in a few words."""
+        """A short text with the verdict."""
         if self.broken:
             return ", ".join(f"{rule} {count}" for rule, count in self.broken.items())
         if self.void:
@@ -55,11 +55,11 @@
 
     @property
     def replay_command(self) -> str:
-        """The command that plays this seed again."""
+        """The command that runs this seed again."""
         return f"starlingthread soak --first-seed {self.seed} --seeds 1 --length {self.length_s:g} --logs soak-logs"
 
     def summary(self) -> str:
-        """Return one line on this seed."""
+        """Return a summary of this seed in one line."""
         return f"seed {self.seed}, {self.verdict}, goodput {self.goodput_share:.3f}, {', '.join(self.faults)}"
 
 
@@ -68,13 +68,13 @@
 
 
 def summarize(results: Results, length_s: float) -> SoakResult:
-    """Return what is kept of a play."""
+    """Return the outcome of a run from its results."""
     growth = measure_growth(results, restarted_routers(results.scenario))
     verdict = results.verdict
     findings = [f"VOID: {reason}" for reason in verdict.void]
     findings += [
         f"{v.rule} at {v.at_s} s, router {v.router}, request {v.request or '-'}: {v.text}"
-        for v in verdict.violations[:MAX_FINDINGS]
+        for v in verdict.violations[:MAX_VIOLATIONS]
     ]
     findings += [f"growth of {g.router}: {g.memory_mb} MB, {g.descriptors} descriptors" for g in growth if g.is_finding]
     return SoakResult(
--- a/starlingthread/analysis/verdict.py
+++ b/starlingthread/analysis/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a run: broken rules, reasons why the run proves nothing, and notes. Stored in the results file."""
+"""The verdict on a run: violated rules, reasons why the run is void, and notes. Stored in the results file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Rule(StrEnum):
-    """The rules that a router must keep; docs/emulator.md lists them in words."""
+    """The rules that a router must keep; docs/emulator.md describes them."""
 
     LOST = "lost"
     LATE_ANSWER = "late-answer"
@@ -29,24 +29,24 @@
 
 
 class Violation(msgspec.Struct):
-    """One broken rule."""
+    """One violation of a rule."""
 
     rule: str
-    request: str  # id of the client's request; empty if the rule is not about one
-    router: int  # -1: not known, or not about one router
-    at_s: float  # since the run's start
+    request: str  # id of the client's request; empty if the violation is not about a request
+    router: int  # -1 if it is not known, or if the violation is not about one router
+    at_s: float  # time since the run's start
     text: str
 
 
 class Verdict(msgspec.Struct):
-    """The outcome of judging a run. A void run proves nothing, whatever else it shows."""
+    """The outcome of checking a run against the rules. A void run is inconclusive, whatever the other fields hold."""
 
-    void: list[str]
+    void: list[str]  # reasons why the run is void
     counts: dict[str, int]  # violations by rule
     violations: list[Violation]
-    notes: dict[str, int]  # occurrences that are no violation but worth knowing
+    notes: dict[str, int]  # number of notable occurrences that are no violations, by description
 
     @property
     def is_clean(self) -> bool:
-        """Whether the run counts and no rule was broken."""
+        """Whether the run is valid and no rule was violated."""
         return not self.void and not self.counts
--- a/tests/test_judge_rules.py
+++ b/tests/test_judge_rules.py
@@ -68,7 +68,7 @@
     ledger.operations[0].send_delay_ms = 0.0
     assert not judge(scenario, ledger).void
     ledger.lags = {"servers-0": 500.0}
-    assert "servers-0 stood still" in judge(scenario, ledger).void[0]
+    assert "servers-0 stalled for 500 ms" in judge(scenario, ledger).void[0]
 
 
 def _broken_rules(router: int = 1, server: int = 0, ended_at: float = 5017.0, way: str = "from-server") -> set[str]:
