--- a/tests/broken_router.py
+++ b/tests/broken_router.py
@@ -1,7 +1,7 @@
-"""A small router for the judge's tests: correct in mode ``good``, and broken in one known way in each other mode.
+"""A small router for the judge's tests: correct in mode ``good``, with one known defect in each other mode.
 
-Run as ``python broken_router.py MODE`` with LB_CONFIG set. It shares no code with the project, takes its servers from
-``known`` and from a poll of discovery every 100 ms, and opens a connection for every attempt.
+Run as ``python broken_router.py MODE`` with LB_CONFIG set. It shares no code with the project. It takes its servers
+from the setting ``known`` and by polling discovery every 100 ms, and opens a connection for each attempt.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from typing import NamedTuple
 
 POLL_PERIOD_S = 0.1
-FAULT_EVERY = 20  # requests
+REQUESTS_PER_FAULT = 20
 CRASH_AT_REQUEST = 150
-LEAK_BYTES = 2 << 20  # of each request
-TIME_MARGIN_S = 0.02  # that an attempt leaves of the client's time
+LEAKED_BYTES_PER_REQUEST = 2 << 20
+ATTEMPT_MARGIN_S = 0.02  # an attempt times out this long before the client's deadline
 REJECTED = b"SERVER_ERROR busy\r\n"
 FAILED = b"SERVER_ERROR failed\r\n"
 
 
 class Mode(StrEnum):
-    """In which way the router is broken."""
+    """The defect of the router."""
 
     GOOD = "good"
     ANSWERS_TWICE = "answers-twice"
-    RESENDS_ONCE = "resends-once"  # sends requests that may run once to two servers
+    RESENDS_ONCE = "resends-once"  # sends requests of effect "once" to two servers
     IGNORES_DRAIN = "ignores-drain"
-    OVERLOADS_WARMING = "overloads-warming"  # sends all to a server that has just started
-    LOSES = "loses"  # closes without an answer
+    OVERLOADS_WARMING = "overloads-warming"  # sends all requests to a server that has just started
+    LOSES = "loses"  # closes the connection without an answer
     DELAYS_REJECTIONS = "delays-rejections"
     ANSWERS_LATE = "answers-late"
-    FOREIGN_VALUE = "foreign-value"  # answers with another value than the server's
+    FOREIGN_VALUE = "foreign-value"  # answers with a value that differs from the server's
     REJECTS_AFTER_RUN = "rejects-after-run"
     INVENTS_REQUESTS = "invents-requests"  # sends requests that no client sent
     LEAKS = "leaks"
@@ -48,7 +48,7 @@
     """A request of a client."""
 
     data: bytes
-    id_word: str  # with its O
+    id_token: str  # request id, with the prefix O
     budget_s: float
     key: str
     is_once: bool
@@ -56,13 +56,13 @@
 
 @dataclass
 class State:
-    """What the router knows."""
+    """The router's state."""
 
     mode: Mode
     discovery: str
     servers: dict[str, dict[str, object]] = field(default_factory=dict)
-    requests: int = 0
-    leak: list[object] = field(default_factory=list)
+    request_count: int = 0
+    leaked: list[object] = field(default_factory=list)
 
 
 def update_servers(state: State, listing: dict[str, list[dict[str, object]]]) -> None:
@@ -89,8 +89,8 @@
             continue
 
 
-def choose(state: State, key: str) -> str:
-    """Return the address of the server for a key."""
+def choose_server(state: State, key: str) -> str:
+    """Return the address of a key's server, by rendezvous hashing."""
     if state.mode is Mode.OVERLOADS_WARMING:
         started = [entry for entry in state.servers.values() if entry["since_ms"]]
         if started:
@@ -99,8 +99,8 @@
     return str(ranked[0]["address"])
 
 
-async def attempt(address: str, data: bytes, budget_s: float) -> bytes:
-    """Return a server's complete answer, or nothing."""
+async def send_attempt(address: str, data: bytes, budget_s: float) -> bytes:
+    """Return a server's complete answer, or empty bytes if there is none in time."""
     host, port = address.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -119,23 +119,25 @@
 
 
 def client_answer(answer: bytes) -> bytes:
-    """Return a server's answer as a client gets it: without hit flags and load report."""
+    """Return a server's answer for the client, without hit flags and load report."""
     head, _, rest = answer.partition(b"\r\n")
-    words = head.split(b" ")
-    if words[0] == b"VA":
-        return b" ".join(words[:3]) + b"\r\n" + rest
-    return b" ".join(words[:3]) + b"\r\n" if words[0] == b"HD" else answer
+    fields = head.split(b" ")
+    if fields[0] == b"VA":
+        return b" ".join(fields[:3]) + b"\r\n" + rest
+    return b" ".join(fields[:3]) + b"\r\n" if fields[0] == b"HD" else answer
 
 
 async def read_request(reader: asyncio.StreamReader, line: bytes) -> Request:
-    words = line.decode().split()
+    tokens = line.decode().split()
     data = line
-    if words[0] == "ms":
-        data += await reader.readexactly(int(words[2]) + 2)
-    parameters = next(word for word in words if word[0] == "P" and "=" in word)[1:]
+    if tokens[0] == "ms":
+        data += await reader.readexactly(int(tokens[2]) + 2)
+    parameters = next(token for token in tokens if token[0] == "P" and "=" in token)[1:]
     fields = dict(parameter.split("=") for parameter in parameters.split(","))
-    id_word = next(word for word in words[2:] if word[0] == "O")
-    return Request(data, id_word, float(fields["d"]) / 1000.0 - TIME_MARGIN_S, words[1], fields["c"] == "hold-item")
+    id_token = next(token for token in tokens[2:] if token[0] == "O")
+    return Request(
+        data, id_token, float(fields["d"]) / 1000.0 - ATTEMPT_MARGIN_S, tokens[1], fields["c"] == "hold-item"
+    )
 
 
 async def serve(state: State, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -144,7 +146,7 @@
             writer.write(b"MN\r\n")
             continue
         request = await read_request(reader, line)
-        state.requests += 1
+        state.request_count += 1
         answer = await handle(state, request)
         if answer is None:
             break
@@ -153,11 +155,11 @@
 
 
 async def handle(state: State, request: Request) -> bytes | None:
-    """Return the answer to a request, None to close without one."""
+    """Return the answer to a request, or None to close the connection without an answer."""
     mode = state.mode
-    number = state.requests
-    is_faulty = number % FAULT_EVERY == 0
-    if mode is Mode.LOSES and zlib.crc32(request.id_word.encode()) % FAULT_EVERY == 0:
+    number = state.request_count
+    is_faulty = number % REQUESTS_PER_FAULT == 0
+    if mode is Mode.LOSES and zlib.crc32(request.id_token.encode()) % REQUESTS_PER_FAULT == 0:
         return None
     if mode is Mode.DELAYS_REJECTIONS and is_faulty:
         await asyncio.sleep(request.budget_s * 0.9)
@@ -165,21 +167,21 @@
     if mode is Mode.ANSWERS_LATE and is_faulty:
         await asyncio.sleep(request.budget_s + 0.11)
     if mode is Mode.LEAKS:
-        state.leak.append(bytearray(LEAK_BYTES))
+        state.leaked.append(bytearray(LEAKED_BYTES_PER_REQUEST))
     if mode is Mode.CRASHES and number == CRASH_AT_REQUEST:
         os._exit(3)
-    answer = await attempt(choose(state, request.key), request.data, request.budget_s)
+    answer = await send_attempt(choose_server(state, request.key), request.data, request.budget_s)
     if mode is Mode.RESENDS_ONCE and request.is_once:
-        answer = await attempt(choose(state, request.key + "again"), request.data, request.budget_s)
+        answer = await send_attempt(choose_server(state, request.key + "again"), request.data, request.budget_s)
     if not answer:
         return FAILED
-    return await spoil(state, request, number, answer)
+    return await corrupt_answer(state, request, number, answer)
 
 
-async def spoil(state: State, request: Request, number: int, answer: bytes) -> bytes:
-    """Return a server's answer for the client, in the mode's broken way."""
+async def corrupt_answer(state: State, request: Request, number: int, answer: bytes) -> bytes:
+    """Return a server's answer for the client, with the defect of the mode."""
     mode = state.mode
-    is_faulty = number % FAULT_EVERY == 0
+    is_faulty = number % REQUESTS_PER_FAULT == 0
     if mode is Mode.REJECTS_AFTER_RUN and request.is_once:
         return REJECTED
     if mode is Mode.ANSWERS_TWICE and is_faulty:
@@ -187,8 +189,10 @@
     if mode is Mode.FOREIGN_VALUE and answer.startswith(b"VA") and is_faulty:
         return client_answer(answer).replace(b"xxx", b"yyy", 1)
     if mode is Mode.INVENTS_REQUESTS and is_faulty:
-        invented = request.data.replace(request.id_word.encode(), b"Oinvented%d" % number)
-        return client_answer(await attempt(choose(state, request.key), invented, request.budget_s) or answer)
+        invented = request.data.replace(request.id_token.encode(), b"Oinvented%d" % number)
+        return client_answer(
+            await send_attempt(choose_server(state, request.key), invented, request.budget_s) or answer
+        )
     return client_answer(answer)
 
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Three real routers, an emulated fleet, several faults at once: no rule is broken, and every part is used."""
+"""End-to-end tests: three real routers and an emulated fleet under several faults, and the logs of one router."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def test_three_routers_keep_all_rules_through_five_faults(tmp_path: Path) -> None:
-    """The bench command also writes its results as JSON and as a report."""
+    """The bench command violates no rule, and writes its results as JSON and as a report."""
     path = tmp_path / "end-to-end.toml"
     path.write_text(SCENARIO)
     completed = subprocess.run(
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("log_format", ["json", "logfmt"])
 def test_a_router_writes_structured_lines_and_reloads_its_options(tmp_path: Path, log_format: str) -> None:
-    """An invalid file leaves the options in effect, and is logged."""
+    """An invalid options file is logged, and the previous options stay in effect."""
     options_file = tmp_path / "own.toml"
     options_file.write_text(f'[log]\nformat = "{log_format}"\n')
     subprocess.run(
@@ -120,11 +120,11 @@
         env={**os.environ, "LB_CONFIG": str(tmp_path / "r0.json"), "STARLINGTHREAD_OPTIONS": str(options_file)},
     )
     assert router.stderr is not None
-    watchdog = threading.Timer(60, router.kill)  # ends the log, and so the wait for a line
+    watchdog = threading.Timer(60, router.kill)  # closes the log, which ends the wait for a line
     watchdog.start()
 
     def read_until(event: str) -> str:
-        """Return the next log line with an event."""
+        """Return the next log line that contains an event's name."""
         assert router.stderr is not None
         while event not in (line := router.stderr.readline()):
             assert line, f"the log ended without {event}"
@@ -144,7 +144,8 @@
     read_until("reloaded")
     router.send_signal(signal.SIGHUP)
     assert " INFO reloaded discovery=" in read_until("reloaded")
-    # The operators' file takes effect though the platform's is invalid; peer messages are not allowed, which is logged.
+    # The operators' options take effect although the platform's file is invalid. That peer messages are not permitted
+    # is logged.
     config["settings"]["permissions"]["peerMessages"] = False
     (tmp_path / "r0.json").write_text(json.dumps(config))
     router.send_signal(signal.SIGHUP)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,7 @@
-"""The judge on real runs: each rule is broken by a router that is broken in just that way, and no other rule."""
+"""Tests of the judge on real runs: it finds the rule that each defective router violates, and no other rule.
+
+They guard against checks that miss violations, and against checks that report violations which did not happen.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +56,7 @@
 """
 DRAIN = '[[faults]]\nkind = "shrink"\nstart_s = 0.3\nservers = [0, 1]\n'
 REPLACE = '[[faults]]\nkind = "replace"\nstart_s = 0.3\nstrength = 50.0\nservers = [0]\n'
-# The rule that a mode breaks, and the fault under which it does.
+# For each mode: the rule that it violates, and the fault that is needed for the violation.
 MODES = {
     "good": ("", ""),
     "answers-twice": ("answered-twice", ""),
@@ -69,8 +72,8 @@
     "leaks": ("memory", ""),
     "crashes": ("crashed", ""),
 }
-# Other rules that a mode may break as well, where one action breaks two.
-ALSO_BROKEN = {
+# Other rules that a mode may violate as well, as one action can violate two rules.
+MAY_ALSO_VIOLATE = {
     "resends-once": {"once-resent"},
     "answers-twice": set(),
     "rejects-after-run": {"once-ran-twice", "once-resent"},
@@ -84,10 +87,10 @@
 
 @pytest.fixture(scope="module")
 def runs(tmp_path_factory: pytest.TempPathFactory) -> dict[str, tuple[int, results.Results]]:
-    """Play all modes with the command line; return exit code and results of each."""
+    """Run all modes with the bench command; return exit code and results of each."""
     folder = tmp_path_factory.mktemp("broken")
 
-    def play(mode: str) -> tuple[str, int, results.Results]:
+    def run_mode(mode: str) -> tuple[str, int, results.Results]:
         path = folder / f"{mode}.toml"
         text = SCENARIO.replace(
             "memory_mb = 120.0", "memory_mb = 120.0\ncommand = " + repr([sys.executable, str(ROUTER), mode])
@@ -104,17 +107,17 @@
         return mode, process.returncode, results.read(folder / f"{mode}.json")
 
     with ThreadPoolExecutor(6) as pool:
-        return {mode: (code, result) for mode, code, result in pool.map(play, MODES)}
+        return {mode: (exit_code, result) for mode, exit_code, result in pool.map(run_mode, MODES)}
 
 
 @pytest.mark.parametrize("mode", MODES)
 def test_a_broken_router_breaks_its_rule(mode: str, runs: dict[str, tuple[int, results.Results]]) -> None:
-    code, result = runs[mode]
+    exit_code, result = runs[mode]
     expected = MODES[mode][0]
     counts = result.verdict.counts
     assert (expected in counts) == bool(expected), (counts, result.verdict.violations[:5])
-    assert set(counts) <= {expected, *ALSO_BROKEN.get(mode, set())}, result.verdict.violations[:5]
-    assert code == (1 if expected else 0)
+    assert set(counts) <= {expected, *MAY_ALSO_VIOLATE.get(mode, set())}, result.verdict.violations[:5]
+    assert exit_code == (1 if expected else 0)
     if expected:
         violation = next(v for v in result.verdict.violations if v.rule == expected)
         assert violation.text and (violation.request or expected in ("memory", "crashed", "cold-fall"))
--- a/tests/test_judge_rules.py
+++ b/tests/test_judge_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the judge on ledgers made by hand."""
+"""Tests of the judge's rules on hand-written ledgers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return scenario, Ledger(ended_at=10000.0, operations=[Operation(0, 0, 100.0)])
 
 
-def test_a_lost_answer_is_no_second_run() -> None:
+def test_an_answer_lost_with_its_router_is_not_counted_as_a_second_execution() -> None:
     scenario, ledger = _scenario_and_ledger()
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, 100.0, 300.0, outcome="eof")]
     ledger.router_events = [RouterEvent(0, "killed", 150.0)]
@@ -49,7 +49,7 @@
     assert set(judge(scenario, ledger).counts) == {"lost"}
 
 
-def test_an_idempotent_write_is_not_resent_after_its_key_is_forgotten() -> None:
+def test_an_idempotent_write_is_not_resent_after_its_idempotency_window() -> None:
     scenario, ledger = _scenario_and_ledger("by_key")
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, 100.0, 9000.0, outcome="failed", answered_at=5000.0)]
     ledger.deliveries = [
@@ -63,7 +63,9 @@
 
 def test_a_slow_load_tool_or_a_stall_voids_the_run() -> None:
     scenario, ledger = _scenario_and_ledger()
-    ledger.operations = [Operation(n, 0, 100.0, 30.0 if n < 2 else 0.0, "served", 120.0) for n in range(100)]
+    ledger.operations = [
+        Operation(number, 0, 100.0, 30.0 if number < 2 else 0.0, "served", 120.0) for number in range(100)
+    ]
     assert "fell behind" in judge(scenario, ledger).void[0]
     ledger.operations[0].send_delay_ms = 0.0
     assert not judge(scenario, ledger).void
@@ -71,44 +73,50 @@
     assert "servers-0 stalled for 500 ms" in judge(scenario, ledger).void[0]
 
 
-def _broken_rules(router: int = 1, server: int = 0, ended_at: float = 5017.0, way: str = "from-server") -> set[str]:
+def _broken_rules(
+    router: int = 1, server: int = 0, ended_at: float = 5017.0, direction: str = "from-server"
+) -> set[str]:
     """Judge a rejection 3.2 s after the request, while a link to group 1 is cut from 5 s to 9 s."""
     scenario, ledger = _scenario_and_ledger("repeatable")
     ledger.operations = [Operation(0, 0, 4990.0)]
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, router, 4990.0, 3200.0, outcome="busy", answered_at=8187.0)]
     ledger.deliveries = [Delivery("a", server, 4991.0, 4991.0, EXECUTED, ANSWERED, ended_at)]
-    ledger.faults = [FaultRecord("cut", "link-cut", 5000.0, 9000.0, "servers 0", (0,), (1,), way)]
+    ledger.faults = [FaultRecord("cut", "link-cut", 5000.0, 9000.0, "servers 0", (0,), (1,), direction)]
     return set(judge(scenario, ledger).counts)
 
 
-def test_an_answer_in_a_cut_link_is_in_flight_until_the_link_heals() -> None:
+def test_an_answer_on_a_cut_link_is_in_flight_until_the_cut_ends() -> None:
     assert not _broken_rules()
-    assert not _broken_rules(router=4)  # of the same group, as there are three zones
+    assert not _broken_rules(router=4)  # router 4 is in the same group, as there are three zones
 
 
-@pytest.mark.parametrize("changed", [{"router": 0}, {"server": 1}, {"way": "to-server"}, {"ended_at": 4999.0}])
+@pytest.mark.parametrize("changed", [{"router": 0}, {"server": 1}, {"direction": "to-server"}, {"ended_at": 4999.0}])
 def test_a_late_rejection_breaks_a_rule_if_the_cut_link_did_not_delay_the_answer(changed: dict[str, Any]) -> None:
     assert _broken_rules(**changed) == {"held-back"}
 
 
 @pytest.mark.parametrize(
-    ("way", "router", "began_at", "excused"),
+    ("direction", "router", "began_at", "excused"),
     [
         ("both", 1, 5000.0, True),
         ("to-server", 4, 5000.0, True),
-        ("from-server", 1, 5000.0, False),  # then it would have arrived
-        ("both", 0, 5000.0, False),  # of another group, whose links are whole
-        ("both", 1, 8500.0, False),  # the cut came after the rejection
+        ("from-server", 1, 5000.0, False),  # a request would have arrived
+        ("both", 0, 5000.0, False),  # router 0 is in another group, whose links are not cut
+        ("both", 1, 8500.0, False),  # the cut began after the failure
     ],
 )
 def test_a_request_that_reached_no_server_may_have_waited_for_a_connection_over_a_cut_link(
-    way: str, router: int, began_at: float, excused: bool
+    direction: str, router: int, began_at: float, excused: bool
 ) -> None:
-    """Soak, seed 1: a hold failed after 396 ms of 400; each open request had an attempt in flight, by the counters."""
+    """Guards against a false violation when a connection attempt over a cut link leaves no delivery record.
+
+    In soak seed 1, a ``hold-item`` request failed after 396 ms of 400; by the counters, an attempt was in flight for
+    each open request.
+    """
     scenario, ledger = _scenario_and_ledger("repeatable")
     ledger.operations = [Operation(0, 0, 4990.0)]
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, router, 4990.0, 3200.0, outcome="failed", answered_at=8187.0)]
-    ledger.faults = [FaultRecord("cut", "link-cut", began_at, 9000.0, "servers 0", (0,), (1,), way)]
+    ledger.faults = [FaultRecord("cut", "link-cut", began_at, 9000.0, "servers 0", (0,), (1,), direction)]
     assert (not judge(scenario, ledger).counts) == excused
 
 
@@ -116,16 +124,20 @@
     ("sent_after_term", "delivered", "outcome", "excused"),
     [
         (600.0, False, "eof", True),
-        (600.0, True, "eof", False),  # it was read and forwarded
-        (600.0, False, "none", False),  # it was not closed but left without an answer
-        (200.0, False, "eof", False),  # connections stay open then
-        (1200.0, False, "eof", False),  # the router had ended
+        (600.0, True, "eof", False),  # the request was read and forwarded
+        (600.0, False, "none", False),  # the connection stayed open without an answer
+        (200.0, False, "eof", False),  # connections are not closed this early
+        (1200.0, False, "eof", False),  # the router had exited
     ],
 )
-def test_a_request_may_cross_the_close_of_a_resting_connection_at_the_shutdown(
+def test_a_request_may_be_lost_when_shutdown_closes_its_idle_connection(
     sent_after_term: float, delivered: bool, outcome: str, excused: bool
 ) -> None:
-    """Soak, seed 1: two requests after SIGTERM; the router's counters show that it answered all that it had read."""
+    """Guards against a false violation when a client sends on an idle connection that the router is closing.
+
+    In soak seed 1 this happened to two requests after SIGTERM; by its counters, the router had answered all requests
+    that it had read.
+    """
     scenario, ledger = _scenario_and_ledger("repeatable")
     sent_at = 5000.0 + sent_after_term
     ledger.attempts = [ClientAttempt("a", 0, 0, 1, 0, sent_at, 3000.0, outcome=outcome)]
--- a/tests/test_load_evenness_process.py
+++ b/tests/test_load_evenness_process.py
@@ -1,4 +1,8 @@
-"""Even load from several real router processes, with faults on the links between them. Loopback only."""
+"""Tests of even load from several real router processes, with faults on their links to servers. Loopback only.
+
+They guard against herding (routers that choose the same server from outdated load reports), and against servers that
+stay overloaded or unused after a fault.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +41,8 @@
 name = "item-lookup"
 share = 1.0
 """
-# One way: the routers of a zone get no responses from a third of the servers, which still receive and serve requests.
+# One-way partition: the routers of a zone get no responses from a third of the servers, which still receive and serve
+# requests.
 ONE_WAY_PARTITION = """
 [[faults]]
 kind = "link-cut"
@@ -50,9 +55,9 @@
 RESTARTED_ROUTERS = "a third of the routers killed and restarted without state"
 UNRESPONSIVE_SERVER = "an unresponsive server that recovers"
 # An outlier is ejected for 250 ms, doubled at each further failure: four times in 3 s, so for 2 s when it recovers, and
-# with the jitter for 2.6 s at most. Its load is looked at once that is over: 3 s after its recovery.
+# with the jitter for 2.6 s at most. Its load is measured after that: 3 s after its recovery.
 LENGTH_S = {UNRESPONSIVE_SERVER: 14.0}
-# By description; all faults end 4 s before the end, that of the unresponsive server 6 s.
+# Faults by description. A fault ends 4 s before the end of the run, that of the unresponsive server 6 s before.
 FAULTS = {
     "a slow server that recovers at once": 'kind = "slow"\nstrength = 8.0\nservers = [0]',
     "a third of the routers stopped, then continued with outdated state": 'kind = "stop-router"\nrouters = [0, 3, 6]',
@@ -64,13 +69,13 @@
 }
 
 
-def play_results(folder: Path, *settings: str, faults: str = "") -> Results:
-    """Play the scenario with settings and faults; return the results."""
-    return play_with_load_shares(folder, *settings, faults=faults)[0]
+def run_scenario(folder: Path, *settings: str, faults: str = "") -> Results:
+    """Run the scenario with settings and faults; return the results."""
+    return run_with_load_shares(folder, *settings, faults=faults)[0]
 
 
-def play_with_load_shares(folder: Path, *settings: str, faults: str = "") -> tuple[Results, list[float]]:
-    """Play the scenario; return the results, and each server's load relative to the mean in the last three seconds."""
+def run_with_load_shares(folder: Path, *settings: str, faults: str = "") -> tuple[Results, list[float]]:
+    """Run the scenario; return the results, and each server's load relative to the mean in the last three seconds."""
     spec = scenario_file.parse(SCENARIO + faults, "herd", settings)
     outcome = play(spec, folder=folder)
     end = outcome.ledger.started_at + spec.length_s * 1000.0
@@ -81,21 +86,22 @@
 
 def test_the_module_does_not_herd_and_the_least_reported_load_does(tmp_path: Path) -> None:
     """Herding: many routers choose the same server from the same outdated load reports."""
-    module_run = play_results(tmp_path / "own", "routers.options.hot_keys.enabled=true")
-    least_reported_run = play_results(tmp_path / "least", 'routers.policy="least-reported"')
+    module_run = run_scenario(tmp_path / "own", "routers.options.hot_keys.enabled=true")
+    least_reported_run = run_scenario(tmp_path / "least", 'routers.policy="least-reported"')
     assert module_run.evenness is not None and least_reported_run.evenness is not None
     assert not module_run.verdict.counts and module_run.goodput_share > 0.95
-    # In four plays each: 1.3 to 1.5 beside 3.6 to 4.7; 0.7 to 0.8 beside 1.4 to 2.5; none beside 2 to 4.
+    # In four runs each of the module and of the least reported load: peak load ratio 1.3 to 1.5 and 3.6 to 4.7, herd index
+    # 0.7 to 0.8 and 1.4 to 2.5, idle servers 0 and 2 to 4.
     assert module_run.evenness.busiest_1s < 2.4 < least_reported_run.evenness.busiest_1s
-    # That of least reported is 0.95 to 2.5: it may stay at one server throughout.
+    # The herd index of least reported load is 0.95 to 2.5, as it may use one server throughout; so it is not compared.
     assert module_run.evenness.herd_index < 1.15
     assert module_run.evenness.idle_servers == 0 < least_reported_run.evenness.idle_servers
 
 
 def test_a_zone_without_responses_from_a_third_of_the_servers_is_served_by_the_others(tmp_path: Path) -> None:
     """The share of requests served during the partition is no less than that of plain hashing."""
-    module_run = play_results(tmp_path / "own", faults=ONE_WAY_PARTITION)
-    plain_hash_run = play_results(tmp_path / "hash", 'routers.policy="hash"', faults=ONE_WAY_PARTITION)
+    module_run = run_scenario(tmp_path / "own", faults=ONE_WAY_PARTITION)
+    plain_hash_run = run_scenario(tmp_path / "hash", 'routers.policy="hash"', faults=ONE_WAY_PARTITION)
     assert not module_run.verdict.counts
     during = [
         [second.served / second.offered for second in run.seconds if 6 <= second.at < 9]
@@ -109,7 +115,7 @@
 def test_load_is_even_again_soon_after_a_fault_and_no_server_is_starved(fault: str, tmp_path: Path) -> None:
     """The least reported load leaves servers idle and others with three to four times the mean."""
     faults = f"[[faults]]\nstart_s = 5.0\nlength_s = 3.0\n{FAULTS[fault]}\n"
-    module_run, load_shares = play_with_load_shares(
+    module_run, load_shares = run_with_load_shares(
         tmp_path / "own", f"length_s={LENGTH_S.get(fault, 12.0)}", "fleet.report_delay_ms=2000.0", faults=faults
     )
     assert not module_run.verdict.counts and module_run.goodput_share > 0.85
@@ -119,7 +125,7 @@
 
 @pytest.mark.parametrize("policy", ["random", "round-robin", "bounded-hash", "two-choices", "two-reported", "truth"])
 def test_each_baseline_serves_and_breaks_no_rule(policy: str, tmp_path: Path) -> None:
-    """In a short play with three routers."""
+    """A short run with three routers."""
     short = msgspec.structs.replace(
         scenario_file.parse(SCENARIO, "herd", (f'routers.policy="{policy}"',)), length_s=3.0
     )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenario files: those of the repository, and errors in others."""
+"""Tests of scenario files: those of the repository are valid, and errors in others are reported."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.toml")), ids=lambda p: p.stem)
 def test_scenarios_are_valid_and_round_trip(path: Path) -> None:
-    read = scenario_file.read(path)
-    assert read.name == path.stem and read.about
-    assert msgspec.convert(msgspec.to_builtins(read), scenario.Scenario) == read
-    assert msgspec.json.decode(msgspec.json.encode(read), type=scenario.Scenario) == read
+    parsed = scenario_file.read(path)
+    assert parsed.name == path.stem and parsed.about
+    assert msgspec.convert(msgspec.to_builtins(parsed), scenario.Scenario) == parsed
+    assert msgspec.json.decode(msgspec.json.encode(parsed), type=scenario.Scenario) == parsed
 
 
 @pytest.mark.parametrize(
@@ -54,16 +54,16 @@
 ) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(f'name = "bad"\n{text}\n')
-    done = CliRunner().invoke(main, ["bench", str(path)])
-    assert done.exit_code == 1 and len(done.stderr.splitlines()) == 1
-    assert str(path) in done.stderr and key in done.stderr and expected in done.stderr
+    result = CliRunner().invoke(main, ["bench", str(path)])
+    assert result.exit_code == 1 and len(result.stderr.splitlines()) == 1
+    assert str(path) in result.stderr and key in result.stderr and expected in result.stderr
 
 
 def test_a_scenario_larger_than_the_machine_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (1024, 4096))
-    big = msgspec.structs.replace(CALM, fleet=scenario.Fleet(servers=2000))
+    oversized = msgspec.structs.replace(CALM, fleet=scenario.Fleet(servers=2000))
     with pytest.raises(RunError, match="allows 4096: raise machine"):
-        machine.check_machine(big)
+        machine.check_machine(oversized)
 
 
 def test_router_options_zones_and_links_are_validated() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what a seed draws, what is kept of a play, and a few seeds with real processes."""
+"""Tests of the soak: the scenarios of seeds, the stored outcomes, and a few seeds with real processes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 CI_SEEDS = (101, 102, 103, 104)
 
 
-def test_a_seed_draws_the_same_valid_scenario_each_time() -> None:
+def test_a_seed_generates_the_same_valid_scenario_each_time() -> None:
     for seed in range(200):
         scenario = generate_scenario(seed, 14.0)
         assert scenario == generate_scenario(seed, 14.0)
@@ -35,16 +35,16 @@
         assert max(ends) <= scenario.length_s - FAULT_FREE_END_S + 1.0
 
 
-def test_seeds_differ_and_draw_every_kind_of_fault() -> None:
-    drawn = [{fault.kind for fault in generate_scenario(seed, 14.0).faults} for seed in range(200)]
-    assert len({frozenset(kinds) for kinds in drawn}) > 100
+def test_seeds_differ_and_generate_every_kind_of_fault() -> None:
+    kinds_by_seed = [{fault.kind for fault in generate_scenario(seed, 14.0).faults} for seed in range(200)]
+    assert len({frozenset(kinds) for kinds in kinds_by_seed}) > 100
     expected = {"shrink", "kill-router", "silent-watches", "discovery-down", "discovery-slow", "link-cut", "silent"}
     expected |= {"idle-clients", "garbage-clients", "half-commands", "reset", "restart-router", "leaving-clients"}
-    assert expected <= set.union(*({str(kind) for kind in kinds} for kinds in drawn))
+    assert expected <= set.union(*({str(kind) for kind in kinds} for kinds in kinds_by_seed))
 
 
-def unanswered(sent_before_kill_ms: float) -> list[object]:
-    """Judge a request without an answer that was sent some ms before a SIGKILL that SIGTERM announced."""
+def findings_on_unanswered_request(sent_before_kill_ms: float) -> list[object]:
+    """Check a request without an answer that was sent some ms before the SIGKILL that follows SIGTERM."""
     killed_at = 10000.0
     sent_at = killed_at - sent_before_kill_ms
     ledger = Ledger()
@@ -53,22 +53,22 @@
     return list(check_answer_time(RunEvidence(generate_scenario(1, 14.0), ledger)))
 
 
-def test_a_request_before_an_announced_kill_is_owed_its_answer() -> None:
-    assert isinstance(unanswered(UNANSWERED_BEFORE_KILL_MS + 1.0)[0], Violation)
-    assert not isinstance(unanswered(UNANSWERED_BEFORE_KILL_MS - 1.0)[0], Violation)
+def test_a_request_before_the_sigkill_that_follows_sigterm_must_be_answered() -> None:
+    assert isinstance(findings_on_unanswered_request(UNANSWERED_BEFORE_KILL_MS + 1.0)[0], Violation)
+    assert not isinstance(findings_on_unanswered_request(UNANSWERED_BEFORE_KILL_MS - 1.0)[0], Violation)
 
 
 @pytest.mark.parametrize(
     ("memory_mb", "descriptors", "is_finding"),
     [((30.0, 33.0), (50.0, 60.0), False), ((30.0, 43.0), (50.0, 50.0), True), ((30.0, 30.0), (50.0, 100.0), True)],
 )
-def test_growth_beyond_noise_is_a_finding(
+def test_growth_beyond_the_usual_variation_is_a_finding(
     memory_mb: tuple[float, float], descriptors: tuple[float, float], is_finding: bool
 ) -> None:
     assert Growth("r0", memory_mb, descriptors).is_finding == is_finding
 
 
-def test_a_play_that_failed_for_the_testbed_is_void_and_not_passed() -> None:
+def test_a_run_that_the_testbed_failed_is_void_and_not_passed() -> None:
     outcome = SoakResult.from_testbed_error(generate_scenario(5, 14.0), 14.0, "a port was taken")
     assert outcome.is_void and not outcome.passed and outcome.verdict == "void"
     assert "--first-seed 5 --seeds 1 --length 14" in outcome.replay_command
@@ -76,16 +76,16 @@
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
 def test_a_seed_with_real_processes(seed: int, tmp_path: Path) -> None:
-    """Restarts, signals, drains, faults, bad clients and crowds together break no rule and leave nothing behind."""
+    """Restarts, signals, drains, faults, bad clients and many idle clients violate no rule and leak no resources."""
     summary = tmp_path / "soak.json"
     command = [sys.executable, "-c", "from starlingthread.cli.main import main; main()", "soak"]
-    played = subprocess.run(
+    completed = subprocess.run(
         [*command, "--first-seed", str(seed), "--seeds", "1", "--json", str(summary)],
         check=False,
         capture_output=True,
         text=True,
         timeout=120,
     )
-    assert played.returncode == 0, played.stdout + played.stderr
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     (outcome,) = msgspec.json.decode(summary.read_bytes(), type=list[SoakResult])
     assert outcome.passed and outcome.requests > 0 and outcome.growth
