--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -90,6 +90,7 @@
     # One-way delay between two regions.
     inter_region_delay_ms: NotNegative = msgspec.field(default=0.0, name="region_ms")
     slots: Count = 8  # commands that a server processes concurrently
+    # Commands that can wait for a slot.
     queue_length: Annotated[int, Meta(ge=0)] = msgspec.field(default=16, name="waiting")
     speed: Positive = 1.0
     speed_spread: Share = 0.2
@@ -164,7 +165,7 @@
 
 
 class Traffic(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The operations of clients. Arrivals are drawn in advance and do not depend on answers."""
+    """The operations of clients. Arrivals are generated in advance and do not depend on answers."""
 
     rate: Positive = 600.0
     in_flight: Annotated[int, Meta(ge=0, le=4096)] = 0  # above 0: a closed loop of this concurrency, without a rate
--- a/tests/test_load_evenness_process.py
+++ b/tests/test_load_evenness_process.py
@@ -90,8 +90,8 @@
     least_reported_run = run_scenario(tmp_path / "least", 'routers.policy="least-reported"')
     assert module_run.evenness is not None and least_reported_run.evenness is not None
     assert not module_run.verdict.counts and module_run.goodput_share > 0.95
-    # In four runs each of the module and of the least reported load: peak load ratio 1.3 to 1.5 and 3.6 to 4.7, herd index
-    # 0.7 to 0.8 and 1.4 to 2.5, idle servers 0 and 2 to 4.
+    # In four runs each of the module and of the least reported load: peak load ratio 1.3 to 1.5 and 3.6 to 4.7, herd
+    # index 0.7 to 0.8 and 1.4 to 2.5, idle servers 0 and 2 to 4.
     assert module_run.evenness.busiest_1s < 2.4 < least_reported_run.evenness.busiest_1s
     # The herd index of least reported load is 0.95 to 2.5, as it may use one server throughout; so it is not compared.
     assert module_run.evenness.herd_index < 1.15
