--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -1,4 +1,4 @@
-"""The models of a cache server and the origin, in virtual time."""
+"""Tests of the models of a cache server and the origin, in virtual time."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from starlingthread.experiment import scenario
 
 
-class VirtualSchedule:
-    """A Schedule whose time advances only by ``run``."""
+class VirtualScheduler:
+    """A Scheduler whose time advances only in ``run``."""
 
     def __init__(self) -> None:
         self.time, self.count = 0.0, 0
@@ -23,14 +23,14 @@
     def now(self) -> float:
         return self.time
 
-    def after(self, delay: float, then: Callable[[], None]) -> None:
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
         self.count += 1
-        heapq.heappush(self.due, (self.time + delay, self.count, then))
+        heapq.heappush(self.due, (self.time + delay_ms, self.count, callback))
 
     def run(self, until: float = 1e9) -> None:
         while self.due and self.due[0][0] <= until:
-            self.time, _, then = heapq.heappop(self.due)
-            then()
+            self.time, _, callback = heapq.heappop(self.due)
+            callback()
         if until < 1e9:
             self.time = max(self.time, until)
 
@@ -39,7 +39,7 @@
     """A server model in virtual time, and the outcomes of its commands."""
 
     def __init__(self, fleet: scenario.Fleet, origin: scenario.Origin | None = None) -> None:
-        self.clock = VirtualSchedule()
+        self.clock = VirtualScheduler()
         rng = np.random.default_rng(1)
         self.origin = OriginModel(origin or scenario.Origin(fetch_ms=10.0, cv=0.0), self.clock, rng)
         self.model = ServerModel(0, fleet, 1.0, self.clock, self.origin, rng)
@@ -123,12 +123,12 @@
         overload_window_ms=1000.0,
     )
     crashes: list[tuple[str, ...]] = []
-    for gap, is_crash in ((7.0, False), (4.0, True)):  # budget: 4 x 0.1 x 2 slots x 1000 ms of work; 4 ms a command
+    for gap_ms, is_crash in ((7.0, False), (4.0, True)):  # limit: 4 x 0.1 x 2 slots x 1000 ms of work; 4 ms per command
         server = ModelServer(fleet)
         server.model.boot(is_warm=False)
         server.model.on_overload_crash = crashes.append
         for number in range(600):
-            server.clock.run(number * gap)
+            server.clock.run(number * gap_ms)
             if not server.model.crashed:
                 server.submit(str(number), f"k{number}")
         assert server.model.crashed == is_crash
