--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -150,7 +150,8 @@
     server_samples: list[ServerSample] = msgspec.field(default_factory=list)
     faults: list[FaultRecord] = msgspec.field(default_factory=list)
     lags: dict[str, float] = msgspec.field(default_factory=dict)  # longest stall of each process, ms
-    bad_client_outcomes: dict[str, int] = msgspec.field(default_factory=dict)  # results of misbehaving clients
+    # Number of connections of misbehaving clients, by outcome.
+    bad_client_outcomes: dict[str, int] = msgspec.field(default_factory=dict)
 
     def merge(self, part: Ledger) -> None:
         """Add the records of another process."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -68,7 +68,7 @@
     assert Growth("r0", memory_mb, descriptors).is_finding == is_finding
 
 
-def test_a_run_that_the_testbed_failed_is_void_and_not_passed() -> None:
+def test_a_run_that_failed_because_of_the_testbed_is_void_and_not_passed() -> None:
     outcome = SoakResult.from_testbed_error(generate_scenario(5, 14.0), 14.0, "a port was taken")
     assert outcome.is_void and not outcome.passed and outcome.verdict == "void"
     assert "--first-seed 5 --seeds 1 --length 14" in outcome.replay_command
