--- a/starlingthread/emulator/fault_targets.py
+++ b/starlingthread/emulator/fault_targets.py
@@ -31,7 +31,7 @@
     if fault.zone:
         return tuple(n for n in range(servers) if zones[n % len(zones)] == fault.zone)
     # A sample is drawn even for faults that affect no server: other faults then get the same targets for a seed.
-    count = max(1, math.ceil(servers * fault.part - _ROUNDING_TOLERANCE)) if fault.part else 1
+    count = max(1, math.ceil(servers * fault.server_share - _ROUNDING_TOLERANCE)) if fault.server_share else 1
     return tuple(sorted(int(n) for n in rng.choice(servers, size=min(count, servers), replace=False)))
 
 
--- a/starlingthread/emulator/warm_up.py
+++ b/starlingthread/emulator/warm_up.py
@@ -15,7 +15,10 @@
 
 
 class WarmUp:
-    """Capacity ramp from ``cold_from`` to 1 over ``cold_ms``; work beyond a multiple of the capacity is overload."""
+    """Capacity ramp from ``initial_capacity_share`` to 1 over ``warm_up_ms``.
+
+    Work beyond a multiple of the capacity is overload.
+    """
 
     def __init__(self, spec: Fleet, speed: float, started_at: float | None) -> None:
         """Start the ramp at a time in milliseconds; None means that the server has already warmed up."""
@@ -30,9 +33,12 @@
         if self._started_at is None:
             return 1.0
         age_ms = now - self._started_at
-        if age_ms >= self._spec.cold_ms:
+        if age_ms >= self._spec.warm_up_ms:
             return 1.0
-        return self._spec.cold_from + (1.0 - self._spec.cold_from) * age_ms / self._spec.cold_ms
+        return (
+            self._spec.initial_capacity_share
+            + (1.0 - self._spec.initial_capacity_share) * age_ms / self._spec.warm_up_ms
+        )
 
     def add_work_and_check_overload(self, now: float, request_id: str, work_ms: float) -> bool:
         """Add the work of a command; return whether the recent work now exceeds the overload limit."""
@@ -41,7 +47,7 @@
             self._recent_commands.clear()
             self._recent_work_ms = 0.0
             return False
-        window_ms = self._spec.tip_after_ms
+        window_ms = self._spec.overload_window_ms
         self._recent_commands.append(_RecentCommand(now, work_ms, request_id))
         self._recent_work_ms += work_ms
         while self._recent_commands[0].received_at <= now - window_ms:
--- a/starlingthread/load/operations.py
+++ b/starlingthread/load/operations.py
@@ -44,7 +44,7 @@
         """Return whether a retry is safe: the operation is repeatable, was not executed, or is deduplicated by key."""
         if self.request_class.effect == "repeatable" or outcome in ("busy", "refused"):
             return True
-        is_key_remembered = now_ms() - self.attempts[0].sent_at < self.request_class.memory_span_ms
+        is_key_remembered = now_ms() - self.attempts[0].sent_at < self.request_class.idempotency_window_ms
         return self.request_class.effect == "by_key" and is_key_remembered
 
 
@@ -79,7 +79,9 @@
     ) -> None:
         self.pool = ConnectionPool(addresses, self, _max_connections(scenario))
         self._waiting: list[deque[WaitingAttempt]] = [deque() for _ in addresses]
-        self.disconnect_share = scenario.traffic.leave  # share of requests whose client disconnects before the answer
+        self.disconnect_share = (
+            scenario.traffic.abandon_share
+        )  # share of requests whose client disconnects before the answer
         self.out_of_connections_count = 0  # attempts that failed because the connection pool was full
         self._seed = scenario.seed
         self._traffic = scenario.traffic
@@ -114,7 +116,7 @@
             return
         retry_index = len(operation.attempts)
         reserves_retry_time = retry_index < self._traffic.retries and operation.request_class.effect != "once"
-        budget_ms = remaining_ms * self._traffic.try_share if reserves_retry_time else remaining_ms
+        budget_ms = remaining_ms * self._traffic.attempt_time_share if reserves_retry_time else remaining_ms
         attempt = ClientAttempt(
             request_id(record.number, retry_index, self._seed),
             record.number,
@@ -293,7 +295,7 @@
         """Return the exponential backoff with jitter, or a longer Retry-After if the client honours it."""
         jitter = 0.5 + self._random_draws.next()
         backoff_ms = self._traffic.backoff_ms * 2.0 ** (len(operation.attempts) - 1) * jitter
-        if attempt.retry_after_ms and self._random_draws.next() < self._traffic.honour:
+        if attempt.retry_after_ms and self._random_draws.next() < self._traffic.retry_after_share:
             return max(backoff_ms, attempt.retry_after_ms)
         return backoff_ms
 
--- a/starlingthread/testbed/platform.py
+++ b/starlingthread/testbed/platform.py
@@ -311,4 +311,4 @@
             self._frontend.restore_in_background(number)
 
     def _remove_unresponsive(self, number: int) -> None:
-        self._frontend.remove_later(number, self.scenario.traffic.front_notices_ms / 1000.0)
+        self._frontend.remove_later(number, self.scenario.traffic.router_removal_delay_ms / 1000.0)
