--- a/tests/test_load_evenness_process.py
+++ b/tests/test_load_evenness_process.py
@@ -69,7 +69,7 @@
 }
 
 
-def run_scenario(folder: Path, *settings: str, faults: str = "") -> Results:
+def run_for_results(folder: Path, *settings: str, faults: str = "") -> Results:
     """Run the scenario with settings and faults; return the results."""
     return run_with_load_shares(folder, *settings, faults=faults)[0]
 
@@ -86,8 +86,8 @@
 
 def test_the_module_does_not_herd_and_the_least_reported_load_does(tmp_path: Path) -> None:
     """Herding: many routers choose the same server from the same outdated load reports."""
-    module_run = run_scenario(tmp_path / "own", "routers.options.hot_keys.enabled=true")
-    least_reported_run = run_scenario(tmp_path / "least", 'routers.policy="least-reported"')
+    module_run = run_for_results(tmp_path / "own", "routers.options.hot_keys.enabled=true")
+    least_reported_run = run_for_results(tmp_path / "least", 'routers.policy="least-reported"')
     assert module_run.evenness is not None and least_reported_run.evenness is not None
     assert not module_run.verdict.counts and module_run.goodput_share > 0.95
     # In four runs each of the module and of the least reported load: peak load ratio 1.3 to 1.5 and 3.6 to 4.7, herd
@@ -100,8 +100,8 @@
 
 def test_a_zone_without_responses_from_a_third_of_the_servers_is_served_by_the_others(tmp_path: Path) -> None:
     """The share of requests served during the partition is no less than that of plain hashing."""
-    module_run = run_scenario(tmp_path / "own", faults=ONE_WAY_PARTITION)
-    plain_hash_run = run_scenario(tmp_path / "hash", 'routers.policy="hash"', faults=ONE_WAY_PARTITION)
+    module_run = run_for_results(tmp_path / "own", faults=ONE_WAY_PARTITION)
+    plain_hash_run = run_for_results(tmp_path / "hash", 'routers.policy="hash"', faults=ONE_WAY_PARTITION)
     assert not module_run.verdict.counts
     during = [
         [second.served / second.offered for second in run.seconds if 6 <= second.at < 9]
