--- a/starlingthread/failover/recovery.py
+++ b/starlingthread/failover/recovery.py
@@ -9,9 +9,9 @@
 
 import math
 
-FIRST_HOLD_MS = 500.0
-MAX_HOLD_MS = 30000.0
-MAX_HOLD_DOUBLINGS = 16
+FIRST_REOPEN_DELAY_MS = 500.0
+MAX_REOPEN_DELAY_MS = 30000.0
+MAX_REOPEN_DELAY_DOUBLINGS = 16
 RECENT_LOSS_WINDOW_MS = 60000.0
 RAMP_STEPS = 8
 RAMP_STEP_TIME_MS = 250.0
@@ -41,5 +41,5 @@
         if lost:
             self.loss_times.append(now)
             return
-        doublings = min(MAX_HOLD_DOUBLINGS, max(0, len(self.loss_times) - 1))
-        self.closed_until = now + min(MAX_HOLD_MS, FIRST_HOLD_MS * (1 << doublings))
+        doublings = min(MAX_REOPEN_DELAY_DOUBLINGS, max(0, len(self.loss_times) - 1))
+        self.closed_until = now + min(MAX_REOPEN_DELAY_MS, FIRST_REOPEN_DELAY_MS * (1 << doublings))
--- a/starlingthread/net/discovery/call.py
+++ b/starlingthread/net/discovery/call.py
@@ -21,7 +21,7 @@
 WATCH_IDLE_TIMEOUT_MS = 2500.0
 LIST_TIMEOUT_MS = 3000.0  # time limit from the first to the last byte of a list on a watch
 MAX_LIST_BYTES = 4 << 20
-READ_SIZE_BYTES = 65536
+READ_BYTES = 65536
 HTTP_OK = 200
 
 
@@ -129,7 +129,7 @@
         writer: asyncio.StreamWriter | None = None
         try:
             idle_timer.restart(CONNECT_TIMEOUT_MS)
-            reader, writer = await open_stream(*self._address, READ_SIZE_BYTES)
+            reader, writer = await open_stream(*self._address, READ_BYTES)
             idle_timer.restart(response.idle_timeout_ms)
             self._send_request(writer)
             await self._receive(reader, response, idle_timer)
@@ -154,7 +154,7 @@
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                data = await reader.read(READ_SIZE_BYTES)
+                data = await reader.read(READ_BYTES)
                 idle_timer.restart(response.idle_timeout_ms)
                 self._http.receive_data(data)
             elif isinstance(event, h11.Response) and event.status_code != HTTP_OK:
--- a/starlingthread/net/management.py
+++ b/starlingthread/net/management.py
@@ -21,7 +21,7 @@
 from ..core.task_supervisor import TaskSupervisor
 from .streams import StreamProtocol
 
-READ_SIZE_BYTES = 4096
+READ_BYTES = 4096
 MAX_HEAD_BYTES = 8192
 MAX_BODY_BYTES = 65536  # the body of a request is read and ignored
 REQUEST_TIMEOUT_MS = 6000.0  # time limit from accepting a connection to the end of its request
@@ -134,7 +134,7 @@
             while True:
                 event = self.http.next_event()
                 if event is h11.NEED_DATA:
-                    data = await self.reader.read(READ_SIZE_BYTES)
+                    data = await self.reader.read(READ_BYTES)
                     if not data and request is None:
                         return None
                     self.http.receive_data(data)
@@ -168,7 +168,7 @@
             self.writer.write_eof()
             # Closing a socket with unread bytes sends a reset, which may arrive at the caller before the response.
             async with asyncio.timeout(LINGER_TIMEOUT_MS / 1000.0):
-                while await self.reader.read(READ_SIZE_BYTES):
+                while await self.reader.read(READ_BYTES):
                     pass
         except (TimeoutError, OSError):
             pass
@@ -206,7 +206,7 @@
         """Bind the address and accept connections. Raise an OSError if the address can't be bound."""
         listening_socket = socket.create_server((host, port), backlog=BACKLOG)
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: StreamProtocol(asyncio.StreamReader(limit=READ_SIZE_BYTES), self.accept),
+            lambda: StreamProtocol(asyncio.StreamReader(limit=READ_BYTES), self.accept),
             sock=listening_socket,
             backlog=self.max_connections,
         )
--- a/starlingthread/net/peers.py
+++ b/starlingthread/net/peers.py
@@ -10,7 +10,7 @@
 from ..core.router import Router
 from ..events import PeerMessage
 
-MAX_MESSAGE_BYTES = 256
+MAX_DATAGRAM_BYTES = 256
 
 
 class PeerActor(asyncio.DatagramProtocol):
@@ -61,7 +61,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Dispatch a message; count and drop one that is too long, from an unknown address or from this router."""
         sender = self._index_by_address.get((addr[0], addr[1]))
-        if sender is None or len(data) > MAX_MESSAGE_BYTES or sender == self.router_index:
+        if sender is None or len(data) > MAX_DATAGRAM_BYTES or sender == self.router_index:
             self.counters.increment("peers.unknown_sender")
             return
         handler = self.handlers.get(data[0]) if data else None
@@ -77,7 +77,7 @@
 
     def send(self, peer: int | None, payload: bytes) -> None:
         """Send a message to one router by its index, or to all others if peer is None."""
-        if self.transport is None or len(payload) > MAX_MESSAGE_BYTES:
+        if self.transport is None or len(payload) > MAX_DATAGRAM_BYTES:
             self.counters.increment("peers.not_sent")
             return
         for address in self._destinations(peer):
--- a/starlingthread/net/upstreams/connection.py
+++ b/starlingthread/net/upstreams/connection.py
@@ -71,7 +71,7 @@
         return self.written_at - self.answered_at if self.answered_at > 0 else None
 
     @property
-    def may_see_stray_busy(self) -> bool:
+    def busy_may_be_stray(self) -> bool:
         """Whether the last write followed an answer so soon that a 'busy' may be a stray line after that answer."""
         return self.written_at - self.answered_at < STRAY_BUSY_WINDOW_MS
 
--- a/starlingthread/net/upstreams/results.py
+++ b/starlingthread/net/upstreams/results.py
@@ -24,7 +24,7 @@
     if kind == meta.AnswerKind.BUSY:
         # FULL lets the router send a request again. Soon after the previous answer a 'busy' may be a stray line that
         # proves nothing about the write, and a write must not be executed twice.
-        may_be_stray = attempt.request.is_write and connection.may_see_stray_busy
+        may_be_stray = attempt.request.is_write and connection.busy_may_be_stray
         return AttemptResult.RESET if may_be_stray else AttemptResult.FULL
     return AttemptResult.ERROR if kind == meta.AnswerKind.FAILED else AttemptResult.RESET
 
--- a/tests/test_chunked_answers.py
+++ b/tests/test_chunked_answers.py
@@ -115,7 +115,7 @@
     return pipe
 
 
-def test_a_chunked_value_is_written_as_it_arrives_and_the_next_response_behind_it() -> None:
+def test_a_chunked_value_is_written_as_it_arrives_and_the_next_response_after_it() -> None:
     async def script(harness: ClientHarness) -> None:
         pipe = await begin_large_answer(harness)
         pipe.put(VALUE[9:] + b"\r\n")
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -14,7 +14,7 @@
 from starlingthread.failover.codec import MAX_VOTES, decode, encode
 from starlingthread.failover.evidence import MIN_OVERDUE_MS, ZoneEvidence
 from starlingthread.failover.plan import SETTLE_TIME_MS, FailoverPlan
-from starlingthread.failover.recovery import FIRST_HOLD_MS, RAMP_STEP_TIME_MS, RAMP_STEPS
+from starlingthread.failover.recovery import FIRST_REOPEN_DELAY_MS, RAMP_STEP_TIME_MS, RAMP_STEPS
 from starlingthread.failover.topology import Topology, TopologyError
 from starlingthread.failover.votes import VOTE_LIFETIME_MS, ZoneStatus, ZoneVote, choose_witnesses
 from starlingthread.failover.zones import FIRST_TRIAL_DELAY_MS, MAX_TRIAL_DELAY_MS, ZoneFailover
@@ -198,7 +198,7 @@
 def test_a_flapping_zone_stays_closed_longer_each_time() -> None:
     """The hold time doubles with each loss (exponential backoff)."""
     plan = FailoverPlan(0, range(5))
-    hold_times = []
+    reopen_delays = []
     for loss in range(4):
         at = NOW_MS + loss * 10000.0
         for status, delay in ((ZoneStatus.LOST, 0.0), (ZoneStatus.HEALTHY, 1000.0)):
@@ -206,9 +206,14 @@
                 plan.receive_vote(at + delay, ZoneVote(witness, 1, status, int(at + delay)))
             plan.update_zone(at + delay, 1)
             plan.update_zone(at + delay + SETTLE_TIME_MS, 1)
-        hold_times.append(plan.zones[1].closed_until - at - 1000.0)
-    assert hold_times == [FIRST_HOLD_MS, 2 * FIRST_HOLD_MS, 4 * FIRST_HOLD_MS, 8 * FIRST_HOLD_MS]
-    assert plan.zones[1].open_share(at + 1000.0 + hold_times[-1] + RAMP_STEPS * RAMP_STEP_TIME_MS) == 1.0
+        reopen_delays.append(plan.zones[1].closed_until - at - 1000.0)
+    assert reopen_delays == [
+        FIRST_REOPEN_DELAY_MS,
+        2 * FIRST_REOPEN_DELAY_MS,
+        4 * FIRST_REOPEN_DELAY_MS,
+        8 * FIRST_REOPEN_DELAY_MS,
+    ]
+    assert plan.zones[1].open_share(at + 1000.0 + reopen_delays[-1] + RAMP_STEPS * RAMP_STEP_TIME_MS) == 1.0
 
 
 def test_if_all_zones_appear_lost_none_is_avoided() -> None:
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("extra", [ANSWER, b"\xffnoise", b"SERVER_ERROR busy\r\n"])
-def test_data_behind_an_answer_answers_no_request(extra: bytes) -> None:
+def test_data_after_an_answer_does_not_answer_the_next_request(extra: bytes) -> None:
     """Extra data must not be taken for the answer to the next request on the connection.
 
     A stray 'busy' would even make the router send a non-idempotent request again that may have been executed.
@@ -60,7 +60,7 @@
         assert harness.writer.transport.closed and not harness.actor.pool.idle and harness.actor.pool.open_count == 0
 
 
-def test_busy_right_behind_an_answer_does_not_prove_that_a_write_never_ran() -> None:
+def test_busy_right_after_an_answer_does_not_prove_that_a_write_never_ran() -> None:
     for pause, result in ((49.0, AttemptResult.RESET), (50.0, AttemptResult.FULL)):
         harness = ServerActorHarness()
         attempt = harness.attempt()
@@ -97,7 +97,7 @@
     assert [m.result for m in harness.deliver(messages.ConnectTimedOut(attempt, now))] == [AttemptResult.CONNECT_FAILED]
 
 
-def test_an_unreadable_load_report_is_ignored_and_its_answer_stands() -> None:
+def test_a_malformed_load_report_is_ignored_and_its_answer_accepted() -> None:
     for report in (b"Lutil=x,inflight=3", b"L\xff\xfe", b"Lutil=0.5", b"Linflight=99999999999,util=1"):
         harness = ServerActorHarness()
         attempt = harness.attempt()
