--- a/starlingthread/emulator/server_connection.py
+++ b/starlingthread/emulator/server_connection.py
@@ -93,7 +93,7 @@
         self.inbound = LinkDirection(link, False, server.scheduler, self._on_data)
         self.outbound = LinkDirection(link, True, server.scheduler, self._send)
         self.transport: asyncio.Transport
-        self.is_dead = False  # whether reading and writing have stopped for good
+        self.is_dead = False  # whether reading and writing have stopped permanently
         self._buffer = bytearray()
         self._first_byte_at = 0.0  # arrival time of the first byte of the command at the front of the buffer
         self._pending: deque[PendingAnswer] = deque()
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -64,7 +64,7 @@
         self.is_write = is_write
         self.idempotency_key = idempotency_key
         self.on_finish = on_finish
-        self.flags = ""  # flags of the answer that tell a hit from a miss
+        self.flags = ""  # flags of the answer that distinguish a hit from a miss
         self.version = 0
         self.is_started = False
         self.is_cancelled = False
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -4,8 +4,8 @@
 the other witnesses then vote too, for lost or for healthy. The plan is a function of the votes alone, so routers that
 have received the same votes have the same plan.
 
-A zone is lost once a majority of the votes, and at least two of them, say so. A single faulty witness therefore changes
-nothing. Nor does a router whose own link is down, because votes are not relayed.
+A zone is lost once a majority of the votes, and at least two of them, are for lost. A single faulty witness therefore
+changes nothing. Nor does a router whose own link is down, because votes are not relayed.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 )
 
 MIN_LOST_VOTES = 2
-# The other witnesses have this long to vote against a loss, unless a majority of all witnesses has voted for it.
+# Time for the other witnesses to vote against a loss, which is awaited unless a majority of all witnesses votes for it.
 SETTLE_TIME_MS = 500.0
-# Votes on a contested zone are repeated this often, so that they stay valid if two datagrams in a row are lost.
+# Interval between repeated votes on a contested zone: short enough for two lost datagrams in a row not to expire them.
 VOTE_REPEAT_INTERVAL_MS = VOTE_LIFETIME_MS / 3
 
 
@@ -117,7 +117,7 @@
         return vote
 
     def receive_vote(self, now: float, vote: ZoneVote) -> bool:
-        """Merge a vote of another router; return whether it is newer than the one that is held."""
+        """Merge a vote of another router; return whether it is newer than the stored one."""
         if vote.witness == self.router_index or vote.sequence > now + MAX_SEQUENCE_AHEAD_MS:
             return False
         previous = self.votes.get(vote.zone, vote.witness)
--- a/starlingthread/failover/recovery.py
+++ b/starlingthread/failover/recovery.py
@@ -1,6 +1,6 @@
 """Flap damping and gradual recovery of a zone that was lost.
 
-A recovered zone stays closed for a hold time that doubles with each recent loss. A recovery ramp then opens it to a
+A recovered zone stays closed for a delay that doubles with each further recent loss. A recovery ramp then opens it to a
 share of the keys that grows in steps, because its servers come back with cold caches and fetch from the origin. All
 routers open it to the same keys.
 """
--- a/starlingthread/failover/votes.py
+++ b/starlingthread/failover/votes.py
@@ -13,7 +13,7 @@
 
 from ..balance.rendezvous import mix
 
-# Each zone has this many witnesses. The number is odd, so that they cannot split into equal halves.
+# Number of witnesses of each zone. It is odd, so that they cannot split into equal halves.
 WITNESS_COUNT = 15
 VOTE_LIFETIME_MS = 3000.0
 # A sequence number is the Unix time in ms or the previous number plus one, so a valid one is near this router's clock.
--- a/starlingthread/failover/zones.py
+++ b/starlingthread/failover/zones.py
@@ -19,7 +19,7 @@
 # The delay between trial requests to a closed zone doubles from the first to the maximum while they get no response.
 FIRST_TRIAL_DELAY_MS = 250.0
 MAX_TRIAL_DELAY_MS = 4000.0
-# A response counts as evidence that its zone is healthy for this long.
+# Time for which a response counts as evidence that its zone is healthy.
 RESPONSE_LIFETIME_MS = 3000.0
 NO_RESPONSE = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
 NO_EVIDENCE = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
--- a/starlingthread/membership/swim.py
+++ b/starlingthread/membership/swim.py
@@ -5,10 +5,10 @@
 suspicion with a higher incarnation; one that does not do so within the suspicion time-out is declared dead. Updates are
 piggybacked on the datagrams of the protocol.
 
-A member that stalled takes the fault to be its own and not that of others: time-outs that expired during the stall do
-not count, and while its own probes fail for local reasons it extends its time-outs. Dead members are probed
-periodically, so that the two sides of a partition rejoin once it has healed; the probe carries the update that they are
-dead, which they refute.
+A member that stalled attributes the fault to itself and not to others: time-outs that expired during the stall do not
+count, and while its own probes fail for local reasons it extends its time-outs. Dead members are probed periodically,
+so that the two sides of a partition rejoin once it has healed; the probe carries the update that they are dead, which
+they refute.
 
 Times are ms.
 """
@@ -32,7 +32,7 @@
 DEFAULT_PERIOD_MS = 1000.0
 # The direct ack is awaited for this share of the period; the rest of the period is for the indirect acks.
 DIRECT_ACK_PERIOD_SHARE = 0.3
-# This many members receive a ping request, or the announcement that this member leaves.
+# Number of members that receive a ping request, or the announcement that this member leaves.
 INDIRECT_PROBES = 3
 # The suspicion time-out, in periods, is this factor times the log10 of the number of members.
 SUSPICION_TIMEOUT_FACTOR = 4.0
@@ -280,7 +280,7 @@
         self._updates.enqueue(update.member)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Refute an update that calls this member suspected or dead, with a higher incarnation."""
+        """Refute an update in which this member is suspected or dead, with a higher incarnation."""
         if update.state == MemberState.ALIVE:
             return
         own_record = self.records[self.own_id]
--- a/starlingthread/net/discovery/errors.py
+++ b/starlingthread/net/discovery/errors.py
@@ -4,7 +4,7 @@
 
 
 class EndpointListError(Exception):
-    """Discovery sent data that is not a valid endpoint list; the text says what is wrong."""
+    """Discovery sent data that is not a valid endpoint list; the text describes the error."""
 
 
 class DiscoveryCallError(Exception):
--- a/starlingthread/net/meta/answers.py
+++ b/starlingthread/net/meta/answers.py
@@ -10,7 +10,7 @@
 from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
 from .responses import CRLF
 
-# Six digits before the point are enough: no server holds a million requests.
+# A load value has at most six digits before the decimal point: no server has a million requests in flight.
 _LOAD_VALUE = re.compile(rb"\d{1,6}(?:\.\d{1,9})?")
 _LOAD_NAME = re.compile(rb"[a-z0-9_]{1,32}")
 _RECEIPT = re.compile(rb"c[!-~]{1,64}")
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -184,7 +184,7 @@
         return sorted(idle, key=lambda entry: (entry[1].idle_since, entry[0]))
 
     def _may_open_connection(self) -> bool:
-        """Whether one more connection may be opened; at the limit the longest idle one is closed to make room."""
+        """Whether one more connection may be opened; at the limit the longest idle one is closed for it."""
         if self._open_connections() < self.max_connections:
             return True
         oldest = [(actor.pool.idle[0].idle_since, number) for number, actor in self.actors.items() if actor.pool.idle]
--- a/starlingthread/net/upstreams/opener.py
+++ b/starlingthread/net/upstreams/opener.py
@@ -57,7 +57,7 @@
         return True
 
     def complete(self, exchange: Exchange, connection: Connection | None) -> bool:
-        """Take a connection off the pending ones; if it was cancelled before, close it and return False."""
+        """Remove a connection from the pending ones; if it was cancelled before, close it and return False."""
         pending = self.pending.pop(exchange, None)
         if pending is None:
             if connection is not None:
--- a/starlingthread/net/upstreams/pool.py
+++ b/starlingthread/net/upstreams/pool.py
@@ -39,7 +39,7 @@
             excess_rate = self._context.idle_failure_rates.excess_failure_rate(now, now - connection.idle_since)
             if connection.is_reusable(self.address) and excess_rate < MAX_EXCESS_FAILURE_SHARE_READ:
                 if is_write and excess_rate > MAX_EXCESS_FAILURE_SHARE_WRITE:
-                    return None  # a write gets a new connection, as a lost one may have run and must not run twice
+                    return None  # open a new one: a lost write may have been executed, and must not be executed twice
                 return self.idle.pop(index)
             self.close_connection(connection)
         return None
@@ -48,7 +48,7 @@
         """Return the index of the most recently used connection that has been idle for MIN_IDLE_BEFORE_REUSE_MS.
 
         If there is none, return the index of the most recently used one. The minimum is there so that stray lines
-        that follow an answer closely arrive before the next request, and are not taken for its answer.
+        that follow an answer closely arrive before the next request, and are not mistaken for its answer.
         """
         idle_cutoff = now - MIN_IDLE_BEFORE_REUSE_MS
         last = len(self.idle) - 1
--- a/starlingthread/net/upstreams/reader.py
+++ b/starlingthread/net/upstreams/reader.py
@@ -12,7 +12,7 @@
 
 # The rest of a partial answer must arrive within this time. The timer runs twice, each time for half of it.
 PARTIAL_ANSWER_TIMEOUT_MS = 100.0
-# More of a streamed value must arrive within this time while its pipe has room. The timer runs twice here too.
+# More of a streamed value must arrive within this time unless its pipe is full. The timer runs twice here too.
 STREAM_STALL_TIMEOUT_MS = 10000.0
 
 
@@ -48,7 +48,7 @@
         """Process received bytes; return False once the connection is out of sync, when no more data on it is trusted.
 
         A duplicate, noise or a stray line after an answer does not invalidate that answer, but the connection is not
-        reused: otherwise the extra data could be taken for the answer to the next request.
+        reused: otherwise the extra data could be mistaken for the answer to the next request.
         """
         for item in connection.parser.feed(data):
             self._on_item(connection, item)
--- a/starlingthread/router_process/resources.py
+++ b/starlingthread/router_process/resources.py
@@ -15,7 +15,7 @@
 from .actors import RouterActors
 from .configuration import ActiveConfiguration
 
-DEFAULT_RESIDENT_MB = 20.0  # This is used where the system does not provide the resident set size.
+DEFAULT_RESIDENT_MB = 20.0  # Assumed where the system does not provide the resident set size.
 CLIENTS, PEERS = "clients", "peers"  # The names of the sockets in the handover protocol.
 
 
--- a/starlingthread/router_process/shutdown.py
+++ b/starlingthread/router_process/shutdown.py
@@ -9,11 +9,11 @@
 from ..logs import log
 from ..net.clients import ClientListener
 
-# After SIGTERM new connections are accepted for this long.
+# Time after SIGTERM for which new connections are still accepted.
 ACCEPT_AFTER_STOP_S = 0.5
-# After that, open requests have this long to finish, or the longest deadline if that is longer.
+# Time for open requests to finish after new connections are no longer accepted; the longest deadline if that is longer.
 DRAIN_TIMEOUT_S = 4.5
-# After that, the error answers of the remaining requests have this long to be written.
+# Time for writing the error answers of the requests that remain when the drain times out.
 FAIL_TIMEOUT_S = 1.0
 # A process that shuts down runs for the longest deadline, limited to MAX_DEADLINE_MS, plus EXTRA_LIFETIME_MS. Requests
 # that arrive during the shutdown are answered at least ANSWER_MARGIN_MS before that end.
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -64,7 +64,7 @@
 def test_pushed_lists_are_watched_before_clients_are_accepted_without_the_modules_request(
     tmp_path: Path,
 ) -> None:
-    """Guards against pushed lists that nobody watches: a server listed as draining from the start would be missed."""
+    """Guards against pushed lists without a watch: a server listed as draining from the start would be missed."""
 
     async def scenario() -> None:
         async with running_router(tmp_path, 2, wait=False, settings__discovery="automatic") as harness:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -46,11 +46,11 @@
         while any(router.outgoing_votes for router in self.routers):
             for sender, router in enumerate(self.routers):
                 votes = router.take_outgoing_votes()
-                for receiver, zones in enumerate(self.routers if votes else []):
+                for receiver, peer in enumerate(self.routers if votes else []):
                     self.sent_datagrams += 1
                     connected = receiver != sender and not {receiver, sender} & self.partitioned
                     if connected and self.rng.random() >= self.loss:
-                        zones.receive_votes(self.now, votes)
+                        peer.receive_votes(self.now, votes)
 
     def run_for(self, duration: float, unreachable: dict[int, set[int]]) -> None:
         """Let each router send requests to each open zone for a duration (ms).
@@ -196,7 +196,7 @@
 
 
 def test_a_flapping_zone_stays_closed_longer_each_time() -> None:
-    """The hold time doubles with each loss (exponential backoff)."""
+    """The reopen delay doubles with each loss (exponential backoff)."""
     plan = FailoverPlan(0, range(5))
     reopen_delays = []
     for loss in range(4):
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -47,7 +47,7 @@
 
 
 def test_a_retry_whose_connection_opens_after_the_deduplication_window_is_not_written(tmp_path: Path) -> None:
-    """The router decided to retry within the window in which servers drop duplicates; the connect outlasted it."""
+    """The router decided to retry in the window in which servers drop duplicates; the connection opened after it."""
 
     async def scenario() -> None:
         classes = [{**CLASSES[1], "memorySpanMs": 1500.0}]
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -104,7 +104,7 @@
 
 @DETERMINISTIC
 @given(st.binary(max_size=60).filter(lambda b: b"\r\n" not in b))
-def test_a_line_that_never_ends_is_cut_off(start: bytes) -> None:
+def test_a_line_that_never_ends_is_malformed(start: bytes) -> None:
     items = list(meta.CommandParser().feed(start.replace(b"\r", b"x") + b"a" * meta.MAX_HEAD_BYTES))
     assert len(items) <= 1 and all(isinstance(i, MalformedCommand) and i.framing_lost for i in items)
     assert items or len(start) == 0
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("extra", [ANSWER, b"\xffnoise", b"SERVER_ERROR busy\r\n"])
 def test_data_after_an_answer_does_not_answer_the_next_request(extra: bytes) -> None:
-    """Extra data must not be taken for the answer to the next request on the connection.
+    """Extra data must not be mistaken for the answer to the next request on the connection.
 
     A stray 'busy' would even make the router send a non-idempotent request again that may have been executed.
     """
@@ -71,7 +71,7 @@
         assert [m.result for m in harness.receive(b"SERVER_ERROR busy\r\n")] == [result]
 
 
-def test_a_partial_answer_is_given_up_on_the_second_read_timeout() -> None:
+def test_a_partial_answer_ends_its_attempt_on_the_second_read_timeout() -> None:
     harness = ServerActorHarness()
     attempt = harness.attempt()
     harness.deliver(messages.StartExchange(attempt))
@@ -87,7 +87,7 @@
 
 
 def test_a_connect_timeout_that_is_handled_late_is_extended() -> None:
-    """On an overloaded core all connects would time out otherwise, and their repetition would cost even more of it."""
+    """On an overloaded core all connects would time out otherwise, and their retries would add to its load."""
     harness = ServerActorHarness()
     attempt = harness.attempt()
     opener = harness.actor.opener
@@ -168,7 +168,7 @@
     elif cause == "cancelled":
         attempt.request.cancelled = True
     elif cause == "after deduplication window":
-        # The request would reach the server after it has forgotten the idempotency key of the first attempt.
+        # The request would reach the server after the server has discarded the idempotency key of the first attempt.
         attempt.write_deadline = harness.router_harness.clock.time + 4.0
     elif cause == "after deadline":
         harness.router_harness.clock.time += 401.0
