--- a/starlingthread/failover/evidence.py
+++ b/starlingthread/failover/evidence.py
@@ -3,7 +3,7 @@
 A lost zone is silent: requests and connections to its servers are outstanding, and none of its servers has responded
 since they began. A single failed server looks the same, so several of the zone's servers have to be silent. Any
 response, including an error or a rejection, proves that the zone is reachable. A request counts as unanswered after a
-small multiple of the zone's typical response time, because the request's own time-out would come later than an update
+small multiple of the zone's typical response time, because the request's own timeout would come later than an update
 of the endpoint list.
 """
 
--- a/starlingthread/failover/plan.py
+++ b/starlingthread/failover/plan.py
@@ -27,9 +27,9 @@
 )
 
 MIN_LOST_VOTES = 2
-# Time for the other witnesses to vote against a loss, which is awaited unless a majority of all witnesses votes for it.
+# Time for the other witnesses to vote against a loss; not awaited once a majority of all witnesses has voted for it.
 SETTLE_TIME_MS = 500.0
-# Interval between repeated votes on a contested zone: short enough for two lost datagrams in a row not to expire them.
+# Interval between repeated votes on a contested zone; votes stay valid if two datagrams in a row are lost.
 VOTE_REPEAT_INTERVAL_MS = VOTE_LIFETIME_MS / 3
 
 
--- a/starlingthread/membership/local_health.py
+++ b/starlingthread/membership/local_health.py
@@ -15,7 +15,7 @@
 
     @property
     def multiplier(self) -> float:
-        """The factor by which this member extends its time-outs before it suspects other members."""
+        """The factor by which this member extends its timeouts before it suspects other members."""
         return 1.0 + self.score
 
     def degrade(self) -> None:
--- a/starlingthread/membership/swim.py
+++ b/starlingthread/membership/swim.py
@@ -2,11 +2,11 @@
 
 In each period a member pings another one. If no ack arrives in time, it sends ping requests to some other members; if
 none of them reaches the target either, the target is suspected. A member that learns that it is suspected refutes the
-suspicion with a higher incarnation; one that does not do so within the suspicion time-out is declared dead. Updates are
+suspicion with a higher incarnation; one that does not do so within the suspicion timeout is declared dead. Updates are
 piggybacked on the datagrams of the protocol.
 
-A member that stalled attributes the fault to itself and not to others: time-outs that expired during the stall do not
-count, and while its own probes fail for local reasons it extends its time-outs. Dead members are probed periodically,
+A member that stalled attributes the fault to itself and not to others: timeouts that expired during the stall do not
+count, and while its own probes fail for local reasons it extends its timeouts. Dead members are probed periodically,
 so that the two sides of a partition rejoin once it has healed; the probe carries the update that they are dead, which
 they refute.
 
@@ -34,7 +34,7 @@
 DIRECT_ACK_PERIOD_SHARE = 0.3
 # Number of members that receive a ping request, or the announcement that this member leaves.
 INDIRECT_PROBES = 3
-# The suspicion time-out, in periods, is this factor times the log10 of the number of members.
+# The suspicion timeout, in periods, is this factor times the log10 of the number of members.
 SUSPICION_TIMEOUT_FACTOR = 4.0
 # A tick that is late by more than this share of a period shows that this process stalled.
 STALL_PERIOD_SHARE = 0.5
@@ -133,7 +133,7 @@
     # Timers.
 
     def tick(self, now: float) -> None:
-        """Handle the time-out of the current probe and start the next one, if next_tick_at has come."""
+        """Handle the timeout of the current probe and start the next one, if next_tick_at has come."""
         if now < self.next_tick_at:
             return
         if now - self.next_tick_at > STALL_PERIOD_SHARE * self.period:
@@ -148,7 +148,7 @@
         self._start_probe(now)
 
     def _on_stall(self, now: float) -> None:
-        """Restart all time-outs: those that expired while this process stalled are no evidence about other members."""
+        """Restart all timeouts: those that expired while this process stalled are no evidence about other members."""
         self.local_health.degrade()
         self._probe = None
         for record in self.records:
--- a/starlingthread/net/meta/commands.py
+++ b/starlingthread/net/meta/commands.py
@@ -13,12 +13,12 @@
 NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # matches a number in the fields of a command
 
 # One match parses a whole head and gives the positions of its parts, so that the head can be forwarded with only the
-# number of its time-out replaced.
+# number of its timeout replaced.
 _HEAD = re.compile(rb"m(?:g ([!-~]{1,250}) v|s ([!-~]{1,250}) (\d{1,9}))((?: [!-~]+)*) *")
 _SET_LENGTH = re.compile(rb"ms [!-~]+ (\d{1,9})(?: |$)")
 _ID_FLAG = re.compile(rb" O([!-~]{1,64})(?= |$)")
 _FIELDS_FLAG = re.compile(rb" P([!-~]+)(?= |$)")
-# The form of most reads: the class (c) is the first field, the time-out (d) the second, and neither is repeated.
+# The form of most reads: the class (c) is the first field, the timeout (d) the second, and neither is repeated.
 _PLAIN_READ = re.compile(
     rb"mg [!-~]{1,250} v O([!-~]{1,64}) Pc=([!-+\--~]+),d=(\d{1,9}(?:\.\d{1,9})?)(?:,(?![cd]=)[!-+\--~]*)*\r\n"
 )
@@ -71,7 +71,7 @@
 
 
 def forward_command(command: Command, timeout_ms: float) -> tuple[bytes, ...]:
-    """Return the parts of a command for a cache server: as received, but with the time-out of the attempt."""
+    """Return the parts of a command for a cache server: as received, but with the timeout of the attempt."""
     begin, end = command.timeout_span
     parts = (command.head[:begin], b"%d" % max(1, int(timeout_ms)), command.head[end:], CRLF)
     return parts if command.value is None else (*parts, command.value)
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -164,7 +164,7 @@
         if connection is not None:
             self.pool.close_connection(connection)
 
-    # Answers, time-outs and ends of connections
+    # Answers, timeouts and ends of connections
 
     def _on_answer(self, connection: Connection, answer: meta.ServerAnswer, pipe: Pipe | None) -> None:
         exchange = connection.exchange
@@ -226,7 +226,7 @@
     def _on_read_timeout(self, connection: Connection, is_recheck: bool, due: float) -> None:
         """Close a connection on which the rest of a partial answer does not arrive.
 
-        This leaves the request time for a retry. It takes two time-outs in a row, so that after a pause of this
+        This leaves the request time for a retry. It takes two timeouts in a row, so that after a pause of this
         process the data that waits in the socket is read first.
         """
         connection.read_timer = None
--- a/starlingthread/net/upstreams/connection.py
+++ b/starlingthread/net/upstreams/connection.py
@@ -60,7 +60,7 @@
         self.idle_since = 0.0
         self.written_at = 0.0
         self.answered_at = -STRAY_BUSY_WINDOW_MS
-        self.read_timer: Deadline | None = None  # time-out for the rest of a partial answer
+        self.read_timer: Deadline | None = None  # timeout for the rest of a partial answer
         self.closed = False
         self.request_body: Pipe | None = None  # the streamed value being written; None from its last byte on
         self.response_pipe: Pipe | None = None  # the streamed value being read; None from its last byte on
--- a/starlingthread/net/upstreams/context.py
+++ b/starlingthread/net/upstreams/context.py
@@ -49,7 +49,7 @@
     counters: Counters
     deadlines: Deadlines
     settings: UpstreamSettings
-    # Returns whether one more connection may be opened; at the fleet's limit it closes the longest idle one for that.
+    # Returns whether one more connection may be opened; at the fleet's limit it closes the longest idle one first.
     may_open_connection: Callable[[], bool]
     value_budget: ByteBudget = field(default_factory=lambda: ByteBudget(0))  # shared by all streamed values
     idle_failure_rates: IdleFailureRates = field(default_factory=IdleFailureRates)
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -17,7 +17,7 @@
 
 HOUSEKEEPING_INTERVAL_MS = 1000.0
 REMOVED_SERVER_TTL_MS = 2000.0  # minimum time from the removal of a server until its unused actor is ended
-HEALTH_CHECK_ANSWER_TIMEOUT_MS = 50.0  # added to the connect time-out
+HEALTH_CHECK_ANSWER_TIMEOUT_MS = 50.0  # added to the connect timeout
 
 
 class ServerFleet:
@@ -184,7 +184,7 @@
         return sorted(idle, key=lambda entry: (entry[1].idle_since, entry[0]))
 
     def _may_open_connection(self) -> bool:
-        """Whether one more connection may be opened; at the limit the longest idle one is closed for it."""
+        """Whether one more connection may be opened; at the limit the longest idle one is closed first."""
         if self._open_connections() < self.max_connections:
             return True
         oldest = [(actor.pool.idle[0].idle_since, number) for number, actor in self.actors.items() if actor.pool.idle]
--- a/starlingthread/net/upstreams/messages.py
+++ b/starlingthread/net/upstreams/messages.py
@@ -59,7 +59,7 @@
     """The rest of a partial answer did not arrive by the due time (clock ms)."""
 
     connection: Connection
-    is_recheck: bool  # whether this is the second time-out in a row; only that one closes the connection
+    is_recheck: bool  # whether this is the second timeout in a row; only that one closes the connection
     due: float
 
 
--- a/starlingthread/net/upstreams/opener.py
+++ b/starlingthread/net/upstreams/opener.py
@@ -15,7 +15,7 @@
 
 
 class PendingConnect(NamedTuple):
-    """The task that establishes a connection, and the timer of its time-out."""
+    """The task that establishes a connection, and the timer of its timeout."""
 
     task: asyncio.Task[None]
     timeout_timer: Deadline
@@ -43,7 +43,7 @@
         self.pending[exchange] = PendingConnect(task, self._set_timeout(exchange))
 
     def extend(self, exchange: Exchange) -> None:
-        """Restart the connect time-out of a pending connection."""
+        """Restart the connect timeout of a pending connection."""
         self.pending[exchange] = PendingConnect(self.pending[exchange].task, self._set_timeout(exchange))
 
     def cancel(self, exchange: Exchange) -> bool:
--- a/starlingthread/router_process/shutdown.py
+++ b/starlingthread/router_process/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: accept for a short time, answer the open requests, and fail those that remain at the time-out."""
+"""Graceful shutdown: accept for a short time, answer the open requests, and fail those that remain at the timeout."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def drain(clients: ClientListener, router: Router) -> None:
-    """Finish the open requests. Those still open at the time-out are answered as failed, as no request may be lost."""
+    """Finish the open requests. Those still open at the timeout are answered as failed, as no request may be lost."""
     longest_deadline = max(request_class.deadline for request_class in router.settings.classes)
     lifetime = min(longest_deadline, MAX_DEADLINE_MS) + EXTRA_LIFETIME_MS
     answer_by = router.clock.now() + lifetime - ANSWER_MARGIN_MS
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -255,7 +255,7 @@
         evidence.on_sent(20.0, server)
     evidence.expire_pending(20.0 + MIN_OVERDUE_MS)
     assert not evidence.is_lost(4)
-    evidence.expire_pending(21.0 + MIN_OVERDUE_MS)  # Twenty times the response time, well before a request time-out.
+    evidence.expire_pending(21.0 + MIN_OVERDUE_MS)  # Twenty times the response time, well before a request timeout.
     assert evidence.is_lost(4)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -113,7 +113,7 @@
     network = Network(20)
     network.run_for(5e3)
     network.paused.add(3)
-    network.run_for(12e3)  # This is longer than the suspicion time-out.
+    network.run_for(12e3)  # This is longer than the suspicion timeout.
     network.paused.clear()
     network.run_for(10e3)
     assert network.views() == {tuple(range(20))}
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -78,7 +78,7 @@
     assert harness.receive(b"VA 9 O1\r\nx\r\n") == []
     now = harness.router_harness.clock.time
     harness.actor._on_read_timeout(harness.connection, is_recheck=False, due=now)
-    # This time-out is handled late: the rest of the answer may wait unread in the socket.
+    # This timeout is handled late: the rest of the answer may wait unread in the socket.
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now - 20.0)
     assert list(harness.router_harness.router.mailbox.take()) == [] and not harness.writer.transport.closed
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now)
