--- a/starlingthread/net/upstreams/opener.py
+++ b/starlingthread/net/upstreams/opener.py
@@ -15,7 +15,7 @@
 
 
 class PendingConnect(NamedTuple):
-    """The task that establishes a connection, and the timer of its time-out."""
+    """The task that establishes a connection, and the timer of its timeout."""
 
     task: asyncio.Task[None]
     timeout_timer: Deadline
@@ -43,7 +43,7 @@
         self.pending[exchange] = PendingConnect(task, self._set_timeout(exchange))
 
     def extend(self, exchange: Exchange) -> None:
-        """Restart the connect time-out of a pending connection."""
+        """Restart the connect timeout of a pending connection."""
         self.pending[exchange] = PendingConnect(self.pending[exchange].task, self._set_timeout(exchange))
 
     def cancel(self, exchange: Exchange) -> bool:
@@ -57,7 +57,7 @@
         return True
 
     def complete(self, exchange: Exchange, connection: Connection | None) -> bool:
-        """Take a connection off the pending ones; if it was cancelled before, close it and return False."""
+        """Remove a connection from the pending ones; if it was cancelled before, close it and return False."""
         pending = self.pending.pop(exchange, None)
         if pending is None:
             if connection is not None:
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("extra", [ANSWER, b"\xffnoise", b"SERVER_ERROR busy\r\n"])
-def test_data_behind_an_answer_answers_no_request(extra: bytes) -> None:
-    """Extra data must not be taken for the answer to the next request on the connection.
+def test_data_after_an_answer_does_not_answer_the_next_request(extra: bytes) -> None:
+    """Extra data must not be mistaken for the answer to the next request on the connection.
 
     A stray 'busy' would even make the router send a non-idempotent request again that may have been executed.
     """
@@ -60,7 +60,7 @@
         assert harness.writer.transport.closed and not harness.actor.pool.idle and harness.actor.pool.open_count == 0
 
 
-def test_busy_right_behind_an_answer_does_not_prove_that_a_write_never_ran() -> None:
+def test_busy_right_after_an_answer_does_not_prove_that_a_write_never_ran() -> None:
     for pause, result in ((49.0, AttemptResult.RESET), (50.0, AttemptResult.FULL)):
         harness = ServerActorHarness()
         attempt = harness.attempt()
@@ -71,14 +71,14 @@
         assert [m.result for m in harness.receive(b"SERVER_ERROR busy\r\n")] == [result]
 
 
-def test_a_partial_answer_is_given_up_on_the_second_read_timeout() -> None:
+def test_a_partial_answer_ends_its_attempt_on_the_second_read_timeout() -> None:
     harness = ServerActorHarness()
     attempt = harness.attempt()
     harness.deliver(messages.StartExchange(attempt))
     assert harness.receive(b"VA 9 O1\r\nx\r\n") == []
     now = harness.router_harness.clock.time
     harness.actor._on_read_timeout(harness.connection, is_recheck=False, due=now)
-    # This time-out is handled late: the rest of the answer may wait unread in the socket.
+    # This timeout is handled late: the rest of the answer may wait unread in the socket.
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now - 20.0)
     assert list(harness.router_harness.router.mailbox.take()) == [] and not harness.writer.transport.closed
     harness.actor._on_read_timeout(harness.connection, is_recheck=True, due=now)
@@ -87,7 +87,7 @@
 
 
 def test_a_connect_timeout_that_is_handled_late_is_extended() -> None:
-    """On an overloaded core all connects would time out otherwise, and their repetition would cost even more of it."""
+    """On an overloaded core all connects would time out otherwise, and their retries would add to its load."""
     harness = ServerActorHarness()
     attempt = harness.attempt()
     opener = harness.actor.opener
@@ -97,7 +97,7 @@
     assert [m.result for m in harness.deliver(messages.ConnectTimedOut(attempt, now))] == [AttemptResult.CONNECT_FAILED]
 
 
-def test_an_unreadable_load_report_is_ignored_and_its_answer_stands() -> None:
+def test_a_malformed_load_report_is_ignored_and_its_answer_accepted() -> None:
     for report in (b"Lutil=x,inflight=3", b"L\xff\xfe", b"Lutil=0.5", b"Linflight=99999999999,util=1"):
         harness = ServerActorHarness()
         attempt = harness.attempt()
@@ -168,7 +168,7 @@
     elif cause == "cancelled":
         attempt.request.cancelled = True
     elif cause == "after deduplication window":
-        # The request would reach the server after it has forgotten the idempotency key of the first attempt.
+        # The request would reach the server after the server has discarded the idempotency key of the first attempt.
         attempt.write_deadline = harness.router_harness.clock.time + 4.0
     elif cause == "after deadline":
         harness.router_harness.clock.time += 401.0
