--- a/starlingthread/events.py
+++ b/starlingthread/events.py
@@ -108,7 +108,7 @@
         return self.elapsed - self.own_delay
 
     @property
-    def is_lost_here(self) -> bool:
+    def is_local_timeout(self) -> bool:
         """Whether the attempt timed out mainly because this router's process did not run.
 
         Such a time-out is no evidence about the server.
--- a/starlingthread/policy/load_estimate.py
+++ b/starlingthread/policy/load_estimate.py
@@ -62,7 +62,7 @@
     def is_late(self, now: float, state: RequestState, server: Server, wait: float) -> bool:
         """Return whether a request that waits for this time (ms) at a server is expected to be late.
 
-        Until the service times of a class are settled only the wait counts, as otherwise one slow first response
+        Until the service time of a class has converged, only the wait counts, as otherwise one slow first response
         would have all further requests of the class rejected.
         """
         if self.service_times.has_converged(state.request_class.name):
@@ -138,7 +138,7 @@
         sent_at = now - event.elapsed
         outliers = server.outliers
         timed_out = event.result == AttemptResult.TIMEOUT and sent_at > outliers.last_answered_sent_at
-        timed_out = timed_out and not event.is_lost_here
+        timed_out = timed_out and not event.is_local_timeout
         if event.result == AttemptResult.OK or timed_out:
             counts_for_mean = server is not self.fleet.origin and outliers.last_response_at >= sent_at
             self.wait_estimates.on_wait(now, server.load, wait, counts_for_mean)
--- a/starlingthread/policy/outcomes.py
+++ b/starlingthread/policy/outcomes.py
@@ -43,7 +43,7 @@
         """Update a server's waits, service times and failures; return whether its fetch from the origin failed."""
         sent_at = now - event.elapsed
         fetch_failed = self.load.on_attempt_ended(now, state, server, event, attempt.expected_time)
-        if event.result in FAILURES and not event.is_lost_here:
+        if event.result in FAILURES and not event.is_local_timeout:
             self.gate.on_failure(now, server, event.result, sent_at)
         elif event.result in SUCCESSES:
             server.outliers.on_success(sent_at)
@@ -75,7 +75,7 @@
         has_responded = server.outliers.on_outcome(now, attempt.sent_at, result)
         if self.fleet.zones:
             self.fleet.zones.on_outcome(now, server.endpoint.zone, server.endpoint.server, result, attempt.sent_at)
-        if not (event.is_lost_here or self.hedge_budget.is_lost(result, attempt.sent_at, server.outliers)):
+        if not (event.is_local_timeout or self.hedge_budget.is_lost(result, attempt.sent_at, server.outliers)):
             adjust_limits(
                 server.concurrency,
                 load.origin_limit,
--- a/starlingthread/router_process/shutdown.py
+++ b/starlingthread/router_process/shutdown.py
@@ -26,12 +26,12 @@
     """Finish the open requests. Those still open at the time-out are answered as failed, as no request may be lost."""
     longest_deadline = max(request_class.deadline for request_class in router.settings.classes)
     lifetime = min(longest_deadline, MAX_DEADLINE_MS) + EXTRA_LIFETIME_MS
-    answer_by = router.clock.now() + lifetime - ANSWER_MARGIN_MS
+    answer_deadline = router.clock.now() + lifetime - ANSWER_MARGIN_MS
     await asyncio.sleep(ACCEPT_AFTER_STOP_S)
     try:
-        await asyncio.wait_for(clients.drain(answer_by), max(DRAIN_TIMEOUT_S, longest_deadline / 1000.0))
+        await asyncio.wait_for(clients.drain(answer_deadline), max(DRAIN_TIMEOUT_S, longest_deadline / 1000.0))
     except TimeoutError:
         log.warning("shutdown-timeout", **{"requests.open": len(router.requests)})
         router.fail_all()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(clients.drain(answer_by), FAIL_TIMEOUT_S)
+            await asyncio.wait_for(clients.drain(answer_deadline), FAIL_TIMEOUT_S)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -178,7 +178,7 @@
 ]
 
 
-class RouterHarness:
+class RunningRouter:
     """A router, its discovery service and its cache servers, named 's-1' and so on; scripts add clients."""
 
     def __init__(self, folder: Path, servers: int, config_changes: dict[str, Any]) -> None:
@@ -267,7 +267,7 @@
             listener.close()
 
 
-async def request_in_flight(harness: RouterHarness, number: int = 1) -> tuple[Peer, Peer]:
+async def request_in_flight(harness: RunningRouter, number: int = 1) -> tuple[Peer, Peer]:
     """Send a request that reaches the cache server; return the client's and the server's peer."""
     client = await harness.client()
     await client.send(read_command(number))
@@ -279,12 +279,12 @@
 @asynccontextmanager
 async def running_router(
     folder: Path, servers: int = 1, wait: bool = True, **config_changes: Any
-) -> AsyncIterator[RouterHarness]:
+) -> AsyncIterator[RunningRouter]:
     """Run a router between scripted peers.
 
     config_changes: values of its configuration file by path, such as settings__discovery="automatic"
     """
-    harness = RouterHarness(
+    harness = RunningRouter(
         folder, servers, {place.replace("__", "."): value for place, value in config_changes.items()}
     )
     thresholds = gc.get_threshold()
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -100,7 +100,7 @@
             assert not any(a.in_flight for a in history.attempts), "two attempts at once"
         possible_executions = [a for a in history.attempts if a.in_flight or not a.never_executed]
         if idempotency == Idempotency.NOT_IDEMPOTENT:
-            assert not possible_executions, "a not idempotent request was sent again"
+            assert not possible_executions, "a non-idempotent request was sent again"
         elif idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
             request_class = self.settings.classes[history.request.class_index]
             assert now - possible_executions[0].sent_at < request_class.idempotency_window, (
@@ -124,7 +124,7 @@
             request_class = self.settings.classes[history.request.class_index]
             possible_executions = any(a.in_flight or not a.never_executed for a in history.attempts)
             if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
-                assert not possible_executions, "rejected a not idempotent request that may have been executed"
+                assert not possible_executions, "rejected a non-idempotent request that may have been executed"
             elif request_class.idempotency == Idempotency.IDEMPOTENCY_KEY and possible_executions:
                 assert request_class.deduplication_scope == "all", (
                     "rejected a keyed request that may have been executed"
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -14,7 +14,7 @@
 from starlingthread.net.clients import limits
 from starlingthread.net.clients.limits import MAX_PIPELINED_COMMANDS
 
-from .peers import Peer, RouterHarness, read_command, run_loop_turns, running_router, until
+from .peers import Peer, RunningRouter, read_command, run_loop_turns, running_router, until
 
 
 @pytest.mark.parametrize("disconnect", ["close", "reset", "half_close"])
@@ -85,7 +85,7 @@
     asyncio.run(scenario())
 
 
-async def request_at_any_server(harness: RouterHarness) -> tuple[Peer, Peer]:
+async def request_at_any_server(harness: RunningRouter) -> tuple[Peer, Peer]:
     """Send a request; return the client's peer and that of the cache server that received the request."""
     client = await harness.client()
     await client.send(read_command(1))
--- a/tests/test_connections_beyond_limit.py
+++ b/tests/test_connections_beyond_limit.py
@@ -22,7 +22,7 @@
 from starlingthread.net.clients.capacity import SYN_RACE_CONNECTIONS, ConnectionCapacity
 from starlingthread.net.clients.idle import MIN_IDLE_SATURATED_MS
 
-from .peers import Peer, RouterHarness, read_command, running_router, until, value_answer
+from .peers import Peer, RunningRouter, read_command, running_router, until, value_answer
 from .test_descriptors_past_capacity import SOCKETS, begin_connect, is_connected, listener_of, occupy_all_slots
 
 pytestmark = pytest.mark.skipif(sys.platform != "linux", reason="other systems limit accept queues differently")
@@ -47,13 +47,13 @@
     assert not limit or max(limit, MIN_QUEUED_CONNECTIONS) + SYN_RACE_CONNECTIONS <= free_descriptors
 
 
-def accept_loop_of(harness: RouterHarness) -> AcceptLoop:
+def accept_loop_of(harness: RunningRouter) -> AcceptLoop:
     accept_loop = listener_of(harness)._accept_loop
     assert accept_loop is not None
     return accept_loop
 
 
-def send_on_all_established(harness: RouterHarness, first_number: int) -> dict[int, socket]:
+def send_on_all_established(harness: RunningRouter, first_number: int) -> dict[int, socket]:
     """Begin many connections at once; send a request on each that is established, and return these by number."""
     new_sockets = [begin_connect(harness.port) for _ in range(10)]
     established = dict(enumerate(filter(is_connected, new_sockets), start=first_number))
@@ -65,7 +65,7 @@
     return established
 
 
-async def assert_answered(harness: RouterHarness, clients: dict[int, socket]) -> None:
+async def assert_answered(harness: RunningRouter, clients: dict[int, socket]) -> None:
     """Make the cache server answer each client's request; fail if one does not reach it."""
     unanswered = set(clients)
     while unanswered:
--- a/tests/test_core_overload.py
+++ b/tests/test_core_overload.py
@@ -22,12 +22,12 @@
 LONG_WAIT_MS = 4 * TARGET_QUEUE_TIME_MS
 
 
-def observe(limit: QueueLimit, begin: float, length: float, wait: float, queued: int = 100) -> float:
-    """Record requests with a queueing time (wait) for a duration (length); return the time at its end."""
-    for at in range(0, int(length), 10):
+def observe(limit: QueueLimit, start: float, duration: float, queue_time: float, queued: int = 100) -> float:
+    """Record requests with a queueing time for a duration (both in ms); return the clock time at its end."""
+    for at in range(0, int(duration), 10):
         limit.allows(queued, 1.0)
-        limit.observe(begin + at, wait)
-    return begin + length
+        limit.observe(start + at, queue_time)
+    return start + duration
 
 
 def test_a_core_used_by_other_processes_counts_as_saturated_at_little_own_cpu_time(
--- a/tests/test_descriptors_past_capacity.py
+++ b/tests/test_descriptors_past_capacity.py
@@ -27,13 +27,13 @@
 from starlingthread.net.clients.limits import SILENT_CONNECTION_MS
 from starlingthread.net.clients.listener import ClientListener
 
-from .peers import Peer, RouterHarness, connect, read_command, run_loop_turns, running_router, until, value_answer
+from .peers import Peer, RunningRouter, connect, read_command, run_loop_turns, running_router, until, value_answer
 
 # Descriptors of the router: (64 - 20) / 2 = 22 are for clients, 3 of which are reserved beyond the connection limit.
 SOCKETS = 64
 
 
-async def occupy_all_slots(harness: RouterHarness) -> tuple[list[Peer], list[Peer]]:
+async def occupy_all_slots(harness: RunningRouter) -> tuple[list[Peer], list[Peer]]:
     """Occupy all connection slots with clients that have a request in flight; return them and the servers' peers."""
     clients, servers = [], []
     for number in range(harness.program.actors.clients.capacity.max_connections):
@@ -56,7 +56,7 @@
     assert rank.evictable_at <= MIN_IDLE_SATURATED_MS
 
 
-def listener_of(harness: RouterHarness) -> ClientListener:
+def listener_of(harness: RunningRouter) -> ClientListener:
     return harness.program.actors.clients
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
 from .peers import (
     WATCH_HEADERS,
     Peer,
-    RouterHarness,
+    RunningRouter,
     chunk,
     entry,
     listing,
@@ -29,7 +29,7 @@
 )
 
 
-def server_states(harness: RouterHarness) -> dict[str, ServerState]:
+def server_states(harness: RunningRouter) -> dict[str, ServerState]:
     """Return the state that the router has for each server, by name."""
     assign_id = harness.program.actors.discovery.parser.ids.assign
     names = {assign_id(entry["name"]): entry["name"] for entry in harness.entries()}
@@ -37,7 +37,7 @@
     return {names[number]: server.endpoint.state for number, server in servers.items() if number in names}
 
 
-async def accept_watch(harness: RouterHarness) -> Peer:
+async def accept_watch(harness: RunningRouter) -> Peer:
     """Accept a watch call and send the head of its response."""
     peer = await harness.discovery.accept()
     assert (await peer.until(b"\r\n\r\n")).startswith(f"GET {LIST_PATH}?watch=1".encode())
@@ -45,12 +45,12 @@
     return peer
 
 
-def start_watch(harness: RouterHarness) -> None:
+def start_watch(harness: RunningRouter) -> None:
     """Make the router watch for changes at once instead of at a random time."""
     harness.program.actors.discovery.watch(True)
 
 
-async def open_watch(harness: RouterHarness) -> Peer:
+async def open_watch(harness: RunningRouter) -> Peer:
     """Make the router watch for changes, accept the call and send a heartbeat on it."""
     start_watch(harness)
     watch = await accept_watch(harness)
--- a/tests/test_eviction_order.py
+++ b/tests/test_eviction_order.py
@@ -16,7 +16,7 @@
 from starlingthread.net.clients.idle import MIN_IDLE_MS
 from starlingthread.net.clients.limits import SILENT_CONNECTION_MS
 
-from .peers import Peer, RouterHarness, read_command, running_router, value_answer
+from .peers import Peer, RunningRouter, read_command, running_router, value_answer
 from .test_descriptors_past_capacity import SOCKETS, listener_of
 
 NOOP = b"mn\r\n"
@@ -24,13 +24,13 @@
 FREE_SLOTS = 2
 
 
-async def connect_new_clients(harness: RouterHarness, active_clients: list[Peer]) -> list[Peer]:
+async def connect_new_clients(harness: RunningRouter, active_clients: list[Peer]) -> list[Peer]:
     """Connect silent clients on all but a few of the remaining connection slots."""
     max_connections = listener_of(harness).capacity.max_connections
     return [await harness.client() for _ in range(max_connections - len(active_clients) - FREE_SLOTS)]
 
 
-async def connect_answered_clients(harness: RouterHarness, count: int, answers: int) -> list[Peer]:
+async def connect_answered_clients(harness: RunningRouter, count: int, answers: int) -> list[Peer]:
     """Return clients that each got a number of answers, and whose connections have just become evictable."""
     clients = [await harness.client() for _ in range(count)]
     for client in clients:
@@ -45,7 +45,7 @@
     return clients
 
 
-def count_evicted(harness: RouterHarness, clients: list[Peer]) -> int:
+def count_evicted(harness: RunningRouter, clients: list[Peer]) -> int:
     actors = [harness.find_actor(client) for client in clients]
     return sum(actor is None or actor.state.evicted for actor in actors)
 
--- a/tests/test_lingering_close.py
+++ b/tests/test_lingering_close.py
@@ -16,7 +16,7 @@
 from .peers import (
     WAIT_TIMEOUT_S,
     Peer,
-    RouterHarness,
+    RunningRouter,
     read_command,
     request_in_flight,
     run_loop_turns,
@@ -58,7 +58,7 @@
     asyncio.run(scenario())
 
 
-async def idle_client(harness: RouterHarness) -> Peer:
+async def idle_client(harness: RunningRouter) -> Peer:
     """Return a client that is idle after an answer."""
     client = await harness.client()
     await client.send(b"mn\r\n")
@@ -106,7 +106,7 @@
     return unhandled
 
 
-async def close_with_unsent_bytes(harness: RouterHarness) -> tuple[Peer, Any]:
+async def close_with_unsent_bytes(harness: RunningRouter) -> tuple[Peer, Any]:
     """Close a client's connection after an answer that it has not read; return it, and the router's transport to it."""
     client = await harness.client(buffer=4096)
     actor = harness.actor_of(client)
--- a/tests/test_maintenance_and_reload.py
+++ b/tests/test_maintenance_and_reload.py
@@ -69,7 +69,7 @@
     driver.handle_event(EndpointList(EndpointListKind.DELTA, 3, (endpoints[1]._replace(started=driver.now - 50.0),)))
     assert servers_used(driver) == {1, 3, 4}
     driver.handle_event(
-        EndpointList(EndpointListKind.FULL, 4, tuple(endpoint for endpoint in endpoints if endpoint.server != 2))
+        EndpointList(EndpointListKind.FULL, 4, tuple(remaining for remaining in endpoints if remaining.server != 2))
     )
     driver.advance_time(60000.0)
     driver.handle_event(EndpointList(EndpointListKind.FULL, 5, endpoints))
--- a/tests/test_many_clients_past_capacity.py
+++ b/tests/test_many_clients_past_capacity.py
@@ -24,7 +24,7 @@
 
 import pytest
 
-from .peers import WAIT_TIMEOUT_S, Peer, RouterHarness, read_command, running_router, value_answer
+from .peers import WAIT_TIMEOUT_S, Peer, RunningRouter, read_command, running_router, value_answer
 
 REQUEST_TIMEOUT_MS = 2000.0  # field 'd' of the requests that must be answered in time
 SOCKET_MARGIN_MS = 50.0  # added to each time limit, as answers travel over sockets
@@ -73,7 +73,7 @@
 class ManyClients:
     """Many clients of one router, and its cache server, which holds requests or answers them at once."""
 
-    def __init__(self, harness: RouterHarness) -> None:
+    def __init__(self, harness: RunningRouter) -> None:
         self.harness = harness
         self.listener = harness.program.actors.clients
         self.clock = harness.router.clock
--- a/tests/test_restart_evenness.py
+++ b/tests/test_restart_evenness.py
@@ -30,7 +30,7 @@
 BUSY_SERVER, BUSY_DURATION_MS = 4, 500.0
 
 
-def requests_by_server(seed: int, length_ms: float = 3500.0, requests_per_ms: float = 0.025) -> list[int]:
+def requests_by_server(seed: int, duration_ms: float = 3500.0, requests_per_ms: float = 0.025) -> list[int]:
     """Simulate a router from its start with reads of random keys; return the number of attempts at each server."""
     rng, order = Random(seed), count(1)
     balancer, attempts, start = Balancer(SETTINGS, seed), [0] * SERVERS, 1e6
@@ -50,11 +50,11 @@
     endpoints = tuple(Endpoint(number + 1, zone=number % ZONES) for number in range(SERVERS))
     apply_actions(start, balancer.handle(start, EndpointList(EndpointListKind.FULL, 1, endpoints)))
     at = start
-    while (at := at + rng.expovariate(requests_per_ms)) < start + length_ms:
+    while (at := at + rng.expovariate(requests_per_ms)) < start + duration_ms:
         key = (rng.randrange(KEYS) + 1) * 0x9E3779B97F4A7C15 % 2**64
         number = next(order)
         heappush(due, (at, number, Request(number, 0, READ.deadline, key=key)))
-    while due and due[0][0] < start + length_ms:
+    while due and due[0][0] < start + duration_ms:
         now, _, event = heappop(due)
         apply_actions(now, balancer.handle(now, event))
     return attempts
@@ -63,10 +63,11 @@
 def test_one_high_load_report_does_not_starve_a_server_after_a_restart() -> None:
     """A regression: a router that had just started sent a server nothing for seconds after one high load report.
 
-    The report counts requests. It was converted to ms on arrival, by a first guess that is eight times the service
+    The report counts requests. It was converted to ms on arrival, with an initial estimate of eight times the service
     time here, and stored as 480 ms against costs of 15 to 75 ms. As the server got no requests, no newer report came,
     and the learned service time did not change the stored value: on 70 of 100 seeds the server got 0.05 to 0.4 of its
-    share, on none without that report. Reports are now stored as requests, and the first response replaces the guess.
+    share, on none without that report. Reports are now stored as requests, and the first response replaces the
+    estimate.
     """
     for seed in range(5):
         attempts = requests_by_server(seed)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -137,7 +137,11 @@
 def test_a_server_missing_from_a_full_list_is_gone() -> None:
     driver = BalancerDriver()
     owner = driver.read()
-    driver.handle_event(EndpointList(EndpointListKind.FULL, 2, tuple(m for m in make_endpoints() if m.server != owner)))
+    driver.handle_event(
+        EndpointList(
+            EndpointListKind.FULL, 2, tuple(endpoint for endpoint in make_endpoints() if endpoint.server != owner)
+        )
+    )
     assert driver.read() != owner
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -235,14 +235,15 @@
         ]
         assert not [at for at in platform.request_times["s-2"] if at > excluded_at[1] + DRAIN_GRACE_S + SLACK_S]
         assert [at for at in platform.request_times["s-1"] if at > included_at]
-        assert max(count for count, _ in usage) <= SOCKET_LIMIT and max(size for _, size in usage) <= MEMORY_LIMIT_MB, (
-            usage
-        )
+        assert (
+            max(descriptors for descriptors, _ in usage) <= SOCKET_LIMIT
+            and max(memory_mb for _, memory_mb in usage) <= MEMORY_LIMIT_MB
+        ), usage
         log = (tmp_path / "log-1").read_text()
         assert "predecessor-exited" in log and "handed-over" in (tmp_path / "log-0").read_text()
         print(
-            f"client outcomes {load.outcomes}; most descriptors {max(count for count, _ in usage)},"
-            f" most MB {max(size for _, size in usage):.0f}"
+            f"client outcomes {load.outcomes}; most descriptors {max(opened for opened, _ in usage)},"
+            f" most MB {max(resident for _, resident in usage):.0f}"
         )
 
     asyncio.run(run())
