--- a/starlingthread/balance/popularity.py
+++ b/starlingthread/balance/popularity.py
@@ -24,7 +24,7 @@
 CACHED_TIME_MS = 10000.0
 # Requests of all routers to one owner, before the owner loses the key, that justify the owner's fetch.
 MIN_REQUESTS_PER_OWNER = 4.0
-# Share of the current number of owners below which the wanted number reduces it; below 1 for hysteresis.
+# A wanted number of owners below this share of the current number reduces it; the share is below 1 for hysteresis.
 RELEASE_SHARE = 0.5
 # Weight, in reads, of the write share over all keys in the write share of one key.
 PRIOR_READ_COUNT = 10.0
--- a/starlingthread/handover/actor.py
+++ b/starlingthread/handover/actor.py
@@ -112,7 +112,10 @@
             self._listener = None
 
     def _accept_successor(self) -> None:
-        """Offer the sockets to a new process, to only one at a time: a second one would get a part of the same half."""
+        """Offer the sockets to a new process.
+
+        Only one successor is accepted at a time, as a second one would get a part of the same half of the limits.
+        """
         assert self._listener is not None
         try:
             channel, _ = self._listener.socket.accept()
--- a/starlingthread/limits/concurrency.py
+++ b/starlingthread/limits/concurrency.py
@@ -53,7 +53,11 @@
             self.limit += INCREASE_PER_SUCCESS
 
     def on_failure(self, in_flight: float) -> None:
-        """Record a late or missing response; a limit that is not learned yet starts at the number in flight."""
+        """Record a late or missing response.
+
+        The limit is reduced by one step from its value or, if that is less, from the number of requests in flight
+        (counted as at least RECOVERY_LIMIT_REQUESTS).
+        """
         self.limit = max(self.minimum, min(self.limit, max(RECOVERY_LIMIT_REQUESTS, in_flight)) - DECREASE_PER_FAILURE)
 
     def on_rejection(self, in_flight: float) -> None:
--- a/starlingthread/limits/core_overload.py
+++ b/starlingthread/limits/core_overload.py
@@ -41,7 +41,7 @@
         """Return whether a new request may be queued.
 
         Requests with most of their deadline left are preferred, as the others would be answered too late.
-        relative_weight: its priority weight relative to the lowest one; budget: ms until its client gives up;
+        relative_weight: its priority weight relative to the lowest one; budget: ms until its client stops waiting;
         queued: the number of requests that are already queued.
         """
         remaining_weight = min(1.0, budget / request_class.deadline) ** REMAINING_TIME_EXPONENT
--- a/starlingthread/net/clients/connection.py
+++ b/starlingthread/net/clients/connection.py
@@ -111,7 +111,7 @@
     # idle connections
 
     def check_idle(self, now: float, near_threshold: bool) -> None:
-        """Close a connection that is idle, silent or within a command too long: it takes memory and a descriptor."""
+        """Close a connection that is idle, silent or in a command for too long, as it takes memory and a descriptor."""
         state = self.state
         if state.framing_lost or state.disconnected or state.lingering:
             return
--- a/starlingthread/net/clients/limits.py
+++ b/starlingthread/net/clients/limits.py
@@ -15,7 +15,8 @@
 WRITE_STALL_TIMEOUT_MS = 10000.0
 # A chunked value must be complete within this time, which also bounds the wait for a server that reads none of it.
 VALUE_TIMEOUT_MS = 30000.0
-# The client's time-out starts when it sends the request, and the response needs time to travel back.
+# A request is answered this long before its client's time-out would expire, counted from the request's arrival: the
+# time-out starts when the client sends the request, and the response needs time to travel back.
 RESPONSE_MARGIN_MS = 4.0
 # Received data is read and discarded for this long after our end of file, as closing with unread data would reset the
 # connection.
@@ -25,7 +26,8 @@
 COMMAND_TIMEOUT_MS = 2200.0
 # An idle connection is closed after this time even if there are free descriptors.
 IDLE_TIMEOUT_MS = 8000.0
-# An idle connection is closed after this time if it has sent no command yet, or near the idle client threshold.
+# An idle connection is closed after this time if it has sent no command yet, or while the number of
+# clients is near the idle client threshold.
 SHORT_IDLE_TIMEOUT_MS = 2000.0
 # A connection that has sent no command for this long is among the first to be evicted.
 SILENT_CONNECTION_MS = 100.0
--- a/starlingthread/policy/attempt_gate.py
+++ b/starlingthread/policy/attempt_gate.py
@@ -12,7 +12,7 @@
 from ..state.records import AttemptRecord, PossibleExecution, RequestState, Server
 from .load_estimate import LoadEstimate
 
-# Range of the random factor on an outlier's ejection time, so that routers do not return to it at the same time.
+# Range of the random factor on an outlier's ejection time, so that routers do not return to the server together.
 EJECTION_JITTER = (0.7, 1.3)
 
 
--- a/starlingthread/policy/completion.py
+++ b/starlingthread/policy/completion.py
@@ -78,6 +78,6 @@
         for waiter in waiters:
             if not self.waiting.remove(waiter.request.id):
                 continue
-            owner = self.fleet.servers[waiter.missed_servers[0]]
-            if not self.gate.send(now, waiter, owner):
+            server = self.fleet.servers[waiter.missed_servers[0]]
+            if not self.gate.send(now, waiter, server):
                 self.reject_or_fail(now, waiter)
--- a/starlingthread/state/records.py
+++ b/starlingthread/state/records.py
@@ -20,11 +20,12 @@
 COUNT_HALF_LIFE_MS = 10000.0
 # Weight of one observed hit or miss in the hit bias.
 HIT_BIAS_GAIN = 0.5
-# Keys with counts; bounds memory, and far exceeds the keys that one router sees during the lifetime of a cached value.
+# Maximum number of keys with counts. It bounds the memory, and is far more than the keys for which one router gets
+# requests during the lifetime of a cached value.
 MAX_KEYS = 20000
 # Time without requests after which the counts of a key have decayed so far that they no longer matter.
 KEY_RETENTION_MS = 35000.0
-# Evictions for each new key; more than one, so that the table shrinks again after a surge of keys.
+# Maximum number of evictions for each new key; more than one, so that the table shrinks again after a surge of keys.
 MAX_EVICTIONS_PER_NEW_KEY = 2
 
 
