--- a/starlingthread/analysis/evidence.py
+++ b/starlingthread/analysis/evidence.py
@@ -193,7 +193,7 @@
     for server, at in _overdue_notifications(scenario, ledger):
         for router in range(scenario.routers.count):
             changes[(router, server)].append(_StatusChange(at, True))
-    return {key: _periods_out_of_service(sorted(known)) for key, known in changes.items()}
+    return {key: _periods_out_of_service(sorted(key_changes)) for key, key_changes in changes.items()}
 
 
 def _overdue_notifications(scenario: Scenario, ledger: Ledger) -> list[tuple[int, float]]:
--- a/starlingthread/analysis/reduction.py
+++ b/starlingthread/analysis/reduction.py
@@ -34,7 +34,7 @@
     earned = sum(weight * result.goodput_share for weight, result in zip(weights, classes, strict=True))
     routers = _router_usages(scenario, ledger)
     values_read = sum(1 for attempt in ledger.attempts if attempt.outcome == "value")
-    runs = sum(1 for delivery in ledger.deliveries if delivery.disposition == EXECUTED)
+    executions = sum(1 for delivery in ledger.deliveries if delivery.disposition == EXECUTED)
     return Results(
         version=__version__,
         python=platform.python_version(),
@@ -54,7 +54,7 @@
         router_cpu=[usage.cpu for usage in routers],
         router_memory=[usage.memory for usage in routers],
         router_descriptors=[usage.descriptors for usage in routers],
-        facts={**facts, "servers.runs": runs, "servers.deliveries": len(ledger.deliveries)},
+        facts={**facts, "servers.runs": executions, "servers.deliveries": len(ledger.deliveries)},
         lags=ledger.lags,
         bad_client_outcomes=ledger.bad_client_outcomes,
         verdict=verdict,
--- a/starlingthread/analysis/report.py
+++ b/starlingthread/analysis/report.py
@@ -44,8 +44,8 @@
 {% for percentile in ("50", "99", "99.9", "100") %}<td>{{ "%.1f" | format(class_result.percentiles[percentile])
 if percentile in class_result.percentiles }}</td>
 {% endfor %}</tr>{% endfor %}</table>
-{% for title, picture in pictures %}<h2>{{ title }}</h2>
-<img alt="{{ title }}" src="data:image/png;base64,{{ picture }}">{% endfor %}
+{% for title, image in plots %}<h2>{{ title }}</h2>
+<img alt="{{ title }}" src="data:image/png;base64,{{ image }}">{% endfor %}
 {% if results.evenness %}<h2>Evenness of the servers</h2><p class="about">The load ratio is
 a server's load over its fair share by speed: 1 is even.
 The herd index is the variance of arrivals in 50 ms over their mean: 1 by chance alone.</p><table>
@@ -86,7 +86,7 @@
     template = Environment(autoescape=True).from_string(_TEMPLATE)
     page = template.render(
         results=results,
-        pictures=render_plots(results),
+        plots=render_plots(results),
         evenness_labels=EVENNESS_LABELS,
         facts=_facts(results),
         data=data_path.name,
--- a/starlingthread/analysis/results.py
+++ b/starlingthread/analysis/results.py
@@ -126,7 +126,7 @@
     except OSError as error:
         raise ResultError(f"{path}: {error.strerror}") from None
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
-        raise ResultError(f"{path}: not a valid results file: {error}") from None
+        raise ResultError(f"{path}: contains no results of a run: {error}") from None
     if results.format != FORMAT:
         raise ResultError(f"{path}: results have format {results.format}, this version reads format {FORMAT}")
     return results
--- a/starlingthread/analysis/rules/effects.py
+++ b/starlingthread/analysis/rules/effects.py
@@ -12,7 +12,7 @@
 
 
 def check_run_once(run: RunEvidence) -> Iterator[Finding]:
-    """A request of effect ``once`` is executed at most once, and neither resent nor rejected after it may have been."""
+    """A request of effect ``once`` runs at most once, and is not resent or rejected after it may have been executed."""
     for operation, attempts in run.operations.items():
         if run.class_of(attempts[0]).effect != "once":
             continue
--- a/starlingthread/emulator/platform_faults.py
+++ b/starlingthread/emulator/platform_faults.py
@@ -79,14 +79,14 @@
 
 
 class BadClients(FaultAction):
-    """Clients that send garbage or incomplete commands."""
+    """Clients that send invalid input, or incomplete commands if ``is_partial`` is true."""
 
-    def __init__(self, partial_commands: bool) -> None:
-        self._partial_commands = partial_commands
+    def __init__(self, is_partial: bool) -> None:
+        self._is_partial = is_partial
 
     async def begin(self, injected: InjectedFault) -> None:
         fault = injected.fault
-        await injected.testbed.bad_clients(fault.strength, fault.length_s, self._partial_commands)
+        await injected.testbed.bad_clients(fault.strength, fault.length_s, self._is_partial)
 
 
 class IdleClients(FaultAction):
@@ -141,7 +141,7 @@
 
 
 class SignalledRouters(FaultAction):
-    """Restart of routers that receive signals before, during and after their shutdown.
+    """Restart of routers that receive signals before and during their shutdown and as their successors start.
 
     They are killed as soon after SIGTERM as the shutdown rules allow.
     """
--- a/starlingthread/emulator/testbed_interface.py
+++ b/starlingthread/emulator/testbed_interface.py
@@ -50,8 +50,8 @@
     async def call_clients(self, method: str, *arguments: object) -> None:
         """Call a method of all worker processes that emulate clients."""
 
-    async def bad_clients(self, rate_per_s: float, duration_s: float, partial_commands: bool, /) -> None:
-        """Start clients that send garbage or incomplete commands."""
+    async def bad_clients(self, connections_per_s: float, duration_s: float, is_partial: bool, /) -> None:
+        """Start clients that send invalid input, or incomplete commands if ``is_partial`` is true."""
 
     async def kill_router(self, number: int) -> None:
         """Kill a router with SIGKILL."""
--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -150,7 +150,7 @@
     server_samples: list[ServerSample] = msgspec.field(default_factory=list)
     faults: list[FaultRecord] = msgspec.field(default_factory=list)
     lags: dict[str, float] = msgspec.field(default_factory=dict)  # longest stall of each process, ms
-    # Number of connections of misbehaving clients, by outcome.
+    # Number of connections of bad clients, by outcome.
     bad_client_outcomes: dict[str, int] = msgspec.field(default_factory=dict)
 
     def merge(self, part: Ledger) -> None:
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -53,7 +53,7 @@
     "idle-clients",
 ]
 
-# Empty: the router's own choice of servers; otherwise a policy of baselines/policies.py.
+# How a router chooses servers: by a baseline policy of baselines/policies.py, or in its own way if empty.
 Policy = Literal[
     "", "random", "round-robin", "hash", "bounded-hash", "two-choices", "two-reported", "least-reported", "truth"
 ]
@@ -66,7 +66,7 @@
 
     name: Annotated[str, Meta(pattern="^[A-Za-z0-9_-]{1,32}$")]
     share: NotNegative  # weight of this class among all requests
-    # Repeatable, idempotent by the request's idempotency key, or to be executed at most once.
+    # Whether a request is repeatable, is idempotent by its idempotency key, or must be executed at most once.
     effect: Effect = "repeatable"
     latency_objective_ms: Positive = msgspec.field(default=1200.0, name="aim_ms")
     deadline_ms: Positive = 4000.0
@@ -106,7 +106,7 @@
     initial_capacity_share: Share = msgspec.field(default=0.2, name="cold_from")
     # Time from a cold start until the server has its full capacity.
     warm_up_ms: Positive = msgspec.field(default=10000.0, name="cold_ms")
-    # Multiple of its capacity: a warming server crashes when it is offered more work than this.
+    # A warming server crashes when it is offered more work than this multiple of its capacity.
     overload_factor: Positive = 4.0
     # Sliding window over which the work offered to a warming server is summed.
     overload_window_ms: Positive = msgspec.field(default=2000.0, name="tip_after_ms")
@@ -177,7 +177,8 @@
     value_bytes: Annotated[int, Meta(ge=1, le=1_000_000)] = 400
     write_bytes: Annotated[int, Meta(ge=0, le=65000)] = 40
     connections: Annotated[int, Meta(ge=1, le=20000)] = 60
-    max_connections: Annotated[int, Meta(ge=0)] = 0  # of all clients to one router; 0: a third of its descriptors
+    # Limit on the connections from all clients to one router; 0: a third of the router's descriptors.
+    max_connections: Annotated[int, Meta(ge=0)] = 0
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
     backoff_ms: Positive = 20.0
     # Share of clients that honour Retry-After.
@@ -249,7 +250,7 @@
 
 
 class Machine(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Number of worker processes that emulate the servers and the clients."""
+    """The number of worker processes that run the servers, and the number of those that run the clients."""
 
     server_processes: Annotated[int, Meta(ge=1, le=64)] = 1
     load_processes: Annotated[int, Meta(ge=1, le=64)] = 1
--- a/starlingthread/experiment/soak.py
+++ b/starlingthread/experiment/soak.py
@@ -14,7 +14,7 @@
 WARM_UP_S = 2.0
 MIN_DRAIN_S = 3.5  # a draining server leaves the endpoint list after 3 s and can return only after that
 DESCRIPTOR_LIMITS = (192, 256, 512)
-# The shell ignores signals that arrive before the Python program starts, as the deployment file does.
+# As in the deployment file, the shell makes the router ignore signals until its Python program handles them.
 ROUTER_COMMAND = ("/bin/sh", "-c", f"trap '' HUP USR1; exec {sys.executable} -m starlingthread")
 # Idle connections as a share of a router's descriptors: more than clients may hold.
 IDLE_CONNECTION_SHARE = 0.6
--- a/starlingthread/load/bad_clients.py
+++ b/starlingthread/load/bad_clients.py
@@ -7,7 +7,7 @@
 
 from ..experiment.randomness import UniformDraws
 from .connection import CONNECT_TIMEOUT_S, ConnectionPool
-from .front import NO_ROUTER, FrontendBalancer
+from .frontend import NO_ROUTER, FrontendBalancer
 from .tasks import TaskSet
 
 ANSWER_TIMEOUT_S = 10.0  # a bad client closes its connection when no answer has come within this time
--- a/starlingthread/load/generator.py
+++ b/starlingthread/load/generator.py
@@ -10,7 +10,7 @@
 from ..experiment.records import Ledger, Operation
 from ..experiment.scenario import Scenario
 from .bad_clients import BadClients
-from .front import FrontendBalancer
+from .frontend import FrontendBalancer
 from .idle_clients import IdleClients
 from .operations import OperationRunner, PendingOperation, now_ms
 from .traffic import Arrivals
--- a/starlingthread/load/operations.py
+++ b/starlingthread/load/operations.py
@@ -11,7 +11,7 @@
 from ..experiment.records import ClientAttempt, Ledger, Operation
 from ..experiment.scenario import CLIENT_DESCRIPTOR_SHARE, RequestClass, Scenario
 from .connection import CONNECT_TIMEOUT_S, Answer, ClientConnection, ConnectionPool
-from .front import NO_ROUTER, FrontendBalancer
+from .frontend import NO_ROUTER, FrontendBalancer
 from .requests import MAX_QUOTED_BYTES, encode_request, record_answer, request_id
 from .tasks import TaskSet
 
@@ -44,8 +44,8 @@
         """Return whether a retry is safe: the operation is repeatable, was not executed, or is deduplicated by key."""
         if self.request_class.effect == "repeatable" or outcome in ("busy", "refused"):
             return True
-        is_key_remembered = now_ms() - self.attempts[0].sent_at < self.request_class.idempotency_window_ms
-        return self.request_class.effect == "by_key" and is_key_remembered
+        is_within_window = now_ms() - self.attempts[0].sent_at < self.request_class.idempotency_window_ms
+        return self.request_class.effect == "by_key" and is_within_window
 
 
 class WaitingAttempt:
@@ -79,9 +79,8 @@
     ) -> None:
         self.pool = ConnectionPool(addresses, self, _max_connections(scenario))
         self._waiting: list[deque[WaitingAttempt]] = [deque() for _ in addresses]
-        self.disconnect_share = (
-            scenario.traffic.abandon_share
-        )  # share of requests whose client disconnects before the answer
+        # Share of requests whose client disconnects before the answer.
+        self.disconnect_share = scenario.traffic.abandon_share
         self.out_of_connections_count = 0  # attempts that failed because the connection pool was full
         self._seed = scenario.seed
         self._traffic = scenario.traffic
--- a/starlingthread/load/traffic.py
+++ b/starlingthread/load/traffic.py
@@ -41,13 +41,13 @@
     whose ranks drift over time.
     """
     traffic = scenario.traffic
-    random_streams = _traffic_streams(scenario)
-    due_s = _arrival_times(scenario, random_streams.arrivals)
+    streams = _traffic_streams(scenario)
+    due_s = _arrival_times(scenario, streams.arrivals)
     shares = np.array([request_class.share for request_class in traffic.classes], dtype=np.float64)
-    class_index = random_streams.classes.choice(len(shares), size=len(due_s), p=shares / shares.sum()).astype(np.int16)
-    ranks = np.searchsorted(cumulative_zipf_shares(traffic.keys, traffic.zipf), random_streams.ranks.random(len(due_s)))
+    class_index = streams.classes.choice(len(shares), size=len(due_s), p=shares / shares.sum()).astype(np.int16)
+    ranks = np.searchsorted(cumulative_zipf_shares(traffic.keys, traffic.zipf), streams.ranks.random(len(due_s)))
     drifted_ranks = ranks + np.floor(due_s * traffic.drift_per_s * traffic.keys).astype(np.int64)
-    keys_by_rank = random_streams.key_order.permutation(traffic.keys)
+    keys_by_rank = streams.key_order.permutation(traffic.keys)
     return Arrivals(due_s * 1000.0, class_index, keys_by_rank[drifted_ranks % traffic.keys].astype(np.int64))
 
 
--- a/starlingthread/testbed/client_worker.py
+++ b/starlingthread/testbed/client_worker.py
@@ -23,7 +23,7 @@
     def __init__(self, number: int) -> None:
         super().__init__(number)
         self.load_generator: LoadGenerator
-        self.commands |= {
+        self.methods |= {
             "setup": self.set_up,
             "begin": self.begin,
             "finish": self.finish,
--- a/starlingthread/testbed/platform.py
+++ b/starlingthread/testbed/platform.py
@@ -26,7 +26,7 @@
 from ..experiment.records import LISTED_PREFIX, FaultRecord, Ledger, ServerEvent, StatusNotification
 from ..experiment.scenario import Scenario
 from .errors import RunError
-from .front_monitor import FrontendMonitor
+from .frontend_monitor import FrontendMonitor
 from .worker_processes import WorkerProcesses
 
 ROUTER_STOP_TIMEOUT_S = 8.0  # time for a router to end after SIGTERM
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -75,7 +75,7 @@
         super().__init__(number)
         self.origin: RemoteOrigin
         self.servers: dict[int, CacheServer] = {}
-        self.commands |= {
+        self.methods |= {
             "setup": self.set_up,
             "server": self.call_server,
             "set": self.set_server_attribute,
@@ -107,9 +107,8 @@
 
     def _make_server(self, model: ServerModel, rng: np.random.Generator) -> CacheServer:
         link_draws = UniformDraws(rng)
-        stripe = PortStripe(
-            1 + self.number, 1 + self.scenario.machine.server_processes
-        )  # stripe 0 is the coordinator's
+        # Stripe 0 is the coordinator's.
+        stripe = PortStripe(1 + self.number, 1 + self.scenario.machine.server_processes)
         links = [
             ServerLink(group, link_draws, distance_ms(self.scenario, model.number, group), stripe)
             for group in range(link_groups(self.scenario))
@@ -125,15 +124,15 @@
 
     def _warm_caches(self) -> None:
         """Fill the caches with the most popular keys, as in a fleet that has been in service for a day."""
-        memory_keys = self.scenario.fleet.cache_capacity_keys
+        capacity_keys = self.scenario.fleet.cache_capacity_keys
         servers = list(self.servers.values())
         popular_keys = keys_by_popularity(self.scenario)
         if self.scenario.traffic.direct:  # without routers, any server may receive requests for any key
-            for key in popular_keys[:memory_keys]:
+            for key in popular_keys[:capacity_keys]:
                 for server in servers:
                     server.model.store(key_name(key), 0)
             return
-        for rank, key in enumerate(popular_keys[: memory_keys * len(servers) // 2]):
+        for rank, key in enumerate(popular_keys[: capacity_keys * len(servers) // 2]):
             servers[rank % len(servers)].model.store(key_name(key), 0)
 
     def _start_cold_servers(self) -> None:
@@ -171,7 +170,7 @@
             for server in self.servers.values():
                 server.model.invalidate(event.key)
 
-    # commands
+    # methods that the coordinator calls
 
     async def call_server(self, number: int, method: str, arguments: list[Any]) -> None:
         """Call a method of a server by name; no method in the table takes arguments."""
--- a/starlingthread/testbed/worker_base.py
+++ b/starlingthread/testbed/worker_base.py
@@ -17,11 +17,11 @@
 
 _LAG_CHECK_PERIOD_S = 0.005
 
-Command = Callable[..., Awaitable[Any]]
+Method = Callable[..., Awaitable[Any]]
 
 
 class Worker:
-    """A process of a run. ``commands`` are the methods that the coordinator may call, by name."""
+    """A process of a run. ``methods`` holds those that the coordinator may call, by name."""
 
     role: ClassVar[str]
 
@@ -33,7 +33,7 @@
         self.channel: RpcChannel
         self.scenario: Scenario
         self.ended = asyncio.Event()
-        self.commands: dict[str, Command] = {"reset_lag": self.reset_lag, "collect": self.collect}
+        self.methods: dict[str, Method] = {"reset_lag": self.reset_lag, "collect": self.collect}
         self._max_lag_ms = 0.0
         self._lag_checked_at_s = self.loop.time()
 
@@ -57,7 +57,7 @@
 
     async def _execute(self, call: Call) -> None:
         try:
-            result = await self.commands[call.method](*call.arguments)
+            result = await self.methods[call.method](*call.arguments)
             self.channel.reply(call, True, result)
         except Exception as error:  # the coordinator receives the text and ends the run
             self.channel.reply(call, False, f"{call.method}: {error!r}")
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -144,8 +144,8 @@
     read_until("reloaded")
     router.send_signal(signal.SIGHUP)
     assert " INFO reloaded discovery=" in read_until("reloaded")
-    # The operators' options take effect although the platform's file is invalid. That peer messages are not permitted
-    # is logged.
+    # The operators' options take effect although the platform's file is invalid. A log line reports that peer messages
+    # are not permitted.
     config["settings"]["permissions"]["peerMessages"] = False
     (tmp_path / "r0.json").write_text(json.dumps(config))
     router.send_signal(signal.SIGHUP)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -38,8 +38,8 @@
     async def call_clients(self, method: str, *arguments: object) -> None:
         self.actions.append((method, *arguments))
 
-    async def bad_clients(self, rate_per_s: float, duration_s: float, partial_commands: bool) -> None:
-        self.actions.append(("bad clients", partial_commands))
+    async def bad_clients(self, connections_per_s: float, duration_s: float, is_partial: bool) -> None:
+        self.actions.append(("bad clients", is_partial))
 
     async def set_link_conditions(self, number: int, groups: list[int], conditions: dict[str, float]) -> None:
         self.actions.append(("link", number, " ".join(f"{name}={value:g}" for name, value in conditions.items())))
--- a/tests/test_load_operations.py
+++ b/tests/test_load_operations.py
@@ -18,7 +18,7 @@
 from starlingthread.experiment.scenario import RequestClass, Scenario, Traffic
 from starlingthread.load import operations
 from starlingthread.load.connection import ClientConnection
-from starlingthread.load.front import FrontendBalancer
+from starlingthread.load.frontend import FrontendBalancer
 from starlingthread.load.operations import MIN_BUDGET_MS, MIN_SEND_BUDGET_MS, OperationRunner, PendingOperation
 
 ROUTER = 0
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -96,7 +96,7 @@
     assert [outcome for _, outcome, _, _ in server.outcomes] == ["served"] * 3
 
 
-def test_memory_evicts_the_least_recently_used_and_the_origin_fails_requests_beyond_its_queue() -> None:
+def test_the_cache_evicts_the_least_recently_used_and_the_origin_fails_requests_beyond_its_queue() -> None:
     fleet = msgspec.structs.replace(PREDICTABLE, cache_capacity_keys=2, slots=9)
     server = ModelServer(fleet, scenario.Origin(slots=1, fetch_ms=10.0, cv=0.0, queue=1))
     for key in "abc":
