--- a/tests/test_load_evenness_process.py
+++ b/tests/test_load_evenness_process.py
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_load_is_even_again_soon_after_a_fault_and_no_server_is_starved(fault: str, tmp_path: Path) -> None:
-    """For comparison: with ``least-reported`` some servers are idle and others get three to four times the mean load."""
+    """For comparison: with ``least-reported`` some servers are idle and others get three to four times the mean."""
     faults = f"[[faults]]\nstart_s = 5.0\nlength_s = 3.0\n{FAULTS[fault]}\n"
     module_run, load_shares = run_with_load_shares(
         tmp_path / "own", f"length_s={LENGTH_S.get(fault, 12.0)}", "fleet.report_delay_ms=2000.0", faults=faults
