--- a/starlingthread/analysis/evidence.py
+++ b/starlingthread/analysis/evidence.py
@@ -35,7 +35,8 @@
 
     began_at: float
     ended_at: float
-    was_after_sigterm: bool = False  # for an outage: SIGTERM came first, so earlier requests must be answered
+    # Whether the period is an outage that SIGTERM preceded, so that earlier requests must be answered.
+    was_after_sigterm: bool = False
 
 
 class _StatusChange(NamedTuple):
--- a/starlingthread/analysis/results.py
+++ b/starlingthread/analysis/results.py
@@ -29,8 +29,8 @@
 
     name: str
     offered: int
-    in_time: int  # served within the latency objective
-    late: int  # served after the latency objective
+    in_time: int  # operations served within the latency objective
+    late: int  # operations served after the latency objective
     rejected: int
     failed: int
     abandoned: int  # operations whose client disconnected before the answer; they are not part of ``offered``
@@ -94,7 +94,7 @@
     classes: list[ClassResult]
     routers: list[RouterResult]
     seconds: list[SecondResult]
-    faults: list[FaultRecord]  # with times in s since the run's start
+    faults: list[FaultRecord]  # faults with their times in s since the run's start
     server_load: list[TimeSeries]
     server_commands: list[TimeSeries]
     server_connections: list[TimeSeries]
--- a/starlingthread/emulator/server_model.py
+++ b/starlingthread/emulator/server_model.py
@@ -96,7 +96,8 @@
         self.tail_share = 0.0
         self.extra_report_delay_ms = 0.0
         self.on_overload_crash: Callable[[tuple[str, ...]], None] = lambda request_ids: None
-        self.commands_since_sample = 0  # reset by the server worker with each sample
+        # The server worker resets the count of commands with each sample.
+        self.commands_since_sample = 0
         self._work_factors = LognormalFactors(rng, spec.work_cv)
         self._draws = UniformDraws(rng)
         self._report_noise = LognormalFactors(rng, spec.report_noise)
--- a/starlingthread/experiment/randomness.py
+++ b/starlingthread/experiment/randomness.py
@@ -7,7 +7,8 @@
 from .scenario import Scenario
 
 NUMBERS_PER_BLOCK = 4096  # numpy is slow at generating numbers one by one
-SPEED_SEED_OFFSET = 8_000_003  # keeps the seed distinct from those of other parts of the run
+# The offset keeps the seed of the speeds distinct from the seeds of other parts of the run.
+SPEED_SEED_OFFSET = 8_000_003
 
 
 class LognormalFactors:
--- a/starlingthread/experiment/records.py
+++ b/starlingthread/experiment/records.py
@@ -84,7 +84,7 @@
     class_index: int
     due_at: float  # scheduled send time, from which latency is measured
     send_delay_ms: float = 0.0  # delay of the send that the load tool itself caused
-    result: str = "none"  # served, failed, refused (rejected), left, none
+    result: str = "none"  # one of: served, failed, refused (rejected), left, none
     done_at: float = 0.0
     attempts: int = 0
 
@@ -131,8 +131,8 @@
     ended_at: float
     target: str
     affected: tuple[int, ...] = ()  # numbers of the servers or routers of the target
-    groups: tuple[int, ...] = ()  # for link faults: the groups of routers whose links failed
-    direction: str = "both"  # for cut links: the blocked direction
+    groups: tuple[int, ...] = ()  # groups of routers whose links failed, for link faults
+    direction: str = "both"  # blocked direction, for cut links
 
 
 class Ledger(msgspec.Struct):
--- a/starlingthread/experiment/scenario.py
+++ b/starlingthread/experiment/scenario.py
@@ -207,9 +207,11 @@
     """Tolerances of the judge."""
 
     answer_slack_ms: NotNegative = 8.0
-    drain_grace_ms: NotNegative = 400.0  # starts when the router learns that a server is draining
-    socket_slack_ms: NotNegative = 50.0  # added to all times, for delays between sockets and processes
-    notified_within_ms: NotNegative = 6000.0  # this long after a change every router counts as notified
+    # The grace period starts when the router learns that a server is draining.
+    drain_grace_ms: NotNegative = 400.0
+    # The slack for sockets is added to all times, for delays between sockets and processes.
+    socket_slack_ms: NotNegative = 50.0
+    notified_within_ms: NotNegative = 6000.0  # time after a change from which every router counts as notified
     # Longest wait for a rejection or failure while no attempt is in flight.
     idle_rejection_ms: Positive = msgspec.field(default=300.0, name="held_back_ms")
     # Share of requests sent late above which the run is void.
--- a/starlingthread/net/clients/acceptor.py
+++ b/starlingthread/net/clients/acceptor.py
@@ -143,7 +143,8 @@
             raise
 
     def _on_connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._counts.initializing -= 1  # before the callback counts it as a connection
+        # The count of initializing sockets is reduced before the callback counts the socket as a connection.
+        self._counts.initializing -= 1
         self._on_connection(reader, writer)
 
     def _on_connection_lost(self) -> None:
--- a/starlingthread/net/clients/context.py
+++ b/starlingthread/net/clients/context.py
@@ -29,10 +29,10 @@
     clock: Clock
     counters: Counters
     deadlines: Deadlines
-    budget: ByteBudget  # shared by all chunked values in both directions
+    budget: ByteBudget  # budget shared by all chunked values in both directions
     buffered_bytes: int  # size of the values that all response slots hold
     max_buffered_bytes: int
-    classes: dict[str, RequestClass]  # by name
+    classes: dict[str, RequestClass]  # request classes by name
     open_ids: set[bytes]  # ids of unanswered requests on all connections
     draining: bool  # whether each connection is closed after its response
     answer_deadline: float  # clock time by which requests that arrive from now on must be answered
--- a/starlingthread/net/clients/listener.py
+++ b/starlingthread/net/clients/listener.py
@@ -57,7 +57,7 @@
         self.clock = router.clock
         self.counters = router.counters
         self.deadlines = router.deadlines
-        self.budget = ByteBudget(0)  # shared by all chunked values in both directions
+        self.budget = ByteBudget(0)  # budget shared by all chunked values in both directions
         self.buffered_bytes = 0  # size of the values that all response slots hold
         self.max_buffered_bytes = max_buffered_bytes
         self.max_clients = max_clients
@@ -69,7 +69,8 @@
         # While draining, each connection is closed after its response, as another process accepts new connections.
         self.draining = False
         self.answer_deadline = math.inf  # clock time by which requests that arrive from now on must be answered
-        self.socket: socket.socket | None = None  # kept open while another process accepts
+        # The socket is kept open while another process accepts connections.
+        self.socket: socket.socket | None = None
         self._is_socket_shared = False  # whether the process that it was inherited from uses it too
         self._accept_loop: AcceptLoop | None = None  # None while another process accepts
         self.sockets = SocketCounts()
--- a/starlingthread/net/clients/requests.py
+++ b/starlingthread/net/clients/requests.py
@@ -230,7 +230,8 @@
     def _cancel(self, request: PendingRequest) -> None:
         if self.slots_by_request.pop(request, None) is None:
             return
-        request.cancelled = True  # set at once, as other messages precede ClientDisconnected in the mailbox
+        # The request is marked as cancelled at once, as other messages precede ClientDisconnected in the mailbox.
+        request.cancelled = True
         self._release_id(request)
         if request is not self.unsubmitted:
             self._listener.router.mailbox.force_put(ClientDisconnected(request))
--- a/starlingthread/net/clients/responses.py
+++ b/starlingthread/net/clients/responses.py
@@ -42,7 +42,8 @@
         self._listener = listener
         self.slots: deque[ResponseSlot] = deque()
         self.mailbox: Mailbox[ResponseReady] = Mailbox(4 * MAX_PIPELINED_COMMANDS)
-        self.has_free_slot = asyncio.Event()  # set when a slot is freed, cleared by the reader before it waits
+        # The event is set when a slot is freed, and cleared by the reader before it waits.
+        self.has_free_slot = asyncio.Event()
 
     def is_full(self) -> bool:
         """Return whether no more commands may be accepted until a response is written."""
--- a/starlingthread/net/meta/commands.py
+++ b/starlingthread/net/meta/commands.py
@@ -10,7 +10,7 @@
 from .buffer import MAX_HEAD_BYTES, MAX_UNCHUNKED_BYTES, MAX_VALUE_BYTES, LineBuffer, ValueChunk
 from .responses import CRLF, ERROR_LINE
 
-NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # matches a number in the fields of a command
+NUMBER_PATTERN = re.compile(r"\d{1,15}(?:\.\d{1,9})?")  # pattern of a number in the fields of a command
 
 # One match parses a whole head and gives the positions of its parts, so that the head can be forwarded with only the
 # number of its timeout replaced.
@@ -34,7 +34,8 @@
     timeout_ms: float
     timeout_span: tuple[int, int]  # start and end of the number of d in the head
     fields: dict[str, str]  # the P flag's fields: values by name
-    value: bytes | None  # with its CRLF; None for an mg, and for an ms whose value follows in chunks
+    # The value with its CRLF; None for an mg, and for an ms whose value follows in chunks.
+    value: bytes | None
     length: int = -1  # bytes of the value of an ms, without its CRLF; -1 for an mg
 
     @property
--- a/starlingthread/net/upstreams/actor.py
+++ b/starlingthread/net/upstreams/actor.py
@@ -32,7 +32,7 @@
 from .writer import ExchangeWriter
 
 MAX_MAILBOX_MESSAGES = 10000
-MAX_BAD_ANSWERS_LOGGED = 20  # further ones are only counted
+MAX_BAD_ANSWERS_LOGGED = 20  # bad answers after these are counted but not logged
 MAX_LOGGED_ANSWER_BYTES = 80
 # Nothing more is written to a draining server in this last part of its grace period.
 DRAIN_MARGIN_MS = 100.0
@@ -215,7 +215,7 @@
         if answer.load:
             check.load.update(answer.load)
         if answer.kind == meta.AnswerKind.STAT:
-            return  # further lines of this load report follow
+            return  # more lines of this load report will arrive
         is_healthy = answer.kind in (meta.AnswerKind.END, meta.AnswerKind.READY)
         self.reporter.report(check, AttemptResult.OK if is_healthy else AttemptResult.ERROR)
         if answer.kind == meta.AnswerKind.OTHER:
--- a/starlingthread/net/upstreams/context.py
+++ b/starlingthread/net/upstreams/context.py
@@ -51,6 +51,7 @@
     settings: UpstreamSettings
     # Returns whether one more connection may be opened; at the fleet's limit it closes the longest idle one first.
     may_open_connection: Callable[[], bool]
-    value_budget: ByteBudget = field(default_factory=lambda: ByteBudget(0))  # shared by all streamed values
+    # The byte budget is shared by all streamed values.
+    value_budget: ByteBudget = field(default_factory=lambda: ByteBudget(0))
     idle_failure_rates: IdleFailureRates = field(default_factory=IdleFailureRates)
     in_maintenance: set[int] = field(default_factory=set)  # numbers of the servers in maintenance
--- a/starlingthread/net/upstreams/fleet.py
+++ b/starlingthread/net/upstreams/fleet.py
@@ -17,7 +17,8 @@
 
 HOUSEKEEPING_INTERVAL_MS = 1000.0
 REMOVED_SERVER_TTL_MS = 2000.0  # minimum time from the removal of a server until its unused actor is ended
-HEALTH_CHECK_ANSWER_TIMEOUT_MS = 50.0  # added to the connect timeout
+# The timeout of a health check is the connect timeout plus this time.
+HEALTH_CHECK_ANSWER_TIMEOUT_MS = 50.0
 
 
 class ServerFleet:
--- a/starlingthread/net/upstreams/messages.py
+++ b/starlingthread/net/upstreams/messages.py
@@ -40,7 +40,7 @@
 
     connection: Connection
     answer: meta.ServerAnswer
-    pipe: Pipe | None = None  # set if a streamed value follows
+    pipe: Pipe | None = None  # pipe of the streamed value; None if no streamed value follows
 
 
 class ValueReceived(NamedTuple):
--- a/starlingthread/net/upstreams/pool.py
+++ b/starlingthread/net/upstreams/pool.py
@@ -17,7 +17,7 @@
     def __init__(self, context: UpstreamContext, address: tuple[str, int]) -> None:
         self._context = context
         self.address = address
-        self.idle: list[Connection] = []  # ordered by last use, the most recent at the end
+        self.idle: list[Connection] = []  # idle connections in the order of their last use, the most recent at the end
         self.busy: dict[Exchange, Connection] = {}
         self.streaming: set[Connection] = set()  # connections whose attempt has ended and whose value still arrives
         self.open_count = 0  # established and pending connections
--- a/starlingthread/policy/endpoint_polling.py
+++ b/starlingthread/policy/endpoint_polling.py
@@ -10,7 +10,8 @@
 # The first poll is at a random time within this share of the poll interval, so that routers do not poll in step.
 FIRST_POLL_SHARE = 0.3
 BACKOFF_MS = 500.0  # mean backoff after the first failed poll, doubled for each further failure
-MAX_BACKOFF_DOUBLINGS = 1  # limits a backoff, a rejected poll and another backoff to 6 s in total
+# With this limit, a backoff, a rejected poll and another backoff take at most 6 s in total.
+MAX_BACKOFF_DOUBLINGS = 1
 BACKOFF_JITTER = (0.5, 1.5)  # range of the random factor on a backoff
 
 
--- a/starlingthread/policy/load_estimate.py
+++ b/starlingthread/policy/load_estimate.py
@@ -16,7 +16,7 @@
 INITIAL_FETCH_TIME_SHARE = 0.15
 # Share of the latency objective; a slower fetch is too late to be of use, and may indicate an overloaded origin.
 LATE_FETCH_SHARE = 0.9
-LIKELY_HIT_PROBABILITY = 0.5  # from this probability on, an attempt is assumed to be a hit
+LIKELY_HIT_PROBABILITY = 0.5  # lowest hit probability at which an attempt is assumed to be a hit
 # An error that takes longer than this many typical fetch times is attributed to the origin.
 ORIGIN_ERROR_FETCH_TIMES = 2.0
 FETCH_RESULTS = frozenset((AttemptResult.OK, AttemptResult.ERROR, AttemptResult.TIMEOUT))
@@ -29,7 +29,7 @@
         self.fleet = fleet
         self.wait_estimates = WaitEstimates()
         self.machine_speeds = MachineSpeeds()
-        self.speed_version = 0  # incremented when a machine speed changes
+        self.speed_version = 0  # number of observations that changed a machine speed
         self.origin_limit = OriginLimit()
         classes = fleet.settings.classes
         self.origin_throttle = OriginThrottle(min(c.latency_objective for c in classes) * INITIAL_FETCH_TIME_SHARE)
--- a/starlingthread/policy/server_choice.py
+++ b/starlingthread/policy/server_choice.py
@@ -25,7 +25,7 @@
 class KeyAffinity(NamedTuple):
     """The affinity of a request's key: its counts and its owners."""
 
-    counts: dict[int, AffinityCount]  # indexed by server number
+    counts: dict[int, AffinityCount]  # request counts by server number
     owners: list[Owner]
     inverse_frequency: float  # log(number of servers / number of servers with a count), as in tf-idf
 
--- a/starlingthread/state/fleet.py
+++ b/starlingthread/state/fleet.py
@@ -17,7 +17,7 @@
 from ..settings import Settings
 from .records import RequestState, Server
 
-if TYPE_CHECKING:  # imported at run time only if failover is enabled
+if TYPE_CHECKING:  # the module is imported at run time only if failover is enabled
     from ..failover.zones import ZoneFailover
 
 # Time for which a removed server is kept, in multiples of the longest lifetime of a request.
@@ -30,10 +30,10 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         """Create a fleet without servers; raise ValueError if the settings are invalid."""
         self.rng = Random(seed)
-        self.requests: dict[int, RequestState] = {}  # by request id
+        self.requests: dict[int, RequestState] = {}  # open requests by request id
         self.actions: list[Action] = []
         self.apply_settings(settings)
-        self.servers: dict[int, Server] = {}  # by server number
+        self.servers: dict[int, Server] = {}  # servers, including the origin, by server number
         self.ready: list[Server] = []  # cache servers that are listed as ready and not in maintenance
         self.origin: Server | None = None
         self.in_maintenance: set[int] = set()
--- a/starlingthread/state/records.py
+++ b/starlingthread/state/records.py
@@ -113,7 +113,7 @@
     def __init__(self) -> None:
         self.used_at = math.inf
         self.owners = KeyOwners()
-        self.counts: dict[int, AffinityCount] = {}  # by server number
+        self.counts: dict[int, AffinityCount] = {}  # request counts by server number
         self.fetching_request = 0  # id of the request whose fetch from the origin is in flight; 0: none
         self.waiting: list[RequestState] = []  # requests that wait for the fetch in flight
 
@@ -191,7 +191,7 @@
         self.deadline = now + request.budget
         self.finished = False
         self.streaming = False  # whether a part of the answer has been sent to the client
-        self.attempts: list[AttemptRecord | None] = []  # by attempt number; None: the attempt has ended
+        self.attempts: list[AttemptRecord | None] = []  # attempts by attempt number; None: the attempt has ended
         self.attempts_in_flight = 0
         self.possible_execution: PossibleExecution | None = None
         self.missed_servers: list[int] = []  # servers that answered with a miss
--- a/starlingthread/testbed/client_worker.py
+++ b/starlingthread/testbed/client_worker.py
@@ -12,7 +12,8 @@
 from ..load.traffic import draw_arrivals
 from .worker_base import Worker
 
-_SEED_OFFSET = 9_000_003  # keeps the seeds distinct from those of other parts of the run
+# The offset keeps the seeds of the clients distinct from the seeds of other parts of the run.
+_SEED_OFFSET = 9_000_003
 
 
 class ClientWorker(Worker):
--- a/starlingthread/testbed/run.py
+++ b/starlingthread/testbed/run.py
@@ -24,7 +24,8 @@
 from .machine import check_machine
 from .platform import ROUTER_STOP_TIMEOUT_S, Platform
 
-SEED_OFFSET = 1_000_003  # keeps the seeds distinct from those of other parts of the run
+# The offset keeps the seeds of the origin, the relay and the faults distinct from those of other parts of the run.
+SEED_OFFSET = 1_000_003
 SAMPLE_PERIOD_S = 0.25  # time between two samples of all routers
 MAX_ROUTERS_PER_SAMPLE_PERIOD = 30  # runs with more routers sample less often, as each sample takes 0.1 ms
 START_MARGIN_S = 0.5  # time between the end of the set-up and the first request
--- a/starlingthread/testbed/server_worker.py
+++ b/starlingthread/testbed/server_worker.py
@@ -24,7 +24,8 @@
 from ..load.traffic import key_name, keys_by_popularity
 from .worker_base import Worker
 
-_SEED_OFFSET = 7_000_003  # keeps the seeds distinct from those of other parts of the run
+# The offset keeps the seeds of the cache servers distinct from the seeds of other parts of the run.
+_SEED_OFFSET = 7_000_003
 _SAMPLE_PERIOD_S = 1.0
 
 _SERVER_METHODS: dict[str, Callable[[CacheServer], Awaitable[None] | None]] = {
--- a/starlingthread/testbed/worker.py
+++ b/starlingthread/testbed/worker.py
@@ -17,7 +17,8 @@
 from .server_worker import ServerWorker
 from .worker_base import Worker
 
-_GC_THRESHOLDS = (50000, 50, 1000)  # makes collections rare, as each one stalls the process
+# High thresholds make garbage collections rare, as each collection stalls the process.
+_GC_THRESHOLDS = (50000, 50, 1000)
 
 
 def make_worker(role: str, number: int) -> Worker:
